--- a/coordination/control/announcements.go
+++ b/coordination/control/announcements.go
@@ -10,42 +10,42 @@
 )
 
 const (
-	// handOverFrom is the number of upstreams from which routers take announcements.
-	// Fewer are no burden for the disk VMs, and wait for a second where the router
-	// that they call is gone.
-	handOverFrom = 256
-	// shareInterval is how often a process tells the disk VMs which upstreams
-	// announced themselves to it: two in a row may be lost before one is forgotten.
-	// Changes go out at once and don't wait for it.
-	shareInterval = 8 * time.Second
+	// announceToRoutersFrom is the number of upstreams from which routers take
+	// announcements. Fewer upstreams are no burden for the disk VMs, and an upstream
+	// that calls a router that is gone loses a second.
+	announceToRoutersFrom = 256
+	// heartbeatReportInterval is how often a process reports to the disk VMs which
+	// upstreams announced themselves to it. Two reports in a row may be lost before an
+	// upstream is dropped. Changes are sent at once and don't wait for it.
+	heartbeatReportInterval = 8 * time.Second
 )
 
-// takers are the routers of a data centre that take proofs of life.
-type takers struct {
+// listeners are the addresses of the routers of a data centre that take heartbeats.
+type listeners struct {
 	addresses []string
-	// at is when they were looked for.
+	// at is when they were collected.
 	at time.Duration
 }
 
-// AnnounceAt returns where an upstream should announce itself from now on, "" for
-// the disk VMs.
+// AnnounceAt returns the address where an upstream should announce itself from now on,
+// "" for the disk VMs.
 //
-// Load: thousands of upstreams announce themselves every second to a few small disk
-// VMs. Harm prevented: the calls fill processor and link of each VM, and new tables,
-// keys and departures of upstreams wait behind them. Almost all of those calls say
-// nothing new, and there are many routers to take them.
+// Thousands of upstreams announce themselves every second. If they all called a few
+// small disk VMs, the calls would fill the processor and link of each VM, and new
+// tables, keys and departures of upstreams would wait behind them. Almost all of those
+// calls say nothing new, and there are many routers to take them.
 //
-// Failure guarded: a router is gone, or out of touch with the disk VMs. An
-// upstream whose announcement isn't taken calls a disk VM, and one that says
-// something new is answered only when a disk VM has that (see forwards), so no
-// router holds what nobody else knows.
+// A router may be gone, or cut off from the disk VMs. An upstream whose announcement
+// isn't taken calls a disk VM, and a router answers an announcement that says something
+// new only when a disk VM has it (see forwardBatch). So no router holds anything that
+// nobody else knows.
 func (p *Publisher) AnnounceAt(now time.Duration, e roster.Entry) string {
-	p.link.spend(now, announcementBytes)
-	if e.State != roster.Ready || p.roster.Usable() < handOverFrom {
+	p.link.charge(now, announcementBytes)
+	if e.State != roster.Ready || p.roster.Usable() < announceToRoutersFrom {
 		return ""
 	}
 	best, at := uint64(0), ""
-	for _, address := range p.takersIn(now, e.DataCentre) {
+	for _, address := range p.listenersIn(now, e.DataCentre) {
 		if weight := xxhash.Sum64String(address + string(e.ID)); at == "" || weight > best {
 			best, at = weight, address
 		}
@@ -53,37 +53,38 @@
 	return at
 }
 
-// takersIn returns the routers of a data centre that take proofs of life, looked
-// for once in a while: hundreds of upstreams ask each second.
-func (p *Publisher) takersIn(now time.Duration, in protocol.DataCentre) []string {
-	if known := p.takers[in]; known != nil && now-known.at < packedLife {
+// listenersIn returns the routers of a data centre that take heartbeats. The result is
+// reused for packedLifetime, because hundreds of upstreams ask each second.
+func (p *Publisher) listenersIn(now time.Duration, in protocol.DataCentre) []string {
+	if known := p.listeners[in]; known != nil && now-known.at < packedLifetime {
 		return known.addresses
 	}
-	found := &takers{at: now}
+	found := &listeners{at: now}
 	for _, r := range p.Routers(now) {
-		if address := p.followers[r.ID].watch.Announcements; r.DataCentre == in && address != "" {
+		if address := p.followers[r.ID].watch.AnnounceAddress; r.DataCentre == in && address != "" {
 			found.addresses = append(found.addresses, address)
 		}
 	}
-	p.takers[in] = found
+	p.listeners[in] = found
 	return found.addresses
 }
 
-// SetAnnouncements tells where this router takes proofs of life of the upstreams
-// of its data centre; "" for nowhere.
-func (f *Follower) SetAnnouncements(address string) { f.announcements = address }
+// SetAnnounceAddress sets the address where this router takes heartbeats of the
+// upstreams of its data centre, "" for none.
+func (f *Follower) SetAnnounceAddress(address string) { f.announceAddress = address }
 
-// MayConfirm reports whether the disk VMs learn in time what this router is told:
-// most of them are in touch. Upstreams whose proofs of life end here would be
-// forgotten otherwise.
-func (f *Follower) MayConfirm(now time.Duration) bool {
-	return 2*f.InTouch(now) > len(f.sources)
+// CanTakeHeartbeats reports whether the disk VMs learn in time of the heartbeats that
+// this router receives: more than half of them are alive. Otherwise the disk VMs would
+// drop upstreams that send their heartbeats here.
+func (f *Follower) CanTakeHeartbeats(now time.Duration) bool {
+	return 2*f.AliveDiskVMs(now) > len(f.sources)
 }
 
-// TakeAnnouncement takes an upstream's announcement at a router. It returns the number
-// of the message to a disk VM whose acknowledgement is to be waited for, if any is.
-func (f *Follower) TakeAnnouncement(now time.Duration, e roster.Entry) (known bool, number uint64, waits bool) {
-	if !f.MayConfirm(now) {
+// HandleAnnouncement processes an upstream's announcement at a router. If waits is set,
+// the caller must wait for the AnnouncementsAck with this number before it answers the
+// upstream.
+func (f *Follower) HandleAnnouncement(now time.Duration, e roster.Entry) (known bool, number uint64, waits bool) {
+	if !f.CanTakeHeartbeats(now) {
 		return false, 0, false
 	}
 	if f.roster.Confirm(now, e) {
@@ -93,19 +94,20 @@
 	return false, f.Forward(e), true
 }
 
-// share returns the proofs of life that disk VMs have to be told, once in a while.
-func (f *Follower) share(now time.Duration) []Send {
-	if now-f.shared < shareInterval {
+// sendHeartbeats returns the reports to the disk VMs on the upstreams that announced
+// themselves here, when they are due.
+func (f *Follower) sendHeartbeats(now time.Duration) []Message {
+	if now-f.heartbeatsSentAt < heartbeatReportInterval {
 		return nil
 	}
-	heard := f.roster.AnnouncedSince(f.shared)
-	f.shared = now
+	heard := f.roster.AnnouncedSince(f.heartbeatsSentAt)
+	f.heartbeatsSentAt = now
 	if len(heard) == 0 {
 		return nil
 	}
-	var sends []Send
+	var messages []Message
 	for _, id := range f.DiskVMs() {
-		sends = append(sends, Send{To: id, Body: Heard{Upstreams: heard}})
+		messages = append(messages, Message{To: id, Body: Heartbeats{Upstreams: heard}})
 	}
-	return sends
+	return messages
 }
--- a/coordination/control/announcements_test.go
+++ b/coordination/control/announcements_test.go
@@ -11,8 +11,8 @@
 	"endiveplank/protocol"
 )
 
-// announcing is an upstream that announces itself each second, to the address that
-// it was last given or else to a disk VM.
+// announcing is an upstream that announces itself each second, to the address that it
+// was last given or else to a disk VM.
 type announcing struct {
 	entry roster.Entry
 	at    string
@@ -30,23 +30,23 @@
 	return all
 }
 
-// startTakers starts routers that take proofs of life, half of them in each data centre.
-func (w *world) startTakers(n int) {
+// startListeners starts routers that take heartbeats, half of them in each data centre.
+func (w *world) startListeners(n int) {
 	for i := range n {
 		id := protocol.RouterID(fmt.Sprint("r", i))
 		r := w.startRouter(id, "vm1")
 		r.SetRelay(NewRelay(Router{ID: id, DataCentre: protocol.DataCentre(fmt.Sprint("dc", i%2))}, 750_000))
-		r.SetAnnouncements(string(id))
+		r.SetAnnounceAddress(string(id))
 	}
 }
 
-// announce makes each upstream announce itself once. It counts the calls by who
-// took them.
+// announce makes each upstream announce itself once. It counts the calls by the process
+// that received them.
 func (w *world) announce(upstreams []*announcing, calls map[string]int) {
 	for i, u := range upstreams {
 		u.entry.Sequence++
 		r := w.routers[protocol.RouterID(u.at)]
-		if r != nil && !w.deaf[r.self] && r.MayConfirm(w.now) {
+		if r != nil && !w.cutOff[r.self] && r.CanTakeHeartbeats(w.now) {
 			calls[u.at]++
 			if !r.roster.Confirm(w.now, u.entry) {
 				r.roster.Announced(w.now, u.entry)
@@ -58,18 +58,19 @@
 		calls[string(id)]++
 		v := w.vms[id]
 		if v.roster.Announced(w.now, u.entry) {
-			v.publisher.Heard(u.entry.ID)
-			w.tellOtherVMs(u.entry)
+			v.publisher.NoteChange(u.entry.ID)
+			w.mergeAtVMs(u.entry)
 		}
 		u.at = v.publisher.AnnounceAt(w.now, u.entry)
 	}
 	for _, id := range inOrder(w.vms) {
-		w.carry(id, w.vms[id].publisher.PushHeard(w.now))
+		w.deliver(id, w.vms[id].publisher.PushChanges(w.now))
 	}
 }
 
-// tellOtherVMs does what disk VMs do among each other.
-func (w *world) tellOtherVMs(e roster.Entry) {
+// mergeAtVMs merges an entry into the rosters of all disk VMs, as their messages to each
+// other do.
+func (w *world) mergeAtVMs(e roster.Entry) {
 	for _, v := range w.vms {
 		v.roster.Merge(w.now, e)
 	}
@@ -88,7 +89,7 @@
 	return calls
 }
 
-// atVMs counts the calls that disk VMs took.
+// atVMs counts the calls that disk VMs received.
 func (w *world) atVMs(calls map[string]int) int {
 	sum := 0
 	for id := range w.vms {
@@ -100,12 +101,12 @@
 // listed counts the upstreams that a disk VM lists.
 func (w *world) listed(id protocol.RouterID) int { return w.vms[id].roster.Usable() }
 
-// Guards: unchanged announcements of hundreds of upstreams fill the disk VMs' links and
-// processors.
+// Guards against unchanged announcements of hundreds of upstreams that fill the disk
+// VMs' links and processors.
 func TestManyUpstreamsAnnounceThemselvesToRouters(t *testing.T) {
 	w := newWorld(3)
-	w.put(1)
-	w.startTakers(30)
+	w.putTable(1)
+	w.startListeners(30)
 	w.run(3 * time.Second)
 	upstreams := newAnnouncing(600)
 	w.announceFor(5, upstreams)
@@ -118,7 +119,7 @@
 		assert.Assert(t, taken <= 2*60*600/30, "%s took %d of %d", id, taken, 60*600)
 	}
 
-	// One says that it leaves. The router hands that to a disk VM.
+	// One upstream says that it leaves. The router forwards that to a disk VM.
 	leaving := upstreams[7]
 	leaving.entry.State = roster.Draining
 	w.announceFor(1, upstreams)
@@ -128,16 +129,17 @@
 	}
 }
 
-// Guards: upstreams go on announcing themselves to routers that have lost power.
+// Guards against upstreams that go on announcing themselves to routers that have lost
+// power.
 func TestRoutersThatAreGoneTakeNoAnnouncements(t *testing.T) {
 	w := newWorld(3)
-	w.put(1)
-	w.startTakers(20)
+	w.putTable(1)
+	w.startListeners(20)
 	w.run(3 * time.Second)
 	upstreams := newAnnouncing(300)
 	w.announceFor(5, upstreams)
 	for i := range 10 {
-		w.deaf[protocol.RouterID(fmt.Sprint("r", i))] = true
+		w.cutOff[protocol.RouterID(fmt.Sprint("r", i))] = true
 	}
 	w.announceFor(6, upstreams)
 	calls := w.announceFor(40, upstreams)
@@ -147,39 +149,39 @@
 	}
 }
 
-// Guards: a router cut off from the disk VMs takes proofs of life, and sound upstreams
-// are forgotten.
-func TestARouterOutOfTouchSendsUpstreamsToTheDiskVMs(t *testing.T) {
+// Guards against a router that takes heartbeats while it is cut off from the disk VMs,
+// which then drop healthy upstreams.
+func TestARouterCutOffFromTheDiskVMsTakesNoHeartbeats(t *testing.T) {
 	w := newWorld(3)
-	w.put(1)
+	w.putTable(1)
 	r := w.startRouter("r0", "vm1")
-	r.SetAnnouncements("r0")
+	r.SetAnnounceAddress("r0")
 	w.run(3 * time.Second)
-	assert.Assert(t, r.MayConfirm(w.now))
-	w.deaf["vm1"] = true
+	assert.Assert(t, r.CanTakeHeartbeats(w.now))
+	w.cutOff["vm1"] = true
 	w.run(4 * time.Second)
-	assert.Assert(t, r.MayConfirm(w.now), "two of three are enough")
-	w.deaf["vm2"] = true
+	assert.Assert(t, r.CanTakeHeartbeats(w.now), "two of three are enough")
+	w.cutOff["vm2"] = true
 	w.run(4 * time.Second)
-	assert.Assert(t, !r.MayConfirm(w.now))
+	assert.Assert(t, !r.CanTakeHeartbeats(w.now))
 }
 
-// Guards: few upstreams depend on routers that may be gone.
-func TestFewUpstreamsAreHeardByTheDiskVMs(t *testing.T) {
+// Guards against a few upstreams depending on routers that may be gone.
+func TestFewUpstreamsAnnounceThemselvesToTheDiskVMs(t *testing.T) {
 	w := newWorld(3)
-	w.put(1)
-	w.startTakers(9)
+	w.putTable(1)
+	w.startListeners(9)
 	w.run(3 * time.Second)
 	calls := w.announceFor(5, newAnnouncing(15))
 	assert.Equal(t, w.atVMs(calls), 5*15)
 }
 
-// Guards: routers that know no upstream yet send all of them back to the disk VMs again
-// and again.
+// Guards against routers that know no upstream yet and send all of them back to the disk
+// VMs again and again.
 func TestUpstreamsThatStartTogetherCallTheDiskVMsOnce(t *testing.T) {
 	w := newWorld(3)
-	w.put(1)
-	w.startTakers(30)
+	w.putTable(1)
+	w.startListeners(30)
 	w.run(time.Second)
 	upstreams := newAnnouncing(1000)
 	calls := w.announceFor(5, upstreams)
--- a/coordination/control/follower.go
+++ b/coordination/control/follower.go
@@ -9,63 +9,67 @@
 )
 
 const (
-	// WatchInterval is how often a follower asks each disk VM. An upstream's
-	// change that was lost on the way is known that late; upstreams that leave
-	// must be known within two seconds.
+	// WatchInterval is how often a follower sends a Watch to each disk VM. If a change
+	// of an upstream is lost on the way, the follower learns it that late. Routers must
+	// know within two seconds that an upstream leaves.
 	WatchInterval = time.Second
-	// eagerInterval is how often a follower asks that has no table, or another
-	// roster. A table that is accepted meanwhile is told to it at once.
-	eagerInterval = 500 * time.Millisecond
-	// documentPatience is how long a disk VM may take to send a table before
-	// another one is asked: far above what a whole one takes on a small VM's link.
-	documentPatience = 800 * time.Millisecond
-	// preferredPatience is how long a router waits for the disk VM that it
-	// prefers to have a new table too: the next heartbeat of consensus tells
-	// that VM that it is accepted.
-	preferredPatience = 200 * time.Millisecond
-	// recalledAfter is how long a router without a table waits, from the first disk VM
-	// that it hears, for one that knows which table is in force, before it takes a
-	// recalled one: the others answer within a few milliseconds.
-	recalledAfter = 50 * time.Millisecond
-	// lostAfter is how long a disk VM may be silent before the follower says
-	// that it has lost it.
+	// fastWatchInterval is the interval for a follower that has no table, or whose
+	// roster differs from the disk VM's. If a table is accepted meanwhile, the disk VMs
+	// announce it at once.
+	fastWatchInterval = 500 * time.Millisecond
+	// documentTimeout is how long a disk VM may take to send a table before the router
+	// asks another one. A whole table takes far less on a small VM's link.
+	documentTimeout = 800 * time.Millisecond
+	// preferredWait is how long a router waits until the disk VM that it prefers has a
+	// new table too. That VM learns with the next heartbeat of consensus that the table
+	// is accepted.
+	preferredWait = 200 * time.Millisecond
+	// restoredTableDelay is how long a router without a table waits, from the first
+	// message of any disk VM, for a disk VM that knows which table is in force, before
+	// it takes a restored one. The other disk VMs answer within a few milliseconds.
+	restoredTableDelay = 50 * time.Millisecond
+	// lostAfter is how long a disk VM may be silent before the follower reports it as
+	// lost.
 	lostAfter = 3 * WatchInterval
-	// listAfter is how long a disk VM's roster may differ from the own before
-	// its whole list is asked for. What it is told it sends on within some tens
-	// of milliseconds, and again after 300.
-	listAfter = 400 * time.Millisecond
-	// listPatience is how long a disk VM may take to send a list.
-	listPatience = 700 * time.Millisecond
-	// forgetAfter is how long a disk VM that nobody names is asked.
+	// listDelay is how long a disk VM's roster may differ from the follower's before the
+	// follower asks for the list. A disk VM pushes a change that it learns within some
+	// tens of milliseconds, and again after 300.
+	listDelay = 400 * time.Millisecond
+	// listTimeout is how long a disk VM may take to send a list.
+	listTimeout = 700 * time.Millisecond
+	// forgetAfter is how long a follower goes on asking a silent disk VM that no other
+	// disk VM names.
 	forgetAfter = 60 * time.Second
 )
 
-// Belief is a change of what a follower believes, for the log.
-type Belief struct {
-	// What is one of the Belief constants.
-	What string
-	// About names the disk VM.
-	About protocol.RouterID
-	// Version is the table's, where one is concerned.
+// Event is a change in a follower's view of the disk VMs and the table, for the log.
+type Event struct {
+	// Kind is one of the Event constants.
+	Kind string
+	// Peer is the disk VM, or the router that sent a table or list.
+	Peer protocol.RouterID
+	// Version is the version of the table, if the event concerns one.
 	Version uint64
 	// Age is how long the disk VM was silent.
 	Age time.Duration
 }
 
-// The beliefs of a follower.
+// The kinds of events.
 const (
-	BeliefLost     = "disk-vm-lost"
-	BeliefRegained = "disk-vm-regained"
-	BeliefTable    = "table-in-force"
-	// BeliefRecalled is a table of before the disk VMs' start.
-	BeliefRecalled = "table-recalled"
-	BeliefRefused  = "table-refused"
-	// BeliefUnreadable is a list that can't be read.
-	BeliefUnreadable = "list-unreadable"
+	EventDiskVMLost     = "disk-vm-lost"
+	EventDiskVMRegained = "disk-vm-regained"
+	EventTableInForce   = "table-in-force"
+	// EventTableRestored says that the follower uses a table from before the disk VMs
+	// restarted.
+	EventTableRestored = "table-recalled"
+	EventTableRefused  = "table-refused"
+	// EventListUnreadable says that a list or a message with changes was damaged.
+	EventListUnreadable = "list-unreadable"
 )
 
-// Follower is the router's side, and also that of a disk VM towards the others,
-// which follows their rosters alone. It is not safe for concurrent use.
+// Follower is the router's side of the protocol. A disk VM has one too, which follows
+// the rosters of the other disk VMs and nothing else. A Follower is not safe for
+// concurrent use.
 type Follower struct {
 	self    protocol.RouterID
 	router  bool
@@ -73,102 +77,103 @@
 	sources map[protocol.RouterID]*source
 	seeds   []protocol.RouterID
 	inForce *document.Document
-	// recalled says that the table in force is one that a disk VM has recalled.
-	recalled bool
-	// firstHeard is when the first disk VM answered, if any has.
+	// restored says that inForce is a table that a disk VM restored and no quorum has
+	// confirmed.
+	restored bool
+	// firstHeard is when the first disk VM answered, if anyHeard.
 	firstHeard time.Duration
 	anyHeard   bool
-	// newest is the highest version told by any disk VM, newestAt when it was
-	// first told, and newestBytes the size of the change that made it.
+	// newest is the highest version that any disk VM announced, newestAt when the
+	// follower first received it, and newestBytes the size of the change that made it.
 	newest      uint64
 	newestAt    time.Duration
 	newestBytes int
 	relay       *Relay
-	// whole is the change that makes the table in force from nothing, for other
-	// routers, made when it is first asked for.
-	whole document.Change
-	// neighbourAsked is when another router was last asked, and neighbours how
-	// many were.
-	neighbourAsked time.Duration
-	neighbours     int
-	// askers are the routers that have asked for what this one lacks.
-	askers  map[protocol.RouterID]asker
-	keepers toldKeepers
-	passer  namedPasser
-	// knewMostAt is when this router last knew most upstreams or had to ask disk VMs
-	// alone for them.
+	// fullChange is the change that makes the table in force from nothing. It is sent to
+	// other routers and made when one first asks for it.
+	fullChange document.Change
+	// peerAskedAt is when this router last asked another one, and peersAsked counts
+	// these requests.
+	peerAskedAt time.Duration
+	peersAsked  int
+	// peerRequests holds the requests of other routers for what this one lacks too.
+	peerRequests map[protocol.RouterID]peerRequest
+	holders      knownHolders
+	referral     namedReferral
+	// knewMostAt is when this router last knew most upstreams, or had no other router to
+	// get them from.
 	knewMostAt time.Duration
-	// lists are those packed for other routers.
+	// lists holds the lists that were packed for other routers.
 	lists packedLists
-	// pulledFrom and pulledAt are the disk VM that was last asked for a table.
+	// pulledFrom is the disk VM that was last asked for a table, and pulledAt when.
 	pulledFrom protocol.RouterID
 	pulledAt   time.Duration
 	pulling    bool
-	// announcements is where this router takes proofs of life of the upstreams in
-	// its data centre, and shared when the disk VMs were last told of them.
-	announcements string
-	shared        time.Duration
-	forwards      forwards
-	// listAsked is when a whole list was last asked for, if ever.
+	// announceAddress is where this router takes heartbeats of the upstreams in its data
+	// centre. heartbeatsSentAt is when it last sent them to the disk VMs.
+	announceAddress  string
+	heartbeatsSentAt time.Duration
+	forwardBatch     forwardBatch
+	// listAsked is when the follower last asked for a list, if everAsked.
 	listAsked time.Duration
 	everAsked bool
-	beliefs   []Belief
+	events    []Event
 }
 
-// NewFollower returns a follower that knows only seeds. The roster is shared
-// with the caller.
+// NewFollower returns a follower that knows only the seeds. It shares the roster with
+// the caller.
 func NewFollower(self protocol.RouterID, router bool, seeds []protocol.RouterID, r *roster.Roster) *Follower {
-	f := &Follower{self: self, router: router, roster: r, sources: map[protocol.RouterID]*source{}, askers: map[protocol.RouterID]asker{}, lists: packedLists{wholeLife: wholeListLife}}
+	f := &Follower{self: self, router: router, roster: r, sources: map[protocol.RouterID]*source{}, peerRequests: map[protocol.RouterID]peerRequest{}, lists: packedLists{wholeLifetime: wholeListLifetime}}
 	f.SetSeeds(0, seeds)
 	return f
 }
 
-// Beliefs returns what changed since the last call.
-func (f *Follower) Beliefs() []Belief {
-	beliefs := f.beliefs
-	f.beliefs = nil
-	return beliefs
+// Events returns the events since the last call.
+func (f *Follower) Events() []Event {
+	events := f.events
+	f.events = nil
+	return events
 }
 
-// Tick returns the watches that are due.
-func (f *Follower) Tick(now time.Duration) []Send {
+// Tick returns the messages that are due.
+func (f *Follower) Tick(now time.Duration) []Message {
 	f.forget(now)
-	f.noteLost(now)
-	f.answerAskers(now)
+	f.detectLost(now)
+	f.answerPeerRequests(now)
 	if !f.lacksUpstreams(now) {
 		f.knewMostAt = now
 	}
-	var sends []Send
+	var messages []Message
 	for _, id := range f.DiskVMs() {
-		if now-f.sources[id].asked >= f.interval(f.sources[id]) {
-			sends = append(sends, f.watch(now, id, Watch{}))
+		if now-f.sources[id].askedAt >= f.interval(f.sources[id]) {
+			messages = append(messages, f.watch(now, id, Watch{}))
 		}
 	}
-	sends = append(sends, f.askList(now)...)
-	sends = append(sends, f.askNeighbour(now)...)
-	sends = append(sends, f.share(now)...)
-	sends = append(sends, f.sendForwards(now)...)
-	return append(sends, f.pull(now)...)
+	messages = append(messages, f.askList(now)...)
+	messages = append(messages, f.askPeer(now)...)
+	messages = append(messages, f.sendHeartbeats(now)...)
+	messages = append(messages, f.sendForwards(now)...)
+	return append(messages, f.pull(now)...)
 }
 
-// interval is how long to wait between two watches of a disk VM. One whose roster
-// differs is asked sooner: either the difference was on its way, or its list is
-// needed.
+// interval returns the time between two Watches to a disk VM. It is shorter if the disk
+// VM's roster differs from the follower's: either the difference is on its way, or the
+// follower needs the list.
 func (f *Follower) interval(s *source) time.Duration {
 	lacksTable := f.router && f.inForce == nil
 	if lacksTable || s.differs && s.roster != s.merged {
-		return eagerInterval
+		return fastWatchInterval
 	}
 	return WatchInterval
 }
 
-// watch returns a Watch for one disk VM, with what is wanted of it set.
-func (f *Follower) watch(now time.Duration, id protocol.RouterID, w Watch) Send {
+// watch fills in a Watch for a disk VM. The caller has set what it wants from that VM.
+func (f *Follower) watch(now time.Duration, id protocol.RouterID, w Watch) Message {
 	s := f.sources[id]
-	s.asked = now
+	s.askedAt = now
 	w.Router = f.router
-	w.WantKeepers = f.router && s.inTouch(now) && f.keepers.ask(now)
-	w.Announcements = f.announcements
+	w.WantCacheHolders = f.router && s.alive(now) && f.holders.ask(now)
+	w.AnnounceAddress = f.announceAddress
 	if f.relay != nil {
 		w.DataCentre = f.relay.self.DataCentre
 		w.Relays = len(f.relay.receivers) > 0
@@ -178,32 +183,32 @@
 		w.Version = f.inForce.Version
 		w.Digest = f.inForce.Digest
 	}
-	return Send{To: id, Body: w}
+	return Message{To: id, Body: w}
 }
 
-// TakeNews takes a disk VM's News.
-func (f *Follower) TakeNews(now time.Duration, from protocol.RouterID, n News) []Send {
+// HandleStatus processes a disk VM's Status.
+func (f *Follower) HandleStatus(now time.Duration, from protocol.RouterID, status Status) []Message {
 	s := f.heardFrom(now, from)
-	s.version, s.recalled = n.Version, n.Recalled
-	f.confirm(from, s)
-	if n.Version > f.newest {
-		f.newest = n.Version
+	s.version, s.restored = status.Version, status.Restored
+	f.confirmTable(from, s)
+	if status.Version > f.newest {
+		f.newest = status.Version
 		f.newestAt = now
-		f.newestBytes = n.Bytes
+		f.newestBytes = status.Bytes
 	}
-	s.roster = n.Roster
-	s.upstreams = n.Upstreams
-	f.agree(now, s)
-	if n.Fleet != nil {
-		f.takeFleet(s, from, *n.Fleet)
+	s.roster = status.Roster
+	s.upstreams = status.Upstreams
+	f.compareRoster(now, s)
+	if status.Fleet != nil {
+		f.takeFleet(s, from, *status.Fleet)
 	}
 	for _, id := range s.diskVMs {
-		f.Name(now, id)
+		f.NoteDiskVM(now, id)
 	}
-	sends := append(f.askList(now), f.pull(now)...)
-	if n.Ask != "" {
-		f.passer = namedPasser{id: n.Ask, at: now}
-		sends = append(sends, f.askPasser(now))
+	messages := append(f.askList(now), f.pull(now)...)
+	if status.Referral != "" {
+		f.referral = namedReferral{id: status.Referral, at: now}
+		messages = append(messages, f.askReferral(now))
 	}
-	return sends
+	return messages
 }
--- a/coordination/control/follower_test.go
+++ b/coordination/control/follower_test.go
@@ -8,11 +8,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards: two of the three addresses of the settings are gone, and a router finds
-// nothing.
+// Guards against a router that finds nothing when two of the three addresses in its
+// settings are gone.
 func TestARouterLearnsAllFromOneAddress(t *testing.T) {
 	w := newWorld(5)
-	w.put(4)
+	w.putTable(4)
 	r := w.startRouter("r1", "gone1", "gone2", "vm3")
 	w.run(time.Second)
 	assert.Equal(t, r.version(), uint64(4))
@@ -21,20 +21,22 @@
 	}
 }
 
-func TestLostAndRegainedVMsAreToldOnce(t *testing.T) {
+// Guards against an event for each tick on which a disk VM is silent, and against giving up
+// the table because of that.
+func TestLostAndRegainedVMsAreReportedOnce(t *testing.T) {
 	w := newWorld(1)
-	w.put(1)
+	w.putTable(1)
 	r := w.startRouter("r1", "vm1")
 	w.run(2 * time.Second)
-	r.Beliefs()
-	w.deaf["vm1"] = true
+	r.Events()
+	w.cutOff["vm1"] = true
 	w.run(10 * time.Second)
-	w.deaf["vm1"] = false
+	w.cutOff["vm1"] = false
 	w.run(2 * time.Second)
-	var told []string
-	for _, b := range r.Beliefs() {
-		told = append(told, b.What)
+	var kinds []string
+	for _, event := range r.Events() {
+		kinds = append(kinds, event.Kind)
 	}
-	assert.DeepEqual(t, told, []string{BeliefLost, BeliefRegained})
+	assert.DeepEqual(t, kinds, []string{EventDiskVMLost, EventDiskVMRegained})
 	assert.Equal(t, r.version(), uint64(1))
 }
--- a/coordination/control/forward.go
+++ b/coordination/control/forward.go
@@ -7,60 +7,63 @@
 	"endiveplank/protocol"
 )
 
-// Announced hands announcements that say something new from a router to a disk VM.
-type Announced struct {
+// Announcements forwards announcements that say something new from a router to a disk
+// VM.
+type Announcements struct {
 	Number  uint64         `msgpack:"n"`
 	Entries []roster.Entry `msgpack:"e"`
 }
 
-// AnnouncedAck says that a disk VM has taken them and tells others.
-type AnnouncedAck struct {
+// AnnouncementsAck says that a disk VM has stored them and will send them to its
+// followers.
+type AnnouncementsAck struct {
 	Number uint64 `msgpack:"n"`
 }
 
-// forwards are the announcements that a router hands to disk VMs.
+// forwardBatch holds the announcements that a router will forward to a disk VM.
 //
-// Load: three thousand upstreams start within a second or two, and each says so to
-// a router that doesn't know it yet. Harm prevented: sent back to the disk VMs
-// they would call them six hundred times a second each, and fill their links
-// before any router has a list of upstreams. In hand-overs of some tens of
-// milliseconds they are sixty messages.
-type forwards struct {
-	// number is that of the message under way, and entries what goes with it.
+// When three thousand upstreams start within a second or two, each announces itself to a
+// router that doesn't know it yet. If the routers sent them back to the disk VMs,
+// upstreams would call each disk VM six hundred times a second and fill its link before
+// any router has a list of upstreams. Batches of some tens of milliseconds make that
+// sixty messages.
+type forwardBatch struct {
+	// number is the number of the message that will carry entries.
 	number  uint64
 	entries []roster.Entry
 }
 
-// Forward hands an announcement on. It returns the number of the message that
-// carries it, whose AnnouncedAck says that a disk VM has it.
+// Forward adds an announcement to the batch. It returns the number of the message that
+// will carry it. The AnnouncementsAck with that number says that a disk VM has it.
 func (f *Follower) Forward(e roster.Entry) uint64 {
-	f.forwards.entries = append(f.forwards.entries, e)
-	return f.forwards.number
+	f.forwardBatch.entries = append(f.forwardBatch.entries, e)
+	return f.forwardBatch.number
 }
 
-// sendForwards sends what is to be handed on to the preferred disk VM in touch.
-func (f *Follower) sendForwards(now time.Duration) []Send {
-	if len(f.forwards.entries) == 0 {
+// sendForwards sends the batch to the preferred disk VM that is alive. If there is none,
+// it drops the batch, and no acknowledgement will come.
+func (f *Follower) sendForwards(now time.Duration) []Message {
+	if len(f.forwardBatch.entries) == 0 {
 		return nil
 	}
-	body := Announced{Number: f.forwards.number, Entries: f.forwards.entries}
-	f.forwards.number++
-	f.forwards.entries = nil
+	body := Announcements{Number: f.forwardBatch.number, Entries: f.forwardBatch.entries}
+	f.forwardBatch.number++
+	f.forwardBatch.entries = nil
 	if id := f.Preferred(now); id != "" {
-		return []Send{{To: id, Body: body}}
+		return []Message{{To: id, Body: body}}
 	}
 	return nil
 }
 
-// TakeAnnounced takes what a router hands over, and returns the acknowledgement
-// and the upstreams about which something is new.
-func (p *Publisher) TakeAnnounced(now time.Duration, from protocol.RouterID, a Announced) (Send, []protocol.UpstreamID) {
+// HandleAnnouncements processes forwarded announcements. It returns the acknowledgement
+// and the upstreams that changed.
+func (p *Publisher) HandleAnnouncements(now time.Duration, from protocol.RouterID, a Announcements) (Message, []protocol.UpstreamID) {
 	var changed []protocol.UpstreamID
 	for _, e := range a.Entries {
 		if p.roster.Merge(now, e) {
 			changed = append(changed, e.ID)
-			p.Heard(e.ID)
+			p.NoteChange(e.ID)
 		}
 	}
-	return Send{To: from, Body: AnnouncedAck{Number: a.Number}}, changed
+	return Message{To: from, Body: AnnouncementsAck{Number: a.Number}}, changed
 }
--- a/coordination/control/lists.go
+++ b/coordination/control/lists.go
@@ -7,40 +7,41 @@
 	"endiveplank/protocol"
 )
 
-// askList asks one disk VM for the parts of its list that differ from the own, once
-// they have done so for a moment: changes were missed, or this process or that VM
+// askList asks one disk VM for the parts of its list that differ from this follower's,
+// once they have differed for listDelay: the follower missed changes, or it or that VM
 // has just started.
 //
-// Load: all routers start at once, and each knows nothing. Harm prevented: five
-// lists from all disk VMs for each router, again with each watch until one gets
-// through, on links that are full for it. A list that was merged before
-// isn't asked for again: a VM that was cut off or has just started lists less
-// than the others for a while.
-func (f *Follower) askList(now time.Duration) []Send {
-	if f.everAsked && now-f.listAsked < listPatience {
+// When all routers start at once, each knows nothing. Without a limit each router would
+// get lists from all five disk VMs, and ask again with each Watch until one gets
+// through, on links that are full because of it. A list that was merged before isn't
+// asked for again: a VM that was cut off or has just started lists less than the others
+// for a while.
+func (f *Follower) askList(now time.Duration) []Message {
+	if f.everAsked && now-f.listAsked < listTimeout {
 		return nil
 	}
-	if f.lacksUpstreams(now) && now-f.knewMostAt < neighbourListsFor {
+	if f.lacksUpstreams(now) && now-f.knewMostAt < peerListsOnlyPeriod {
 		return nil
 	}
-	id := f.richest(now, !f.KnowsMost(now))
+	id := f.largestList(now, !f.KnowsMostUpstreams(now))
 	if id == "" {
 		return nil
 	}
 	f.listAsked = now
 	f.everAsked = true
-	return []Send{f.watch(now, id, Watch{WantList: true, Have: f.roster.Summary()})}
+	return []Message{f.watch(now, id, Watch{WantList: true, Have: f.roster.Summary()})}
 }
 
-// richest returns the disk VM that lists the most upstreams, of those whose list
-// has differed for long enough and isn't known here, "" if there is none. Among
-// equals the preferred one goes first.
-func (f *Follower) richest(now time.Duration, atOnce bool) protocol.RouterID {
+// largestList returns the disk VM that lists the most upstreams among those whose list
+// has differed for long enough and wasn't merged here, "" if there is none. Of two with
+// as many, the preferred one is chosen. With immediately set, any time of difference is
+// long enough.
+func (f *Follower) largestList(now time.Duration, immediately bool) protocol.RouterID {
 	best := protocol.RouterID("")
 	for _, id := range f.byPreference() {
 		s := f.sources[id]
-		ripe := s.differs && (atOnce || now-s.differsSince >= listAfter)
-		if !s.inTouch(now) || !ripe || s.roster == s.merged {
+		due := s.differs && (immediately || now-s.differsSince >= listDelay)
+		if !s.alive(now) || !due || s.roster == s.merged {
 			continue
 		}
 		if best == "" || s.upstreams > f.sources[best].upstreams {
@@ -50,30 +51,31 @@
 	return best
 }
 
-// mostShare is the share of the upstreams that any disk VM lists from which a
-// router may send work: with fewer, those that it knows would get the work of
-// all, from every router that has just started.
-const mostShare = 0.8
+// minKnownShare is the share of the upstreams listed by any disk VM that a router must
+// know before it may send requests. With fewer, the known upstreams would get the load
+// of all of them, from every router that has just started.
+const minKnownShare = 0.8
 
-// KnowsMost reports whether the own roster has most of the upstreams that any
-// disk VM in touch lists.
-func (f *Follower) KnowsMost(now time.Duration) bool {
+// KnowsMostUpstreams reports whether this follower's roster has most of the upstreams
+// that any live disk VM lists.
+func (f *Follower) KnowsMostUpstreams(now time.Duration) bool {
 	most := 0
 	for _, s := range f.sources {
-		if s.inTouch(now) {
+		if s.alive(now) {
 			most = max(most, s.upstreams)
 		}
 	}
-	return float64(f.roster.Usable()) >= mostShare*float64(most)
+	return float64(f.roster.Usable()) >= minKnownShare*float64(most)
 }
 
-// agree compares a disk VM's roster with the own. For a router, what a disk VM
-// lists lives.
+// compareRoster compares a disk VM's roster with this follower's. For a router, every
+// upstream that a disk VM lists is alive.
 //
-// Failure: an upstream is gone for good without a word. The disk VMs forget it
-// for its silence, which they can't tell others as a fact: a VM that is cut off
-// hears silence from all. So a router forgets what no disk VM lists any more.
-func (f *Follower) agree(now time.Duration, s *source) {
+// An upstream may be gone for good without announcing it. Disk VMs drop it because it is
+// silent, but they can't report that to others as a fact: a VM that is cut off receives
+// nothing from any upstream. So a router drops an upstream that no disk VM lists any
+// more.
+func (f *Follower) compareRoster(now time.Duration, s *source) {
 	same := s.roster == f.roster.Digest()
 	if !same && !s.differs {
 		s.differsSince = now
@@ -89,21 +91,23 @@
 	}
 }
 
-// agreeWithAll compares the rosters of all disk VMs with the own, which another
-// router has just completed: they needn't be asked for what it has brought.
-func (f *Follower) agreeWithAll(now time.Duration) {
+// compareRosters compares the rosters of all disk VMs with this follower's, which
+// another router has just completed. The follower needn't ask disk VMs for what it now
+// has.
+func (f *Follower) compareRosters(now time.Duration) {
 	for _, s := range f.sources {
 		if s.everHeard {
-			f.agree(now, s)
+			f.compareRoster(now, s)
 		}
 	}
 }
 
-// TakeChanges merges what a disk VM was just told, and passes it on.
-func (f *Follower) TakeChanges(now time.Duration, from protocol.RouterID, c Changes) []Send {
+// HandleChanges merges changes from a disk VM or a relay. It acknowledges those from a
+// disk VM and relays them if it says so.
+func (f *Follower) HandleChanges(now time.Duration, from protocol.RouterID, c Changes) []Message {
 	entries, err := c.all()
 	if err != nil {
-		f.beliefs = append(f.beliefs, Belief{What: BeliefUnreadable, About: from})
+		f.events = append(f.events, Event{Kind: EventListUnreadable, Peer: from})
 		return nil
 	}
 	for _, e := range entries {
@@ -113,14 +117,14 @@
 		return nil
 	}
 	f.heardFrom(now, from)
-	sends := []Send{{To: from, Body: ChangesAck{Number: c.Number}}}
+	messages := []Message{{To: from, Body: ChangesAck{Number: c.Number}}}
 	if f.relay != nil && c.PassOn {
-		sends = append(sends, f.relay.PassOn(c)...)
+		messages = append(messages, f.relay.PassOnChanges(c)...)
 	}
-	return sends
+	return messages
 }
 
-// namesOutside returns the upstreams in the parts of the roster that aren't named.
+// namesOutside returns the upstreams in the parts of the roster that aren't in buckets.
 func (f *Follower) namesOutside(buckets roster.Buckets) []protocol.UpstreamID {
 	var names []protocol.UpstreamID
 	for _, e := range f.roster.EntriesIn(^buckets) {
@@ -131,20 +135,21 @@
 	return names
 }
 
-// TakeList merges a disk VM's list, or another router's. What isn't in it is there
-// as it is here. One that can't be read changes nothing.
-func (f *Follower) TakeList(now time.Duration, from protocol.RouterID, l List) {
+// HandleList merges a list from a disk VM or another router. For the parts that the list
+// leaves out, the sender has the same entries as this follower. A list that can't be
+// read changes nothing.
+func (f *Follower) HandleList(now time.Duration, from protocol.RouterID, l List) {
 	entries, err := l.unpack()
 	if err != nil {
-		f.beliefs = append(f.beliefs, Belief{What: BeliefUnreadable, About: from})
+		f.events = append(f.events, Event{Kind: EventListUnreadable, Peer: from})
 		return
 	}
 	for _, e := range entries {
 		f.roster.Merge(now, e)
 	}
-	defer f.answerAskers(now)
+	defer f.answerPeerRequests(now)
 	if f.sources[from] == nil {
-		f.agreeWithAll(now)
+		f.compareRosters(now)
 		return
 	}
 	s := f.heardFrom(now, from)
@@ -155,5 +160,5 @@
 			s.listed = append(s.listed, e.ID)
 		}
 	}
-	f.agree(now, s)
+	f.compareRoster(now, s)
 }
--- a/coordination/control/lists_test.go
+++ b/coordination/control/lists_test.go
@@ -11,10 +11,11 @@
 	"endiveplank/protocol"
 )
 
-// Guards: a router takes upstreams of which it is told nothing new for silent.
+// Guards against a router that drops upstreams as silent because nothing about them
+// changes.
 func TestUpstreamsThatNeverChangeStayListed(t *testing.T) {
 	w := newWorld(3)
-	w.put(1)
+	w.putTable(1)
 	r := w.startRouter("r1", "vm1")
 	e := roster.Entry{ID: "u1", Service: "chat", Address: "a:1", State: roster.Ready, Sequence: 1}
 	w.vms["vm2"].roster.Merge(w.now, e)
@@ -29,7 +30,8 @@
 		assert.Assert(t, known && found.State == roster.Ready, "at %s", w.now)
 	}
 
-	// Then it dies without a word. The disk VMs forget it, and so must routers.
+	// Then the upstream dies without announcing it. The disk VMs drop it, and so must
+	// routers.
 	for range 20 {
 		for _, v := range w.vms {
 			v.roster.Expire(w.now)
@@ -41,11 +43,11 @@
 	assert.Assert(t, !known)
 }
 
-// Guards: a change that one disk VM alone was told stays unknown because the others
-// agree with the router.
-func TestADifferenceWithOneVMIsEndedWhileOthersAgree(t *testing.T) {
+// Guards against a change that only one disk VM received staying unknown because the
+// other disk VMs agree with the router.
+func TestADifferenceWithOneVMIsResolvedWhileOthersAgree(t *testing.T) {
 	w := newWorld(3)
-	w.put(1)
+	w.putTable(1)
 	r := w.startRouter("r1", "vm1")
 	e := roster.Entry{ID: "u1", Service: "chat", Address: "a:1", State: roster.Ready, Sequence: 1}
 	for _, v := range w.vms {
@@ -59,18 +61,18 @@
 	assert.Equal(t, found.State, roster.Draining)
 }
 
-// Guards: a router drops upstreams that a restarted disk VM has not heard of yet, or
-// misses that one leaves.
+// Guards against a router that drops upstreams of which a restarted disk VM has not
+// heard yet, or that misses that one of them leaves.
 func TestARestartedVMSendsItsWholeRoster(t *testing.T) {
 	w := newWorld(1)
-	w.put(1)
+	w.putTable(1)
 	r := w.startRouter("r1", "vm1")
 	for i := range 5 {
 		w.vms["vm1"].roster.Merge(w.now, roster.Entry{ID: protocol.UpstreamID(fmt.Sprint("u", i)), Address: fmt.Sprint("a", i), State: roster.Ready, Sequence: 1})
 	}
 	w.run(2 * time.Second)
 	w.startVM("vm1")
-	w.tellVMs()
+	w.setDiskVMs()
 	leaving := roster.Entry{ID: "u1", Address: "a1", State: roster.Draining, Sequence: 9}
 	w.vms["vm1"].roster.Merge(w.now, leaving)
 	w.run(2 * time.Second)
@@ -80,10 +82,10 @@
 	assert.Equal(t, found.State, roster.Ready)
 }
 
-// Guards: whole lists are sent for a few changes and fill the link.
-func TestADifferenceCostsWhatDiffers(t *testing.T) {
+// Guards against whole lists being sent for a few changes and filling the link.
+func TestOnlyDifferingPartsOfAListAreSent(t *testing.T) {
 	w := newWorld(1)
-	w.put(1)
+	w.putTable(1)
 	vm := w.vms["vm1"]
 	for i := range 1000 {
 		vm.roster.Merge(w.now, roster.Entry{ID: protocol.UpstreamID(fmt.Sprint("u", i)), Service: "chat", Address: fmt.Sprint("10.0.0.", i), State: roster.Ready, Sequence: 1})
@@ -109,8 +111,8 @@
 	assert.Equal(t, r.roster.Usable(), 1000, "what wasn't sent again is still listed")
 }
 
-// Guards: a list of its own is packed for each router that lacks another part.
-func TestRoutersThatLackMuchAreSentOneList(t *testing.T) {
+// Guards against packing a separate list for each router that lacks other parts.
+func TestRoutersThatLackMuchShareOnePackedList(t *testing.T) {
 	v := roster.New(roster.DefaultSettings())
 	for i := range 1000 {
 		v.Merge(0, roster.Entry{ID: protocol.UpstreamID(fmt.Sprint("u", i)), Address: fmt.Sprint("a", i), State: roster.Ready, Sequence: 1})
@@ -126,8 +128,8 @@
 			}
 		}
 		id := protocol.RouterID(fmt.Sprint("r", n))
-		for _, send := range p.Watched(time.Duration(n)*time.Millisecond, id, Watch{Router: true, WantList: true, Have: has.Summary()}) {
-			if list, is := send.Body.(List); is {
+		for _, message := range p.HandleWatch(time.Duration(n)*time.Millisecond, id, Watch{Router: true, WantList: true, Have: has.Summary()}) {
+			if list, is := message.Body.(List); is {
 				lists++
 				packed[&list.Packed[0]] = true
 			}
@@ -137,7 +139,7 @@
 	assert.Equal(t, len(packed), 1)
 }
 
-// Guards: every router asks every disk VM for its list at a start.
+// Guards against every router asking every disk VM for its list when the fleet starts.
 func TestAFleetThatStartsAsksForFewLists(t *testing.T) {
 	w := newWorld(5)
 	for n, v := range []protocol.RouterID{"vm1", "vm2", "vm3", "vm4", "vm5"} {
@@ -161,10 +163,10 @@
 	}
 }
 
-// Guards: a list that grows is packed anew for each router that asks.
+// Guards against packing a growing list again for each router that asks.
 func TestAWholeListIsPackedSeldomWhileItGrows(t *testing.T) {
 	r := roster.New(roster.DefaultSettings())
-	lists := &packedLists{wholeLife: wholeListLife}
+	lists := &packedLists{wholeLifetime: wholeListLifetime}
 	packed := map[uint64]bool{}
 	for i := range 200 {
 		at := time.Duration(i) * 10 * time.Millisecond
@@ -176,5 +178,5 @@
 	assert.Equal(t, last.Digest, r.Digest())
 	part := lists.packed(10*time.Second, r, 1)
 	r.Merge(10*time.Second, startOf(999, 1))
-	assert.Assert(t, lists.packed(10*time.Second, r, 1).Digest != part.Digest, "parts are always of now")
+	assert.Assert(t, lists.packed(10*time.Second, r, 1).Digest != part.Digest, "parts are never outdated")
 }
--- a/coordination/control/messages.go
+++ b/coordination/control/messages.go
@@ -6,90 +6,94 @@
 	"endiveplank/protocol"
 )
 
-// The messages between disk VMs and routers. All of them may be lost.
+// The messages between disk VMs and routers. Each of them may be lost.
 
-// Router names a router and where it is.
+// Router is a router's ID and its data centre.
 type Router struct {
 	ID         protocol.RouterID
 	DataCentre protocol.DataCentre
 }
 
-// Watch says who follows and what it has.
+// Watch asks a disk VM, or another router, for what the sender lacks, and says what the
+// sender has.
 type Watch struct {
 	// Router is false for another disk VM, which follows the roster alone.
 	Router bool `msgpack:"r"`
-	// Relays says that this router passes changes of upstreams on to others.
+	// Relays says that this router passes changes of upstreams on to other routers.
 	Relays bool `msgpack:"y,omitempty"`
-	// Version and Digest are of the table that the sender has in force.
+	// Version and Digest identify the table that the sender has in force.
 	Version uint64          `msgpack:"v,omitempty"`
 	Digest  document.Digest `msgpack:"d"`
-	// WantDocument asks for the newest table, WantList for the parts of the roster
+	// WantDocument asks for the newest table. WantList asks for the parts of the roster
 	// that differ from the sender's, whose Summary is Have.
 	WantDocument bool           `msgpack:"w,omitempty"`
 	WantList     bool           `msgpack:"l,omitempty"`
 	Have         roster.Summary `msgpack:"h,omitempty"`
-	// WantKeepers asks for the engines that keep prompts' beginnings.
-	WantKeepers bool `msgpack:"k,omitempty"`
-	// DataCentre is where a router is, and Announcements the IP:port where it takes
-	// proofs of life of the upstreams there, empty where it takes none.
-	DataCentre    protocol.DataCentre `msgpack:"c,omitempty"`
-	Announcements string              `msgpack:"a,omitempty"`
-	// Fleet is the digest of the last News.Fleet taken from the receiver.
+	// WantCacheHolders asks which engines hold which prompt prefixes in their caches.
+	WantCacheHolders bool `msgpack:"k,omitempty"`
+	// DataCentre is the router's data centre. AnnounceAddress is the IP:port where the
+	// router takes heartbeats of the upstreams there; it is empty if the router takes
+	// none.
+	DataCentre      protocol.DataCentre `msgpack:"c,omitempty"`
+	AnnounceAddress string              `msgpack:"a,omitempty"`
+	// Fleet is the digest of the last Status.Fleet that the sender received from the
+	// receiver.
 	Fleet uint64 `msgpack:"f,omitempty"`
 }
 
-// News tells a follower of the newest table, of the roster and of the fleet.
-type News struct {
-	// Version is that of the table in force, 0 if there is none.
+// Status tells a follower which table, roster and fleet the sending disk VM has.
+type Status struct {
+	// Version is the version of the table in force, 0 if there is none.
 	Version uint64 `msgpack:"v"`
-	// Recalled says that the table is the one that the sender had in force before it
-	// started, and that no quorum has told it since whether there is a newer one.
-	Recalled bool `msgpack:"e,omitempty"`
-	// Bytes is the size of the change that made it.
+	// Restored says that the sender had this table in force before it restarted, and
+	// that no quorum has confirmed since whether there is a newer one.
+	Restored bool `msgpack:"e,omitempty"`
+	// Bytes is the size of the change that made this table.
 	Bytes int `msgpack:"b,omitempty"`
-	// Roster is the digest of the sender's roster, and Upstreams how many it
-	// lists.
+	// Roster is the digest of the sender's roster, and Upstreams the number of usable
+	// upstreams in it.
 	Roster    uint64 `msgpack:"o"`
 	Upstreams int    `msgpack:"u"`
-	// Fleet is left out where the follower has it.
+	// Fleet is nil if the follower has it, or was sent one a moment ago.
 	Fleet *Fleet `msgpack:"f,omitempty"`
-	// Ask names a router that can pass on what the receiver wants and the sender's
-	// link has no room for.
-	Ask protocol.RouterID `msgpack:"a,omitempty"`
+	// Referral names a router that can send what the receiver asked for and the sender's
+	// link has no capacity for. It is empty if the sender refers the receiver to nobody.
+	Referral protocol.RouterID `msgpack:"a,omitempty"`
 }
 
-// Fleet lists the processes that a disk VM knows.
+// Fleet lists the disk VMs and routers that a disk VM knows.
 type Fleet struct {
 	Digest uint64 `msgpack:"d"`
-	// Packed is the compressed list; see packFleet. Names of ninety processes
-	// differ in a few characters each.
+	// Packed is the compressed list; see packFleet. It compresses well because the names
+	// of ninety processes differ in a few characters each.
 	Packed []byte `msgpack:"p"`
 }
 
-// Changes carries entries that the sender was told just now, and those that the
-// receiver hasn't acknowledged.
+// Changes carries the roster entries that the sender has just learned from upstreams,
+// and those that the receiver hasn't acknowledged.
 type Changes struct {
-	// Number is 0 for those that a router passes on, which aren't acknowledged.
+	// Number is 0 if a router relays the message. Such messages aren't acknowledged.
 	Number uint64 `msgpack:"n"`
-	// PassOn says that the routers behind the receiver weren't told.
+	// PassOn says that the sender didn't send these changes to the routers that the
+	// receiver relays to.
 	PassOn bool `msgpack:"p,omitempty"`
-	// Entries are a few, Packed many, compressed; see packEntries.
+	// Entries holds a few entries. Many are compressed into Packed; see packEntries.
 	Entries []roster.Entry `msgpack:"e,omitempty"`
 	Packed  []byte         `msgpack:"k,omitempty"`
 }
 
-// newChanges packs entries where that is worth it.
+// newChanges returns a message with entries, packed if there are packThreshold or more.
 func newChanges(entries []roster.Entry) Changes {
-	if len(entries) < packFrom {
+	if len(entries) < packThreshold {
 		return Changes{Entries: entries}
 	}
 	return Changes{Packed: packEntries(entries)}
 }
 
-// size is about what the message takes, in bytes.
+// size returns the approximate size of the message in bytes.
 func (c Changes) size() int { return changesBytes + entryBytes*len(c.Entries) + len(c.Packed) }
 
-// all returns the entries. Error: damage.
+// all returns the entries. It fails if the packed ones are damaged.
 func (c Changes) all() ([]roster.Entry, error) {
 	if len(c.Packed) == 0 {
 		return c.Entries, nil
@@ -102,52 +106,53 @@
 	Number uint64 `msgpack:"n"`
 }
 
-// List is the roster of a disk VM, without the parts that the receiver has.
+// List carries the roster of a disk VM without the parts that the receiver has.
 type List struct {
-	// Digest is that of the whole roster.
+	// Digest is the digest of the sender's whole roster.
 	Digest uint64 `msgpack:"d"`
-	// Buckets are the parts that are in it.
+	// Buckets are the parts of the roster that the list contains.
 	Buckets roster.Buckets `msgpack:"b"`
 	// Packed is the compressed list of entries; see packList.
 	Packed []byte `msgpack:"p"`
 }
 
-// Document carries the newest table as a change from what the follower has, or
-// whole.
+// Document carries the newest table, either as a change to the table that the follower
+// has or as a change that makes it from nothing.
 type Document struct {
 	Change document.Change `msgpack:"c"`
-	// Recalled says that a router sends it, and serves by it only as no disk VM knows
-	// yet whether there is a newer one.
-	Recalled bool `msgpack:"e,omitempty"`
+	// Restored says that the sender is a router that has this table from a disk VM's
+	// Status.Restored: no disk VM knows yet whether there is a newer table.
+	Restored bool `msgpack:"e,omitempty"`
 }
 
-// Heard tells a disk VM which upstreams still announce themselves.
-type Heard struct {
+// Heartbeats tells a disk VM which upstreams have announced themselves to the sender
+// lately.
+type Heartbeats struct {
 	Upstreams []roster.Heard `msgpack:"u"`
 }
 
-// Put asks the leader to make a change the newest table.
+// Put asks the leader to put a changed table in force.
 type Put struct {
 	Call   uint64          `msgpack:"n"`
 	Change document.Change `msgpack:"c"`
 }
 
-// PutReply answers Put. Outcome is 0 where nothing is known: the receiver
-// doesn't lead, or couldn't reach a quorum in time.
+// PutReply answers Put. Outcome is 0 if the outcome is unknown: the receiver isn't the
+// leader, or it couldn't reach a quorum in time.
 type PutReply struct {
 	Call    uint64           `msgpack:"n"`
 	Outcome document.Outcome `msgpack:"o"`
-	// Held is the version in force at the leader.
-	Held uint64 `msgpack:"h"`
+	// InForce is the version in force at the leader.
+	InForce uint64 `msgpack:"h"`
 }
 
-// Read asks the leader which table is in force.
+// Read asks the leader which table version is in force.
 type Read struct {
 	Call uint64 `msgpack:"n"`
 }
 
-// ReadReply answers Read after a quorum has confirmed the leader. Known is
-// false where it couldn't.
+// ReadReply answers Read after a quorum has confirmed the leader. Known is false if the
+// quorum couldn't be reached.
 type ReadReply struct {
 	Call    uint64 `msgpack:"n"`
 	Known   bool   `msgpack:"k"`
--- a/coordination/control/pack.go
+++ b/coordination/control/pack.go
@@ -14,26 +14,26 @@
 	"endiveplank/protocol/codec"
 )
 
-// A packed fleet has a name on each line. The disk VMs go first; then, for each data
-// centre, an empty line, its name, and its routers.
-const nameEnd = "\n"
+// lineEnd ends each name of a packed fleet. The disk VMs come first. Then follow, for
+// each data centre, an empty line, its name, and its routers.
+const lineEnd = "\n"
 
-// packFleet makes the list that followers are sent.
+// packFleet returns the list of processes that followers are sent.
 func packFleet(diskVMs []protocol.RouterID, routers []Router) Fleet {
 	var text strings.Builder
 	for _, id := range diskVMs {
-		text.WriteString(string(id) + nameEnd)
+		text.WriteString(string(id) + lineEnd)
 	}
 	for _, in := range byDataCentre(routers) {
-		text.WriteString(nameEnd + string(in[0].DataCentre) + nameEnd)
+		text.WriteString(lineEnd + string(in[0].DataCentre) + lineEnd)
 		for _, r := range in {
-			text.WriteString(string(r.ID) + nameEnd)
+			text.WriteString(string(r.ID) + lineEnd)
 		}
 	}
 	return Fleet{Digest: xxhash.Sum64String(text.String()), Packed: document.Compress([]byte(text.String()))}
 }
 
-// byDataCentre groups routers.
+// byDataCentre groups routers by data centre.
 func byDataCentre(routers []Router) [][]Router {
 	sorted := slices.Clone(routers)
 	slices.SortFunc(sorted, func(a, b Router) int {
@@ -50,7 +50,7 @@
 	return groups
 }
 
-// unpack returns the list. Error: damage.
+// unpack returns the list. It fails if the list is damaged.
 func (f Fleet) unpack() (diskVMs []protocol.RouterID, routers []Router, err error) {
 	text, err := document.Decompress(f.Packed)
 	if err != nil {
@@ -58,7 +58,7 @@
 	}
 	in, named, diskVM := protocol.DataCentre(""), true, true
 	for line := range strings.Lines(string(text)) {
-		name := strings.TrimSuffix(line, nameEnd)
+		name := strings.TrimSuffix(line, lineEnd)
 		switch {
 		case name == "" && named:
 			named, diskVM = false, false
@@ -73,17 +73,17 @@
 	return diskVMs, routers, nil
 }
 
-// packList makes the list of upstreams that followers are sent.
+// packList returns some parts of the roster as the list that followers are sent.
 func packList(r *roster.Roster, buckets roster.Buckets) List {
 	return List{Digest: r.Digest(), Buckets: buckets, Packed: packEntries(r.EntriesIn(buckets))}
 }
 
-// packEntries compresses entries: their names and addresses are much alike.
+// packEntries compresses entries. Their names and addresses are similar.
 func packEntries(entries []roster.Entry) []byte {
 	return document.Compress(codec.Marshal(entries))
 }
 
-// unpackEntries is the reverse of packEntries. Error: damage.
+// unpackEntries is the reverse of packEntries. It fails if the data is damaged.
 func unpackEntries(packed []byte) ([]roster.Entry, error) {
 	data, err := document.Decompress(packed)
 	if err != nil {
@@ -94,29 +94,31 @@
 	return entries, err
 }
 
-// wholeListLife is how long a router sends a whole list that it has packed, though
-// its roster has changed since: its digest says which state it is of, and what came
-// later is found like any other difference. Packing thousands of upstreams takes a
-// busy processor long. Disk VMs send the newest, or they would be asked again.
-const wholeListLife = 500 * time.Millisecond
+// wholeListLifetime is how long a router goes on sending a packed whole list after its
+// roster has changed. Packing thousands of upstreams takes a busy processor long. The
+// list's digest says which state it contains, and the receiver finds later changes like
+// any other difference. Disk VMs always send the newest list, or followers would ask
+// them again.
+const wholeListLifetime = 500 * time.Millisecond
 
-// packedLists holds the lists of one state of a roster, each packed once: a whole
-// fleet asks for the same parts at a time. The whole is kept for a while longer.
+// packedLists holds the packed lists of one state of a roster, each packed once, because
+// a whole fleet asks for the same parts at about the same time. The whole list is kept
+// for a while longer.
 //
-// Load: three thousand upstreams and three hundred routers start together, and each
-// router asks another one seven times a second. Harm prevented: the list changes
-// between any two questions, and routers pack it over and over.
+// When three thousand upstreams and three hundred routers start together, each router
+// asks another one seven times a second. The list changes between any two requests, and
+// routers would pack it over and over.
 type packedLists struct {
-	// wholeLife is how long an old whole is sent.
-	wholeLife time.Duration
-	// digest is that of the roster.
+	// wholeLifetime is how long an outdated whole list is sent.
+	wholeLifetime time.Duration
+	// digest is the digest of the roster that byPart was made from.
 	digest  uint64
 	byPart  map[roster.Buckets]List
 	whole   List
 	wholeAt time.Duration
 }
 
-// packed returns some parts of a roster.
+// packed returns the list with some parts of a roster.
 func (p *packedLists) packed(now time.Duration, r *roster.Roster, buckets roster.Buckets) List {
 	if buckets == roster.AllBuckets {
 		return p.packedWhole(now, r)
@@ -133,14 +135,15 @@
 	return list
 }
 
-// packedWhole returns the whole roster as it is or was a moment ago.
+// packedWhole returns the list with the whole roster as it is, or as it was up to
+// wholeLifetime ago.
 func (p *packedLists) packedWhole(now time.Duration, r *roster.Roster) List {
-	if p.whole.Packed == nil || p.whole.Digest != r.Digest() && now-p.wholeAt >= p.wholeLife {
+	if p.whole.Packed == nil || p.whole.Digest != r.Digest() && now-p.wholeAt >= p.wholeLifetime {
 		p.whole = packList(r, roster.AllBuckets)
 		p.wholeAt = now
 	}
 	return p.whole
 }
 
-// unpack returns the entries. Error: damage.
+// unpack returns the entries. It fails if the list is damaged.
 func (l List) unpack() ([]roster.Entry, error) { return unpackEntries(l.Packed) }
--- /dev/null
+++ b/coordination/control/peers.go
@@ -0,0 +1,133 @@
+package control
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"endiveplank/coordination/document"
+	"endiveplank/protocol"
+)
+
+const (
+	// peerInterval is how often a router that lacks the table or most upstreams asks
+	// another router for them.
+	peerInterval = 150 * time.Millisecond
+	// peerStride spreads one router's requests over the list of routers, so that routers
+	// next to each other in the list don't all ask the same ones.
+	peerStride = 7
+	// peerListsOnlyPeriod is how long a router that has a relay asks only routers for
+	// the upstreams. In that time it can ask about seven of them, and the first ones
+	// have time to get the upstreams from disk VMs.
+	peerListsOnlyPeriod = time.Second
+	// referralTimeout is how long a router waits for an answer from its referral before
+	// it asks other routers.
+	referralTimeout = 300 * time.Millisecond
+	// peerRequestLifetime is how long a router remembers another router's request that
+	// it can't answer yet.
+	peerRequestLifetime = time.Second
+)
+
+// askPeer asks another router for the table and the upstreams, a different one each
+// time.
+//
+// When half of the routers or all of them start at once, the disk VMs' links take
+// seconds to send the table and the list to each. Without askPeer each router would
+// refuse its callers until its turn comes. There are many more routers than disk VMs,
+// and each router that has the table and the list can send them on.
+func (f *Follower) askPeer(now time.Duration) []Message {
+	wantList := f.lacksUpstreams(now)
+	if f.relay == nil || len(f.relay.others) == 0 || f.inForce != nil && !wantList || now-f.peerAskedAt < peerInterval {
+		return nil
+	}
+	f.peerAskedAt = now
+	f.peersAsked++
+	others := f.relay.others
+	at := (f.relay.position + f.peersAsked*peerStride) % len(others)
+	ask := Watch{Router: true, WantDocument: f.inForce == nil, WantList: wantList}
+	if wantList {
+		ask.Have = f.roster.Summary()
+	}
+	return []Message{{To: others[at].ID, Body: ask}}
+}
+
+// lacksUpstreams reports whether this router gets changes from a relay and lacks most of
+// the upstreams.
+func (f *Follower) lacksUpstreams(now time.Duration) bool {
+	return f.relay != nil && f.relay.hasParent && !f.KnowsMostUpstreams(now)
+}
+
+// namedReferral is the router to which a disk VM last referred this one.
+type namedReferral struct {
+	id protocol.RouterID
+	at time.Duration
+	// askedTable says that the referral was asked for the table.
+	askedTable bool
+}
+
+// mayAsk reports whether the referral can still be asked for the table.
+func (p namedReferral) mayAsk(now time.Duration) bool {
+	return p.id != "" && !p.askedTable && now-p.at < referralTimeout
+}
+
+// askReferral asks the referral for what this router lacks. It asks for the table only
+// if this router may use the newest one.
+func (f *Follower) askReferral(now time.Duration) Message {
+	f.peerAskedAt = now + referralTimeout
+	f.referral.askedTable = f.mayTake(now)
+	return Message{To: f.referral.id, Body: Watch{
+		Router: true, Version: f.version(), WantDocument: f.referral.askedTable, WantList: true, Have: f.roster.Summary(),
+		WantCacheHolders: !f.holders.any,
+	}}
+}
+
+// peerRequest is another router's request and when it came.
+type peerRequest struct {
+	watch Watch
+	at    time.Duration
+}
+
+// HandleWatch answers another router's request for the table, if this router has a newer
+// one, for the upstreams, if it knows most of them, and for the cache holders, if it
+// received them lately. What this router lacks too is sent once it has it. The relay
+// sends the answers as its link has capacity.
+func (f *Follower) HandleWatch(now time.Duration, from protocol.RouterID, w Watch) {
+	if f.relay == nil {
+		return
+	}
+	f.peerRequests[from] = peerRequest{watch: w, at: now}
+	f.answer(now, from)
+}
+
+// answerPeerRequests answers the requests of other routers that can be answered now.
+func (f *Follower) answerPeerRequests(now time.Duration) {
+	for _, id := range slices.Sorted(maps.Keys(f.peerRequests)) {
+		f.answer(now, id)
+	}
+}
+
+// answer sends a router what it asked for, as far as this router has it.
+func (f *Follower) answer(now time.Duration, id protocol.RouterID) {
+	a := f.peerRequests[id]
+	if a.watch.WantDocument && f.version() > a.watch.Version {
+		if f.fullChange.Result != f.inForce.Digest {
+			f.fullChange = document.MakeChange(nil, f.inForce)
+		}
+		f.relay.send(id, Document{Change: f.fullChange, Restored: f.restored}, len(f.fullChange.Delta))
+		a.watch.WantDocument = false
+	}
+	if a.watch.WantList && f.roster.Usable() > 0 && f.KnowsMostUpstreams(now) {
+		list := f.lists.packed(now, f.roster, f.roster.Differing(a.watch.Have))
+		f.relay.send(id, list, len(list.Packed))
+		a.watch.WantList = false
+	}
+	if list, any := f.relayableHolders(now); a.watch.WantCacheHolders && any {
+		f.relay.sendLowPriority(id, list, len(list.Packed))
+		a.watch.WantCacheHolders = false
+	}
+	f.peerRequests[id] = a
+	met := !a.watch.WantDocument && !a.watch.WantList && !a.watch.WantCacheHolders
+	if met || now-a.at > peerRequestLifetime {
+		delete(f.peerRequests, id)
+	}
+}
--- a/coordination/control/publisher.go
+++ b/coordination/control/publisher.go
@@ -11,64 +11,65 @@
 )
 
 const (
-	// followerLife is how long a follower counts as present after its last
-	// Watch: three times the interval between two.
-	followerLife = 3 * WatchInterval
-	// fleetInterval is the least time between two lists of processes sent to
-	// one follower. While a whole fleet starts the list changes with each
-	// router; all names sent with each answer would fill the link, and consensus
-	// would not get through.
+	// followerLifetime is how long a follower counts as alive after its last Watch:
+	// three times the interval between two.
+	followerLifetime = 3 * WatchInterval
+	// fleetInterval is the minimum time between two lists of processes sent to one
+	// follower. While a whole fleet starts, the list changes with each router. If each
+	// answer carried all names, they would fill the link and delay consensus.
 	fleetInterval = 2 * time.Second
-	// eagerFleetInterval is the same for a router without a table, which may get
-	// it from another one once it knows others.
-	eagerFleetInterval = 400 * time.Millisecond
-	// packedLife is how long a list that was packed is used: hundreds of
-	// watches a second would each sort and compress the same names.
-	packedLife = 200 * time.Millisecond
-	// The parts of the link that all this VM sends may take before what can wait
-	// does, that tables and lists may, and that changes of upstreams may. Consensus and
-	// operators' calls need the rest, and all of it for moments.
-	usedShare = 0.8
+	// fastFleetInterval is the same for a router without a table. It can get the table
+	// from another router once it knows others.
+	fastFleetInterval = 400 * time.Millisecond
+	// packedLifetime is how long a packed list is reused. Otherwise each of hundreds of
+	// Watches a second would sort and compress the same names.
+	packedLifetime = 200 * time.Millisecond
+	// linkShare is the share of the link that all messages of this VM may use before
+	// those that can wait do wait. bulkShare is the share for tables and lists, and
+	// pushShare the share for changes of upstreams. The rest is left for consensus and
+	// operators' calls, which may briefly need the whole link.
+	linkShare = 0.8
 	bulkShare = 0.5
 	pushShare = 0.25
-	// linkBurst is for how long the link may be used up before what can wait does.
+	// linkBurst is how long the VM may send at the link's full rate before messages that
+	// can wait do wait.
 	linkBurst = 200 * time.Millisecond
-	// announcementBytes and newsBytes are what the answers to an announcement and to a
-	// Watch take on the link, with their packets.
+	// announcementBytes and statusBytes are the sizes of the answers to an announcement
+	// and to a Watch on the link, with packet headers.
 	announcementBytes = 400
-	newsBytes         = 150
-	// keepPrevious is how many earlier tables are kept to make small changes
-	// from: those of the last second of a storm of changes.
-	keepPrevious = 8
+	statusBytes       = 150
+	// maxPrevious is the number of earlier tables that are kept as bases of small
+	// changes. It covers the last second of a burst of changes.
+	maxPrevious = 8
 )
 
-// Send is a message to another process.
-type Send struct {
+// Message is a message to another process.
+type Message struct {
 	To protocol.RouterID
-	// Body is one of the message types of this package.
+	// Body is one of the message types of this package, or a balance.KeeperList.
 	Body any
 }
 
-// follower is what a disk VM knows of one that watches it.
+// follower is a disk VM's record of a process that follows it.
 type follower struct {
 	watch Watch
 	at    time.Duration
 	// since is when it began to follow.
 	since time.Duration
-	// listed is when the list of processes was last sent, if it ever was.
+	// listed is when the list of processes was last sent to it, if everListed.
 	listed     time.Duration
 	everListed bool
-	owed       owed
-	// tier is as of the last changes.
+	unacked    unacked
+	// tier was computed for the last changes.
 	tier tier
 	// has is the Summary of its roster when it last asked for a list.
 	has roster.Summary
-	// referred is when it was last sent to a passer, if it ever was.
+	// referred is when it was last referred to another router, if everReferred.
 	referred     time.Duration
 	everReferred bool
 }
 
-// Publisher is the disk VM's side. It is not safe for concurrent use.
+// Publisher is the disk VM's side of the protocol. It is not safe for concurrent use.
 type Publisher struct {
 	roster    *roster.Roster
 	followers map[protocol.RouterID]*follower
@@ -76,58 +77,62 @@
 	fleet     Fleet
 	fleetAt   time.Duration
 	lists     packedLists
-	// takers are the routers that take proofs of life, by data centre.
-	takers  map[protocol.DataCentre]*takers
-	inForce *document.Document
-	// recalled says that the table is from before this VM's start.
-	recalled bool
-	// tableChanges holds the change to the table in force from each base that a
-	// follower asked for. Many followers have the same base.
+	// listeners are the routers that take heartbeats of upstreams, by data centre.
+	listeners map[protocol.DataCentre]*listeners
+	inForce   *document.Document
+	// restored says that inForce is from before this VM's restart and not yet confirmed.
+	restored bool
+	// tableChanges holds the change to the table in force from each base that a follower
+	// asked for. Many followers have the same base.
 	tableChanges map[document.Digest]document.Change
 	// changeBytes is the size of the change that made the table in force.
 	changeBytes int
-	// previous are tables that were in force before, newest first.
+	// previous are the tables that were in force before, newest first.
 	previous []*document.Document
-	// heard are upstreams whose change has to be sent on.
-	heard []protocol.UpstreamID
-	// link counts all that this VM sends; bulk bounds what tables and lists take of it,
-	// and waiting are those that wait for room.
-	link    bucket
-	bulk    bucket
-	waiting []request
-	passers passers
-	// pushes bounds what changes of upstreams take of it.
-	pushes bucket
-	// keepers are the engines that keep prompts' beginnings, for routers that start.
-	keepers *balance.KeeperRecord
-	shared  sharedKeepers
-	// packedKeepers are those of packedKeepersAt, for all who ask at about that time.
-	packedKeepers   balance.KeeperList
-	packedKeepersAt time.Duration
+	// changed are the upstreams whose change has to be sent to the followers.
+	changed []protocol.UpstreamID
+	// link counts everything that this VM sends. bulk limits the part of it that tables
+	// and lists use, and waiting holds the requests that wait for capacity.
+	link      tokenBucket
+	bulk      tokenBucket
+	waiting   []request
+	referrals referrals
+	// pushes limits the part of the link that changes of upstreams use.
+	pushes tokenBucket
+	// holders records the engines that hold prompt prefixes in their caches, for routers
+	// that start.
+	holders  *balance.KeeperRecord
+	unshared unsharedHolders
+	// packedHolders is the list as of packedHoldersAt, for all routers that ask at about
+	// that time.
+	packedHolders   balance.KeeperList
+	packedHoldersAt time.Duration
 	everPacked      bool
 }
 
-// NewPublisher returns the side of a disk VM whose link carries linkRate bytes a second.
-// The roster is shared with the caller.
+// NewPublisher returns the publisher of a disk VM whose link carries linkRate bytes a
+// second. It shares the roster with the caller.
 func NewPublisher(r *roster.Roster, linkRate int) *Publisher {
 	rate := float64(linkRate)
 	return &Publisher{
-		link:         newBucket(usedShare*rate, linkBurst.Seconds()*rate),
-		bulk:         newBucket(bulkShare*rate, bulkBurst),
-		pushes:       newBucket(pushShare*rate, pushShare*rate),
-		keepers:      balance.NewKeeperRecord(),
+		link:         newTokenBucket(linkShare*rate, linkBurst.Seconds()*rate),
+		bulk:         newTokenBucket(bulkShare*rate, bulkBurst),
+		pushes:       newTokenBucket(pushShare*rate, pushShare*rate),
+		holders:      balance.NewKeeperRecord(),
 		roster:       r,
 		followers:    map[protocol.RouterID]*follower{},
-		takers:       map[protocol.DataCentre]*takers{},
+		listeners:    map[protocol.DataCentre]*listeners{},
 		tableChanges: map[document.Digest]document.Change{},
 	}
 }
 
-// Keepers returns the record of the engines that keep prompts' beginnings.
-func (p *Publisher) Keepers() *balance.KeeperRecord { return p.keepers }
+// CacheHolders returns the record of the engines that hold prompt prefixes in their
+// caches.
+func (p *Publisher) CacheHolders() *balance.KeeperRecord { return p.holders }
 
-// SetDiskVMs tells which disk VMs there are. Followers are told anew at once: a
-// router that has just started may know one that has nothing to give.
+// SetDiskVMs sets the list of disk VMs. If it changed, all followers get it again with
+// the next answer: a router that has just started may know only a disk VM that has no
+// table for it.
 func (p *Publisher) SetDiskVMs(vms []protocol.RouterID) {
 	sorted := slices.Sorted(slices.Values(vms))
 	if slices.Equal(sorted, p.diskVMs) {
@@ -140,29 +145,30 @@
 	}
 }
 
-// Recall offers the table that was in force before this VM started to routers that
-// know none, until SetDocument says which one is.
+// Restore offers the table that was in force before this VM restarted to routers that
+// have none, until SetDocument says which table is in force.
 //
-// Load: all VMs lose power together and are back, with their callers, before the
-// disk VMs have a leader. Harm prevented: each router refuses its callers for the
-// time of an election, or several where the votes were split or disks are lost. What
-// it serves by meanwhile is what it would have served by if it had only been cut off.
-func (p *Publisher) Recall(d *document.Document) {
+// When all VMs lose power together, they and their callers can be back before the disk
+// VMs have a leader. Without a restored table each router would refuse its callers for
+// the time of an election, or of several if votes are split or disks are lost. The
+// restored table is the one that the router would have used if it had only been cut off
+// from the disk VMs.
+func (p *Publisher) Restore(d *document.Document) {
 	p.inForce = d
-	p.recalled = true
+	p.restored = true
 }
 
-// SetDocument puts a table in force and tells all routers that there is one.
-// change is the one that made it. While the log is read after a start the table
-// may be older than the recalled one, which stays.
-func (p *Publisher) SetDocument(now time.Duration, d *document.Document, change document.Change) []Send {
-	if p.recalled && d.Version < p.inForce.Version {
+// SetDocument puts a table in force and announces it to all routers. change is the
+// change that made it. While a disk VM replays its log after a restart, the table may be
+// older than the restored one; the restored one then stays.
+func (p *Publisher) SetDocument(now time.Duration, d *document.Document, change document.Change) []Message {
+	if p.restored && d.Version < p.inForce.Version {
 		return nil
 	}
-	p.recalled = false
+	p.restored = false
 	if p.inForce != nil {
 		p.previous = slices.Insert(p.previous, 0, p.inForce)
-		p.previous = p.previous[:min(len(p.previous), keepPrevious)]
+		p.previous = p.previous[:min(len(p.previous), maxPrevious)]
 	}
 	p.inForce = d
 	p.tableChanges = map[document.Digest]document.Change{}
@@ -170,14 +176,14 @@
 		p.tableChanges[change.Base] = change
 	}
 	p.changeBytes = len(change.Delta)
-	var sends []Send
+	var messages []Message
 	for _, r := range p.Routers(now) {
-		sends = append(sends, Send{To: r.ID, Body: p.bareNews()})
+		messages = append(messages, Message{To: r.ID, Body: p.statusWithoutFleet()})
 	}
-	return sends
+	return messages
 }
 
-// version is that of the table in force, 0 if there is none.
+// version returns the version of the table in force, 0 if there is none.
 func (p *Publisher) version() uint64 {
 	if p.inForce == nil {
 		return 0
@@ -185,11 +191,11 @@
 	return p.inForce.Version
 }
 
-// present returns the followers that count as present, by name.
-func (p *Publisher) present(now time.Duration) []protocol.RouterID {
+// alive returns the followers that are alive, sorted by ID, and drops the others.
+func (p *Publisher) alive(now time.Duration) []protocol.RouterID {
 	var ids []protocol.RouterID
 	for id, f := range p.followers {
-		if now-f.at > followerLife {
+		if now-f.at > followerLifetime {
 			delete(p.followers, id)
 			continue
 		}
@@ -199,10 +205,10 @@
 	return ids
 }
 
-// Routers returns the routers that follow, by name.
+// Routers returns the routers that follow, sorted by ID.
 func (p *Publisher) Routers(now time.Duration) []Router {
 	var routers []Router
-	for _, id := range p.present(now) {
+	for _, id := range p.alive(now) {
 		if w := p.followers[id].watch; w.Router {
 			routers = append(routers, Router{ID: id, DataCentre: w.DataCentre})
 		}
@@ -210,8 +216,8 @@
 	return routers
 }
 
-// Watched takes a Watch and answers it.
-func (p *Publisher) Watched(now time.Duration, from protocol.RouterID, w Watch) []Send {
+// HandleWatch processes a Watch and returns the answers.
+func (p *Publisher) HandleWatch(now time.Duration, from protocol.RouterID, w Watch) []Message {
 	known := p.followers[from]
 	if known == nil {
 		known = &follower{since: now}
@@ -219,67 +225,68 @@
 	}
 	known.watch = w
 	known.at = now
-	p.link.spend(now, newsBytes)
+	p.link.charge(now, statusBytes)
 	if w.WantDocument && p.version() > w.Version {
-		p.enqueue(request{from: from, what: wishTable, at: now})
+		p.enqueue(request{from: from, kind: requestTable, at: now})
 	}
 	if w.WantList {
 		known.has = w.Have
-		p.enqueue(request{from: from, what: wishList, at: now})
+		p.enqueue(request{from: from, kind: requestList, at: now})
 	}
-	if w.WantKeepers {
-		p.enqueue(request{from: from, what: wishKeepers, at: now})
+	if w.WantCacheHolders {
+		p.enqueue(request{from: from, kind: requestCacheHolders, at: now})
 	}
 	large := p.SendWaiting(now)
-	news := p.news(now, known)
-	news.Ask = p.referral(now, from, known)
-	return append([]Send{{To: from, Body: news}}, large...)
+	status := p.status(now, known)
+	status.Referral = p.refer(now, from, known)
+	return append([]Message{{To: from, Body: status}}, large...)
 }
 
-// referral returns the router that a follower should ask for what it has to wait for
-// here, "" if there is none, or nothing to wait for. It waits here no longer. One that
-// asks again wasn't served by its passer, and is served here. Those that have followed
-// for a while get new tables by way of relays.
-func (p *Publisher) referral(now time.Duration, from protocol.RouterID, f *follower) protocol.RouterID {
+// refer returns the router that a follower should ask for what it would have to wait for
+// here, "" if there is none or nothing to wait for. The follower's requests no longer
+// wait here then. A follower that asks again wasn't served by its referral and is served
+// here. Routers that have followed for a while aren't referred: they get new tables from
+// their relays.
+func (p *Publisher) refer(now time.Duration, from protocol.RouterID, f *follower) protocol.RouterID {
 	waits := func(r request) bool { return r.from == from }
-	again := f.everReferred && now-f.referred < 2*passerLife
-	starting := f.watch.Router && now-f.since < startingFor
+	again := f.everReferred && now-f.referred < 2*referralLifetime
+	starting := f.watch.Router && now-f.since < startupPeriod
 	if !starting || again || !slices.ContainsFunc(p.waiting, waits) {
 		return ""
 	}
-	asker := Router{ID: from, DataCentre: f.watch.DataCentre}
-	passer := p.passers.next(now, asker)
-	if passer != "" {
+	router := Router{ID: from, DataCentre: f.watch.DataCentre}
+	referral := p.referrals.next(now, router)
+	if referral != "" {
 		p.waiting = slices.DeleteFunc(p.waiting, waits)
-		p.passers.add(now, asker)
+		p.referrals.add(now, router)
 		f.referred, f.everReferred = now, true
 	}
-	return passer
+	return referral
 }
 
-// bareNews is News without the list of processes.
-func (p *Publisher) bareNews() News {
-	return News{Version: p.version(), Recalled: p.recalled, Bytes: p.changeBytes, Roster: p.roster.Digest(), Upstreams: p.roster.Usable()}
+// statusWithoutFleet returns a Status without the list of processes.
+func (p *Publisher) statusWithoutFleet() Status {
+	return Status{Version: p.version(), Restored: p.restored, Bytes: p.changeBytes, Roster: p.roster.Digest(), Upstreams: p.roster.Usable()}
 }
 
-// news is the answer to a Watch.
-func (p *Publisher) news(now time.Duration, f *follower) News {
-	news := p.bareNews()
+// status returns the answer to a Watch.
+func (p *Publisher) status(now time.Duration, f *follower) Status {
+	status := p.statusWithoutFleet()
 	interval := fleetInterval
 	if f.watch.Router && f.watch.Version == 0 {
-		interval = eagerFleetInterval
+		interval = fastFleetInterval
 	}
 	if f.everListed && now-f.listed < interval {
-		return news
+		return status
 	}
-	if p.fleet.Packed == nil || now-p.fleetAt >= packedLife {
+	if p.fleet.Packed == nil || now-p.fleetAt >= packedLifetime {
 		p.fleet = packFleet(p.diskVMs, p.Routers(now))
 		p.fleetAt = now
 	}
-	if p.fleet.Digest != f.watch.Fleet && p.mayGo(now, wishList, len(p.fleet.Packed)) {
-		news.Fleet = &p.fleet
+	if p.fleet.Digest != f.watch.Fleet && p.admit(now, requestList, len(p.fleet.Packed)) {
+		status.Fleet = &p.fleet
 		f.listed = now
 		f.everListed = true
 	}
-	return news
+	return status
 }
--- a/coordination/control/pushes.go
+++ b/coordination/control/pushes.go
@@ -9,172 +9,177 @@
 )
 
 const (
-	// resendInterval is how soon changes of upstreams go out again that weren't
-	// acknowledged: a busy router answers within some tens of milliseconds, and
-	// leaving upstreams must be known within two seconds.
+	// resendInterval is the time after which unacknowledged changes of upstreams are
+	// sent again. A busy router answers within some tens of milliseconds, and routers
+	// must know within two seconds that an upstream leaves.
 	resendInterval = 300 * time.Millisecond
-	// mostDoublings bounds the waits between further repetitions. By then a
-	// comparison of lists has shown the difference.
-	mostDoublings = 4
-	// packFrom is the number of entries from which they are packed.
-	packFrom = 4
-	// entryBytes is what an entry takes that isn't packed, and changesBytes the rest of
-	// the message.
+	// maxBackoffDoublings limits the exponential backoff between further
+	// retransmissions. By then a comparison of lists has shown the difference.
+	maxBackoffDoublings = 4
+	// packThreshold is the number of entries from which they are compressed.
+	packThreshold = 4
+	// entryBytes is the size of an entry that isn't compressed, and changesBytes the
+	// size of the rest of the message.
 	entryBytes   = 150
 	changesBytes = 60
 )
 
-// owed are the changes that a follower hasn't acknowledged.
-type owed struct {
-	// under is the number of the last message that carried each upstream's change.
-	under map[protocol.UpstreamID]uint64
-	// number is that of the last message.
+// unacked holds the changes that a follower hasn't acknowledged.
+type unacked struct {
+	// lastMessage is the number of the last message that carried each upstream's change.
+	lastMessage map[protocol.UpstreamID]uint64
+	// number is the number of the last message.
 	number uint64
-	// resendAt is when all of them go out again, for the resends+1st time in a row.
+	// resendAt is when all of them are sent again. resends counts the retransmissions in
+	// a row.
 	resendAt time.Duration
 	resends  int
 }
 
-// add notes changes that go out, and returns the number of their message.
-func (o *owed) add(now time.Duration, ids []protocol.UpstreamID) uint64 {
-	if len(o.under) == 0 {
-		o.under = map[protocol.UpstreamID]uint64{}
+// add records changes that are sent, and returns the number of their message.
+func (o *unacked) add(now time.Duration, ids []protocol.UpstreamID) uint64 {
+	if len(o.lastMessage) == 0 {
+		o.lastMessage = map[protocol.UpstreamID]uint64{}
 		o.resends = 0
 		o.resendAt = now + resendInterval
 	}
 	o.number++
 	for _, id := range ids {
-		o.under[id] = o.number
+		o.lastMessage[id] = o.number
 	}
 	return o.number
 }
 
-// late returns what has to go out again as its acknowledgement is late, by name.
-func (o *owed) late(now time.Duration) []protocol.UpstreamID {
-	if len(o.under) == 0 || now < o.resendAt {
+// overdue returns the upstreams whose changes have to be sent again because their
+// acknowledgement is late, sorted by ID.
+func (o *unacked) overdue(now time.Duration) []protocol.UpstreamID {
+	if len(o.lastMessage) == 0 || now < o.resendAt {
 		return nil
 	}
 	o.resends++
-	o.resendAt = now + resendInterval<<min(o.resends, mostDoublings)
-	ids := make([]protocol.UpstreamID, 0, len(o.under))
-	for id := range o.under {
+	o.resendAt = now + resendInterval<<min(o.resends, maxBackoffDoublings)
+	ids := make([]protocol.UpstreamID, 0, len(o.lastMessage))
+	for id := range o.lastMessage {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	return ids
 }
 
-// forget drops what is owed of some upstreams: the follower finds it by comparing lists.
-func (o *owed) forget(ids []protocol.UpstreamID) {
+// forget drops the changes of some upstreams. The follower finds them by comparing
+// lists.
+func (o *unacked) forget(ids []protocol.UpstreamID) {
 	for _, id := range ids {
-		delete(o.under, id)
+		delete(o.lastMessage, id)
 	}
 }
 
-// paid notes that the message of a number was taken.
-func (o *owed) paid(number uint64) {
-	for id, under := range o.under {
-		if under == number {
-			delete(o.under, id)
+// acknowledge drops the changes whose last message has this number.
+func (o *unacked) acknowledge(number uint64) {
+	for id, lastMessage := range o.lastMessage {
+		if lastMessage == number {
+			delete(o.lastMessage, id)
 		}
 	}
 }
 
-// Heard notes that this VM itself was told a change of an upstream, which
-// PushHeard then sends on.
-func (p *Publisher) Heard(id protocol.UpstreamID) {
-	if !slices.Contains(p.heard, id) {
-		p.heard = append(p.heard, id)
+// NoteChange records that this VM itself received a change of an upstream. PushChanges
+// sends it to the followers.
+func (p *Publisher) NoteChange(id protocol.UpstreamID) {
+	if !slices.Contains(p.changed, id) {
+		p.changed = append(p.changed, id)
 	}
 }
 
-// PushHeard tells the followers the changes that upstreams have told this VM, those
-// that leave first, and again those that haven't been acknowledged.
+// PushChanges sends the followers the changes that this VM received from upstreams,
+// those of leaving upstreams first, and sends unacknowledged ones again.
 //
-// Load: thousands of upstreams start within a second or two and announce themselves to
-// the disk VMs, which all routers follow. Harm prevented: a message for each upstream
-// from each VM to each router, which fills the links for minutes; announcements are
-// answered too late, upstreams come again over new connections, and no table is
-// accepted. So changes are gathered for some tens of milliseconds, only the VM that was
-// told sends them, and while the link has no room to tell everybody, it tells those
-// that pass them on, or else the other VMs alone. Who isn't told compares lists, which
-// take a tenth of the bytes.
+// When thousands of upstreams start within a second or two, they announce themselves to
+// the disk VMs, which all routers follow. A message for each upstream from each VM to
+// each router would fill the links for minutes: announcements would be answered too
+// late, upstreams would come again over new connections, and no table would be accepted.
+// Therefore changes are gathered for some tens of milliseconds, and only the VM that
+// received them sends them. While the link has no capacity to send them to everyone, the
+// VM sends them to the relays and the other disk VMs, or else only to the other disk
+// VMs. The other followers find them by comparing lists, which takes a tenth of the
+// bytes.
 //
-// Failure guarded: a connection is replaced or reset with a change on it. The
-// router would send to an upstream that has said it leaves until a comparison of
-// rosters shows the difference, a second and more later.
-func (p *Publisher) PushHeard(now time.Duration) []Send {
-	leaving, others := p.takeHeard()
-	sends := p.push(now, leaving)
-	sends = append(sends, p.push(now, others)...)
-	return append(sends, p.repeat(now)...)
+// A change can be lost when a connection is replaced or reset. Without retransmission
+// the router would send to an upstream that has said it leaves until a comparison of
+// rosters shows the difference, a second or more later.
+func (p *Publisher) PushChanges(now time.Duration) []Message {
+	leaving, others := p.takeChanged()
+	messages := p.push(now, leaving)
+	messages = append(messages, p.push(now, others)...)
+	return append(messages, p.resend(now)...)
 }
 
-// takeHeard returns the upstreams that were heard of: those that leave, and the others.
-func (p *Publisher) takeHeard() (leaving, others []protocol.UpstreamID) {
-	for _, id := range p.heard {
+// takeChanged returns the changed upstreams, those that leave apart from the others.
+func (p *Publisher) takeChanged() (leaving, others []protocol.UpstreamID) {
+	for _, id := range p.changed {
 		if e, known := p.roster.Entry(id); known && e.State != roster.Ready {
 			leaving = append(leaving, id)
 		} else {
 			others = append(others, id)
 		}
 	}
-	p.heard = nil
+	p.changed = nil
 	return leaving, others
 }
 
-// push sends changes to as many followers as there is room for.
-func (p *Publisher) push(now time.Duration, ids []protocol.UpstreamID) []Send {
+// push sends changes to as many followers as the link has capacity for.
+func (p *Publisher) push(now time.Duration, ids []protocol.UpstreamID) []Message {
 	if len(ids) == 0 {
 		return nil
 	}
 	changes := p.changes(ids)
 	size := changes.size()
-	present := p.present(now)
-	audience := p.audience(now, present)
-	told := everyone
+	alive := p.alive(now)
+	audience := p.audience(now, alive)
+	level := everyone
 	switch {
-	case p.mayPush(now, size*audience[everyone]):
-	case p.mayPush(now, size*audience[passingOn]):
-		told = passingOn
+	case p.admitPush(now, size*audience[everyone]):
+	case p.admitPush(now, size*audience[relaysAndDiskVMs]):
+		level = relaysAndDiskVMs
 		changes.PassOn = true
 	default:
-		told = diskVMsOnly
+		level = diskVMsOnly
 		p.pushes.take(now, size*audience[diskVMsOnly])
 	}
-	var sends []Send
-	for _, id := range present {
+	var messages []Message
+	for _, id := range alive {
 		f := p.followers[id]
-		if f.tier < told {
-			f.owed.forget(ids)
+		if f.tier < level {
+			f.unacked.forget(ids)
 			continue
 		}
-		changes.Number = f.owed.add(now, ids)
-		sends = append(sends, Send{To: id, Body: changes})
+		changes.Number = f.unacked.add(now, ids)
+		messages = append(messages, Message{To: id, Body: changes})
 	}
-	return sends
+	return messages
 }
 
-// tier says to which followers changes go while the link has little room.
+// tier says which followers get changes while the link has little capacity.
 type tier uint8
 
 const (
-	// everyone is told while there is room.
+	// everyone gets changes while there is capacity for all followers.
 	everyone tier = iota
-	// passingOn are the disk VMs and the routers that pass changes on.
-	passingOn
+	// relaysAndDiskVMs are the disk VMs and the routers that relay changes to others.
+	relaysAndDiskVMs
 	// diskVMsOnly are the other disk VMs.
 	diskVMsOnly
-	tiers
+	tierCount
 )
 
-// audience sorts the followers into tiers and returns how many are told by each.
-func (p *Publisher) audience(now time.Duration, present []protocol.RouterID) [tiers]int {
+// audience puts each follower in its tier and returns how many followers get changes at
+// each level.
+func (p *Publisher) audience(now time.Duration, alive []protocol.RouterID) [tierCount]int {
 	routers := len(p.Routers(now))
-	var counts [tiers]int
-	for _, id := range present {
+	var counts [tierCount]int
+	for _, id := range alive {
 		f := p.followers[id]
-		f.tier = f.tierAmong(routers)
+		f.tier = f.tierFor(routers)
 		for t := everyone; t <= f.tier; t++ {
 			counts[t]++
 		}
@@ -182,54 +187,54 @@
 	return counts
 }
 
-// tierAmong returns the last tier that a follower belongs to. A router of a fleet large
-// enough for relays that passes nothing on is told only while everyone is. That holds
-// too for one that has just started and doesn't know yet who passes on to it.
-func (f *follower) tierAmong(routers int) tier {
+// tierFor returns the last tier in which a follower still gets changes. In a fleet that
+// is large enough for relays, a router that relays nothing gets them only at the first
+// level. That includes a router that has just started and doesn't know its relay yet.
+func (f *follower) tierFor(routers int) tier {
 	switch {
 	case !f.watch.Router:
 		return diskVMsOnly
-	case f.watch.Relays || routers < relayFrom:
-		return passingOn
+	case f.watch.Relays || routers < relayMinRouters:
+		return relaysAndDiskVMs
 	}
 	return everyone
 }
 
-// repeat sends again what wasn't acknowledged, as far as there is room.
+// resend sends unacknowledged changes again, as far as the link has capacity.
 //
-// Load: a thousand upstreams announce themselves while the links are full.
-// Harm prevented: changes sent again and again because their acknowledgements
-// wait behind them. So the waits between repetitions double, and what has no room is
-// left to the comparison of lists.
-func (p *Publisher) repeat(now time.Duration) []Send {
-	var sends []Send
-	for _, id := range p.present(now) {
+// When a thousand upstreams announce themselves while the links are full,
+// acknowledgements wait behind the changes, and each change would be sent again and
+// again. Therefore the waits between retransmissions double, and changes for which the
+// link has no capacity are left to the comparison of lists.
+func (p *Publisher) resend(now time.Duration) []Message {
+	var messages []Message
+	for _, id := range p.alive(now) {
 		f := p.followers[id]
-		late := f.owed.late(now)
-		if len(late) == 0 {
+		overdue := f.unacked.overdue(now)
+		if len(overdue) == 0 {
 			continue
 		}
-		changes := p.changes(late)
-		if !p.mayPush(now, changes.size()) {
-			f.owed.forget(late)
+		changes := p.changes(overdue)
+		if !p.admitPush(now, changes.size()) {
+			f.unacked.forget(overdue)
 			continue
 		}
-		changes.Number = f.owed.add(now, late)
-		sends = append(sends, Send{To: id, Body: changes})
+		changes.Number = f.unacked.add(now, overdue)
+		messages = append(messages, Message{To: id, Body: changes})
 	}
-	return sends
+	return messages
 }
 
-// mayPush reports whether the link has room for changes, and counts them.
-func (p *Publisher) mayPush(now time.Duration, bytes int) bool {
-	if !p.link.hasRoom(now) || !p.pushes.takeWhole(now, bytes) {
+// admitPush reports whether the link has capacity for changes, and charges them if so.
+func (p *Publisher) admitPush(now time.Duration, bytes int) bool {
+	if !p.link.hasTokens(now) || !p.pushes.takeWithoutDebt(now, bytes) {
 		return false
 	}
-	p.link.spend(now, bytes)
+	p.link.charge(now, bytes)
 	return true
 }
 
-// changes makes the message about some upstreams.
+// changes returns the message with the entries of some upstreams.
 func (p *Publisher) changes(ids []protocol.UpstreamID) Changes {
 	var entries []roster.Entry
 	for _, id := range ids {
@@ -240,9 +245,9 @@
 	return newChanges(entries)
 }
 
-// Acknowledged notes that a follower has taken changes.
-func (p *Publisher) Acknowledged(from protocol.RouterID, ack ChangesAck) {
+// HandleChangesAck processes a follower's acknowledgement.
+func (p *Publisher) HandleChangesAck(from protocol.RouterID, ack ChangesAck) {
 	if f := p.followers[from]; f != nil {
-		f.owed.paid(ack.Number)
+		f.unacked.acknowledge(ack.Number)
 	}
 }
--- /dev/null
+++ b/coordination/control/referrals.go
@@ -0,0 +1,73 @@
+package control
+
+import (
+	"slices"
+	"time"
+
+	"endiveplank/protocol"
+)
+
+const (
+	// referralLifetime is how long a router that was sent tables and lists counts as one
+	// that can send them on.
+	referralLifetime = time.Second
+	// maxRoutersPerReferral limits the routers that are referred to the same one.
+	maxRoutersPerReferral = 4
+	// startupPeriod is how long after its first Watch a router counts as starting.
+	startupPeriod = 2 * time.Second
+)
+
+// referrals are the routers that were sent tables and lists a moment ago, in order of
+// time. A disk VM whose link has no capacity left refers other routers to them.
+//
+// When hundreds of routers return from a loss of power within some tenths of a second,
+// each asks for a table and a list, and the disk VMs' links take more than a second to
+// send them. Without referrals each router would refuse its callers until its turn
+// comes. There are many more routers than disk VMs. The routers that are served first
+// serve the next ones, and these serve others, so that the wait grows with the logarithm
+// of their number.
+//
+// If the referral is gone, or lacks what it is asked for, the router asks again after
+// its usual timeout, and asks another disk VM.
+type referrals struct {
+	list []referral
+}
+
+type referral struct {
+	router   Router
+	at       time.Duration
+	referred int
+}
+
+// add records a router that has been sent something large, or soon will be by another
+// router.
+func (p *referrals) add(now time.Duration, router Router) {
+	known := slices.ContainsFunc(p.list, func(other referral) bool { return other.router.ID == router.ID })
+	if !known {
+		p.list = append(p.list, referral{router: router, at: now})
+	}
+}
+
+// next returns the referral for a router, "" if there is none. One in the same data
+// centre is preferred.
+func (p *referrals) next(now time.Duration, router Router) protocol.RouterID {
+	p.list = slices.DeleteFunc(p.list, func(known referral) bool { return now-known.at > referralLifetime })
+	found := -1
+	for i, known := range p.list {
+		if known.referred >= maxRoutersPerReferral || known.router.ID == router.ID {
+			continue
+		}
+		if known.router.DataCentre == router.DataCentre {
+			found = i
+			break
+		}
+		if found < 0 {
+			found = i
+		}
+	}
+	if found < 0 {
+		return ""
+	}
+	p.list[found].referred++
+	return p.list[found].router.ID
+}
--- a/coordination/control/relay.go
+++ b/coordination/control/relay.go
@@ -14,64 +14,67 @@
 )
 
 const (
-	// largeChange is the size in bytes from which a table is passed on from
-	// router to router. Smaller ones reach all routers soon without that.
-	largeChange = 4 << 10
-	// relayFrom is the number of routers from which tables are passed on;
-	// fewer take even a large one from the disk VMs in time.
-	relayFrom = 24
-	// leastPerRelay is how many routers of a data centre get tables and changes by
-	// one of them, itself included, or the square root of all if that is more.
-	leastPerRelay = 6
-	// relayPatience is how long a router waits for the one that passes tables
-	// on to it, before it asks a disk VM. It leaves a disk VM half of the time
-	// in which a change has to be in force.
-	relayPatience = 1200 * time.Millisecond
-	// relayShare is the part of a router's link that what it passes on may take;
-	// callers' answers need less than the rest.
+	// largeChangeBytes is the size in bytes from which routers relay a table's change.
+	// Smaller ones reach all routers soon enough from the disk VMs.
+	largeChangeBytes = 4 << 10
+	// relayMinRouters is the number of routers from which tables are relayed. Fewer
+	// routers get even a large table from the disk VMs in time.
+	relayMinRouters = 24
+	// minPerRelay is the minimum number of routers in a group with one relay, the relay
+	// included. If the square root of the number of routers in the data centre is more,
+	// groups have that size.
+	minPerRelay = 6
+	// relayTimeout is how long a router waits for its relay to send a table before it
+	// asks a disk VM. It leaves the disk VM half of the time within which a change has
+	// to be in force.
+	relayTimeout = 1200 * time.Millisecond
+	// relayShare is the share of a router's link that relayed messages may use. Answers
+	// to callers need less than the rest.
 	relayShare = 0.6
 )
 
 // Relay passes large tables and changes of upstreams on from router to router.
 //
-// Load: an operator adds a thousand routes at once, or a third of thousands of
-// upstreams restarts, and all routers have to know. Harm prevented: the disk VMs
-// alone would take many seconds on their links, and consensus would wait behind. Each
-// router knows from the list of routers alone who passes on to whom, within a data
-// centre, so that each byte goes to another one as seldom as can be.
+// When an operator adds a thousand routes at once, or a third of thousands of upstreams
+// restarts, all routers have to learn it. If only the disk VMs sent it, that would take
+// many seconds on their links, and consensus would wait behind. Every router computes
+// from the list of routers alone which router relays to which. Relaying stays within a
+// data centre, so that as few bytes as possible cross between data centres.
 //
-// Failure guarded: a router's relay is gone. It asks a disk VM for the table after
-// a while, and finds a change of upstreams by comparing lists, as it does with
-// any other message that is lost.
+// If a router's relay is gone, the router asks a disk VM for the table after
+// relayTimeout, and finds changes of upstreams by comparing lists, as it does after any
+// other loss of a message.
 type Relay struct {
 	self Router
-	// receivers are the routers that this one passes on to.
+	// receivers are the routers that this one relays to.
 	receivers []protocol.RouterID
 	others    []Router
-	// position is this router's place among all, in an order that all share.
+	// position is this router's place among all routers, in an order that all compute
+	// alike.
 	position int
-	// waits says that another router, own, passes on to this one.
-	waits bool
-	own   protocol.RouterID
-	// relays are those of all data centres.
+	// hasParent says that another router, parent, relays to this one.
+	hasParent bool
+	parent    protocol.RouterID
+	// relays are all routers that relay to others, of all data centres.
 	relays []Router
-	bulk   bucket
-	// queue waits for room on the link, and last behind it.
-	queue, last []queued
+	bulk   tokenBucket
+	// queue holds messages that wait for capacity on the link, and lowPriority those
+	// that wait behind them.
+	queue, lowPriority []queued
 }
 
-// queued is a message that waits for room on the link.
+// queued is a message that waits for capacity on the link.
 type queued struct {
-	Send
+	Message
 	size int
 }
 
 // NewRelay returns the relay of a router whose link carries linkRate bytes a second.
 func NewRelay(self Router, linkRate int) *Relay {
-	return &Relay{self: self, bulk: newBucket(relayShare*float64(linkRate), bulkBurst)}
+	return &Relay{self: self, bulk: newTokenBucket(relayShare*float64(linkRate), bulkBurst)}
 }
 
-// SetRouters tells which other routers there are.
+// SetRouters sets the list of the other routers.
 func (r *Relay) SetRouters(others []Router) {
 	if slices.Equal(others, r.others) {
 		return
@@ -80,37 +83,37 @@
 	all := ranked(append(slices.Clone(others), r.self))
 	r.position = slices.Index(all, r.self)
 	r.receivers, r.relays = nil, nil
-	r.waits, r.own = false, ""
-	if len(all) < relayFrom {
+	r.hasParent, r.parent = false, ""
+	if len(all) < relayMinRouters {
 		return
 	}
-	for _, near := range byDataCentre(all) {
-		relays := relaysOf(near)
+	for _, local := range byDataCentre(all) {
+		relays := relaysOf(local)
 		r.relays = append(r.relays, relays...)
-		if near[0].DataCentre == r.self.DataCentre {
-			r.place(near, relays)
+		if local[0].DataCentre == r.self.DataCentre {
+			r.assign(local, relays)
 		}
 	}
 }
 
-// relaysOf returns the routers of a data centre that pass on to the others there.
-func relaysOf(near []Router) []Router {
-	perRelay := max(leastPerRelay, int(math.Sqrt(float64(len(near)))))
-	return ranked(near)[:(len(near)+perRelay-1)/perRelay]
+// relaysOf returns the relays of a data centre, given its routers.
+func relaysOf(local []Router) []Router {
+	perRelay := max(minPerRelay, int(math.Sqrt(float64(len(local)))))
+	return ranked(local)[:(len(local)+perRelay-1)/perRelay]
 }
 
-// place finds this router's relay, or its receivers. Each router goes to the relay
-// that is first for it by rendezvous hashing, so that one that comes or goes
-// changes little for the others.
-func (r *Relay) place(near, relays []Router) {
-	r.waits = !slices.Contains(relays, r.self)
-	for _, other := range near {
+// assign finds this router's parent, or its receivers. Each router gets the relay with
+// the highest weight for it by rendezvous hashing, so that a relay that comes or goes
+// changes little for the other routers.
+func (r *Relay) assign(local, relays []Router) {
+	r.hasParent = !slices.Contains(relays, r.self)
+	for _, other := range local {
 		if slices.Contains(relays, other) {
 			continue
 		}
-		relay := first(relays, other)
+		relay := relayFor(relays, other)
 		if other == r.self {
-			r.own = relay.ID
+			r.parent = relay.ID
 		}
 		if relay == r.self {
 			r.receivers = append(r.receivers, other.ID)
@@ -118,25 +121,25 @@
 	}
 }
 
-// first returns the relay of a router.
-func first(relays []Router, of Router) Router {
+// relayFor returns the relay of a router.
+func relayFor(relays []Router, of Router) Router {
 	weight := func(relay Router) uint64 { return xxhash.Sum64String(string(relay.ID) + string(of.ID)) }
 	return slices.MaxFunc(relays, func(a, b Router) int { return cmp.Compare(weight(a), weight(b)) })
 }
 
-// Neighbours returns with whom this router exchanges its work.
+// Neighbours returns the routers with which this one exchanges its load.
 func (r *Relay) Neighbours() balance.Neighbours {
 	if len(r.others)+1 < balance.GroupsFrom {
 		return balance.Neighbours{Mesh: idsOf(r.others)}
 	}
-	if r.waits {
-		return balance.Neighbours{Relay: r.own}
+	if r.hasParent {
+		return balance.Neighbours{Relay: r.parent}
 	}
 	others := slices.DeleteFunc(slices.Clone(r.relays), func(other Router) bool { return other == r.self })
 	return balance.Neighbours{Members: r.receivers, Relays: idsOf(others)}
 }
 
-// idsOf returns the names of routers.
+// idsOf returns the IDs of routers.
 func idsOf(routers []Router) []protocol.RouterID {
 	var ids []protocol.RouterID
 	for _, router := range routers {
@@ -145,32 +148,33 @@
 	return ids
 }
 
-// ranked puts routers in an order that all share and that no name prefers.
+// ranked sorts routers in place by a hash of their IDs: an order that all routers
+// compute alike and that doesn't depend on how IDs are chosen.
 func ranked(routers []Router) []Router {
 	rank := func(r Router) uint64 { return xxhash.Sum64String(string(r.ID)) }
 	slices.SortFunc(routers, func(a, b Router) int { return cmp.Compare(rank(a), rank(b)) })
 	return routers
 }
 
-// PassOn returns a disk VM's changes of upstreams for the routers that get them
-// from this one.
-func (r *Relay) PassOn(c Changes) []Send {
-	var sends []Send
+// PassOnChanges returns a disk VM's changes of upstreams as messages to the receivers.
+func (r *Relay) PassOnChanges(c Changes) []Message {
+	var messages []Message
 	for _, id := range r.receivers {
-		sends = append(sends, Send{To: id, Body: Changes{Entries: c.Entries, Packed: c.Packed}})
+		messages = append(messages, Message{To: id, Body: Changes{Entries: c.Entries, Packed: c.Packed}})
 	}
-	return sends
+	return messages
 }
 
-// Accepted passes on a change that has just been put in force here, in place of those
-// that wait. Whole tables, for routers that have none, still go: they are served by an
-// older one sooner.
-func (r *Relay) Accepted(d Document) {
+// PassOnTable queues the table that has just been put in force here for the receivers,
+// if its change is large. It replaces queued changes to earlier tables. Whole tables
+// stay queued: they are for routers that have none, which can serve sooner with an older
+// table.
+func (r *Relay) PassOnTable(d Document) {
 	r.queue = slices.DeleteFunc(r.queue, func(q queued) bool {
 		waiting, is := q.Body.(Document)
 		return is && waiting.Change.Base != document.Digest{}
 	})
-	if len(d.Change.Delta) < largeChange {
+	if len(d.Change.Delta) < largeChangeBytes {
 		return
 	}
 	for _, id := range r.receivers {
@@ -178,32 +182,33 @@
 	}
 }
 
-// send queues a message of a size in bytes for a router.
+// send queues a message, whose size is in bytes, for a router.
 func (r *Relay) send(to protocol.RouterID, body any, size int) {
-	r.queue = append(r.queue, queued{Send: Send{To: to, Body: body}, size: size})
+	r.queue = append(r.queue, queued{Message: Message{To: to, Body: body}, size: size})
 }
 
-// sendLast queues a message for a router behind all that send queues: callers wait for
-// tables and lists.
-func (r *Relay) sendLast(to protocol.RouterID, body any, size int) {
-	r.last = append(r.last, queued{Send: Send{To: to, Body: body}, size: size})
+// sendLowPriority queues a message for a router behind all that send queues, because
+// callers wait for tables and lists.
+func (r *Relay) sendLowPriority(to protocol.RouterID, body any, size int) {
+	r.lowPriority = append(r.lowPriority, queued{Message: Message{To: to, Body: body}, size: size})
 }
 
-// Due returns what the link has room for now.
-func (r *Relay) Due(now time.Duration) []Send {
-	sends := r.take(now, &r.queue)
+// Due returns the messages that the link has capacity for now.
+func (r *Relay) Due(now time.Duration) []Message {
+	messages := r.dequeue(now, &r.queue)
 	if len(r.queue) > 0 {
-		return sends
+		return messages
 	}
-	return append(sends, r.take(now, &r.last)...)
+	return append(messages, r.dequeue(now, &r.lowPriority)...)
 }
 
-// take returns the messages of a queue that the link has room for.
-func (r *Relay) take(now time.Duration, queue *[]queued) []Send {
-	var sends []Send
+// dequeue removes from the front of a queue the messages that the link has capacity for,
+// and returns them.
+func (r *Relay) dequeue(now time.Duration, queue *[]queued) []Message {
+	var messages []Message
 	for len(*queue) > 0 && r.bulk.take(now, (*queue)[0].size) {
-		sends = append(sends, (*queue)[0].Send)
+		messages = append(messages, (*queue)[0].Message)
 		*queue = (*queue)[1:]
 	}
-	return sends
+	return messages
 }
--- a/coordination/control/sources.go
+++ b/coordination/control/sources.go
@@ -10,80 +10,80 @@
 	"endiveplank/protocol"
 )
 
-// source is a disk VM as a follower sees it.
+// source is a follower's record of a disk VM.
 type source struct {
-	// roster is the digest of its newest roster, which lists so many upstreams.
-	// merged is the digest of its last whole list, and listed the upstreams in
-	// that.
+	// roster is the digest of the VM's newest roster, and upstreams how many it lists.
+	// merged is the digest of the VM's last list that was merged here, and listed the
+	// upstreams in that list.
 	upstreams int
 	roster    uint64
 	merged    uint64
 	listed    []protocol.UpstreamID
 	fleet     uint64
 	version   uint64
-	recalled  bool
+	restored  bool
 	routers   []Router
 	diskVMs   []protocol.RouterID
-	asked     time.Duration
-	heard     time.Duration
-	named     time.Duration
-	// differs says that its roster isn't the own, and since when.
+	askedAt   time.Duration
+	heardAt   time.Duration
+	namedAt   time.Duration
+	// differs says that the VM's roster differs from the follower's, since differsSince.
 	differs      bool
 	differsSince time.Duration
 	everHeard    bool
 	lost         bool
 }
 
-// Preferred returns the disk VM in touch that this router prefers, "" for none.
+// Preferred returns the live disk VM that this router prefers, "" if none is alive.
 func (f *Follower) Preferred(now time.Duration) protocol.RouterID {
 	for _, id := range f.byPreference() {
-		if f.sources[id].inTouch(now) {
+		if f.sources[id].alive(now) {
 			return id
 		}
 	}
 	return ""
 }
 
-// inTouch reports whether the disk VM has answered lately.
-func (s *source) inTouch(now time.Duration) bool { return s.everHeard && now-s.heard < lostAfter }
+// alive reports whether the disk VM has answered lately.
+func (s *source) alive(now time.Duration) bool { return s.everHeard && now-s.heardAt < lostAfter }
 
 // SetSeeds replaces the disk VMs that the settings name.
 func (f *Follower) SetSeeds(now time.Duration, seeds []protocol.RouterID) {
 	f.seeds = slices.Clone(seeds)
 	for _, id := range seeds {
-		f.Name(now, id)
+		f.NoteDiskVM(now, id)
 	}
 }
 
-// Name notes that a disk VM is said to exist.
-func (f *Follower) Name(now time.Duration, id protocol.RouterID) {
+// NoteDiskVM adds a disk VM that the settings, another VM or consensus names.
+func (f *Follower) NoteDiskVM(now time.Duration, id protocol.RouterID) {
 	if id == f.self {
 		return
 	}
 	known := f.sources[id]
 	if known == nil {
-		known = &source{asked: now - WatchInterval}
+		known = &source{askedAt: now - WatchInterval}
 		f.sources[id] = known
 	}
-	known.named = now
+	known.namedAt = now
 }
 
-// InTouch returns how many disk VMs answered lately.
-func (f *Follower) InTouch(now time.Duration) int {
+// AliveDiskVMs returns how many disk VMs answered lately.
+func (f *Follower) AliveDiskVMs(now time.Duration) int {
 	count := 0
 	for _, s := range f.sources {
-		if s.inTouch(now) {
+		if s.alive(now) {
 			count++
 		}
 	}
 	return count
 }
 
-// Routers returns the routers that any disk VM in touch has named, by name.
+// Routers returns the routers that live disk VMs name, sorted by ID.
 func (f *Follower) Routers(now time.Duration) []Router {
 	var all []Router
 	for _, s := range f.sources {
-		if s.inTouch(now) {
+		if s.alive(now) {
 			all = append(all, s.routers...)
 		}
 	}
@@ -91,7 +91,7 @@
 	return slices.CompactFunc(all, func(a, b Router) bool { return a.ID == b.ID })
 }
 
-// DiskVMs returns the disk VMs that are asked, by name.
+// DiskVMs returns the disk VMs that this follower asks, sorted by ID.
 func (f *Follower) DiskVMs() []protocol.RouterID {
 	var ids []protocol.RouterID
 	for id := range f.sources {
@@ -101,8 +101,9 @@
 	return ids
 }
 
-// byPreference returns the disk VMs in this router's own order. Routers that know
-// their place among all share the VMs evenly; others by chance of their names.
+// byPreference returns the disk VMs in this router's order of preference. Routers that
+// know their place among all routers are spread evenly over the VMs; others choose their
+// first VM by a hash of their ID.
 func (f *Follower) byPreference() []protocol.RouterID {
 	ids := f.DiskVMs()
 	if len(ids) == 0 {
@@ -115,12 +116,12 @@
 	return slices.Concat(ids[first:], ids[:first])
 }
 
-// takeFleet takes a disk VM's list of processes. One that can't be read leaves
-// the last one in place; the VM sends it again.
+// takeFleet stores a disk VM's list of processes. If it can't be read, the last one
+// stays, and the VM sends it again.
 func (f *Follower) takeFleet(s *source, from protocol.RouterID, fleet Fleet) {
 	diskVMs, routers, err := fleet.unpack()
 	if err != nil {
-		f.beliefs = append(f.beliefs, Belief{What: BeliefUnreadable, About: from})
+		f.events = append(f.events, Event{Kind: EventListUnreadable, Peer: from})
 		return
 	}
 	s.fleet = fleet.Digest
@@ -128,16 +129,16 @@
 	s.diskVMs = diskVMs
 }
 
-// heardFrom notes that a disk VM answered.
+// heardFrom notes that a disk VM answered, and returns its record.
 func (f *Follower) heardFrom(now time.Duration, id protocol.RouterID) *source {
-	f.Name(now, id)
+	f.NoteDiskVM(now, id)
 	s := f.sources[id]
 	if s.lost || !s.everHeard {
-		f.beliefs = append(f.beliefs, Belief{What: BeliefRegained, About: id, Age: now - s.heard})
+		f.events = append(f.events, Event{Kind: EventDiskVMRegained, Peer: id, Age: now - s.heardAt})
 	}
 	s.lost = false
 	s.everHeard = true
-	s.heard = now
+	s.heardAt = now
 	if !f.anyHeard {
 		f.anyHeard = true
 		f.firstHeard = now
@@ -145,13 +146,13 @@
 	return s
 }
 
-// noteLost tells of disk VMs that have fallen silent.
-func (f *Follower) noteLost(now time.Duration) {
+// detectLost records an event for each disk VM that has fallen silent.
+func (f *Follower) detectLost(now time.Duration) {
 	for _, id := range f.DiskVMs() {
 		s := f.sources[id]
-		if s.everHeard && !s.lost && now-s.heard >= lostAfter {
+		if s.everHeard && !s.lost && now-s.heardAt >= lostAfter {
 			s.lost = true
-			f.beliefs = append(f.beliefs, Belief{What: BeliefLost, About: id, Age: now - s.heard})
+			f.events = append(f.events, Event{Kind: EventDiskVMLost, Peer: id, Age: now - s.heardAt})
 		}
 	}
 }
@@ -159,7 +160,7 @@
 // forget drops disk VMs that neither answer nor are named.
 func (f *Follower) forget(now time.Duration) {
 	for id, s := range f.sources {
-		silent := now-s.heard >= forgetAfter && now-s.named >= forgetAfter
+		silent := now-s.heardAt >= forgetAfter && now-s.namedAt >= forgetAfter
 		if silent && !slices.Contains(f.seeds, id) {
 			delete(f.sources, id)
 		}
--- /dev/null
+++ b/coordination/control/startup_test.go
@@ -0,0 +1,413 @@
+package control
+
+import (
+	"container/heap"
+	"flag"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"endiveplank/coordination/document"
+	"endiveplank/coordination/roster"
+	"endiveplank/protocol"
+	"endiveplank/protocol/codec"
+)
+
+// startSim is a fleet that starts for the first time, with all its upstreams, and is
+// given its first table. All bytes take their time on the links of both ends.
+type startSim struct {
+	now       time.Duration
+	random    *rand.Rand
+	vms       []*process
+	routers   []*process
+	byID      map[protocol.RouterID]*process
+	byAddress map[string]*process
+	upstreams []*simUpstream
+	events    eventQueue
+	table     *document.Document
+	// acceptedAt is when a quorum of disk VMs had the table and the operator had the
+	// answer.
+	acceptedAt time.Duration
+	// slowestHeartbeat is the longest delay of a heartbeat between disk VMs.
+	slowestHeartbeat time.Duration
+	calls            int
+	failed           int
+}
+
+// process is a process with its link.
+type process struct {
+	id   protocol.RouterID
+	rate float64
+	// out and in are when the link is free again in each direction.
+	out, in  time.Duration
+	sent     int
+	taken    int
+	startAt  time.Duration
+	vm       *vm
+	follower *testRouter
+	// waiting holds the calls that wait for a disk VM's acknowledgement, by message
+	// number.
+	waiting     map[uint64][]*call
+	tableAt     time.Duration
+	upstreamsAt time.Duration
+}
+
+// simUpstream is an upstream that announces itself.
+type simUpstream struct {
+	entry roster.Entry
+	// at is the process that it calls, and connected whether it has a connection there.
+	at        *process
+	connected bool
+	attempt   int
+}
+
+// call is an announcement in flight.
+type call struct {
+	from    *simUpstream
+	attempt int
+	began   time.Duration
+}
+
+// event is a function to call at a time.
+type event struct {
+	at time.Duration
+	do func()
+}
+
+type eventQueue []event
+
+func (h eventQueue) Len() int           { return len(h) }
+func (h eventQueue) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h eventQueue) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *eventQueue) Push(x any)        { *h = append(*h, x.(event)) }
+func (h *eventQueue) Pop() any {
+	last := (*h)[len(*h)-1]
+	*h = (*h)[:len(*h)-1]
+	return last
+}
+
+// startConfig is the size of a fleet that starts.
+type startConfig struct {
+	routers, upstreams     int
+	diskVMRate, routerRate float64
+}
+
+// Bytes of an announcement on the wire, with packet headers.
+const (
+	connectBytes = 220
+	requestBytes = 560
+	answerBytes  = 300
+	// callTimeout is how long an upstream waits for an answer.
+	callTimeout      = time.Second
+	announceInterval = 1200 * time.Millisecond
+	// tableBytes is the size of the operator's request with a table.
+	tableBytes = 60_000
+	// heartbeatBytes and heartbeatInterval describe the heartbeats of consensus.
+	heartbeatBytes    = 180
+	heartbeatInterval = 150 * time.Millisecond
+)
+
+// after schedules an event.
+func (w *startSim) after(d time.Duration, do func()) {
+	heap.Push(&w.events, event{at: w.now + d, do: do})
+}
+
+// deliver sends bytes from one end to the other. nil is an end whose link has no limit.
+func (w *startSim) deliver(from, to *process, bytes int, do func()) {
+	at := w.now
+	if from != nil {
+		from.out = max(from.out, w.now) + time.Duration(float64(bytes)/from.rate*float64(time.Second))
+		from.sent += bytes
+		at = from.out
+	}
+	at += messageDelay
+	heap.Push(&w.events, event{at: at, do: func() {
+		if to == nil {
+			do()
+			return
+		}
+		to.in = max(to.in, w.now) + time.Duration(float64(bytes)/to.rate*float64(time.Second))
+		to.taken += bytes
+		heap.Push(&w.events, event{at: max(to.in, to.startAt), do: do})
+	}})
+}
+
+// start builds the fleet.
+func (s startConfig) start() *startSim {
+	w := &startSim{random: rand.New(rand.NewPCG(5, 6)), byID: map[protocol.RouterID]*process{}, byAddress: map[string]*process{}}
+	var ids []protocol.RouterID
+	for i := range 5 {
+		ids = append(ids, protocol.RouterID(fmt.Sprintf("10.%d.0.81:7400", i+1)))
+	}
+	for _, id := range ids {
+		r := roster.New(roster.DefaultSettings())
+		v := &process{id: id, rate: s.diskVMRate, vm: &vm{roster: r, publisher: NewPublisher(r, int(s.diskVMRate))}, startAt: w.randomDelay(300 * time.Millisecond)}
+		v.vm.publisher.SetDiskVMs(ids)
+		v.follower = &testRouter{Follower: NewFollower(id, false, ids, r), roster: r}
+		w.vms = append(w.vms, v)
+		w.byID[id] = v
+	}
+	for i := range s.routers {
+		dc := i%5 + 1
+		id := protocol.RouterID(fmt.Sprintf("10.%d.%d.%d:7400", dc, i/5/200, 100+i/5%200))
+		r := roster.New(roster.DefaultSettings())
+		f := &testRouter{Follower: NewFollower(id, true, ids[:3], r), roster: r}
+		f.SetRelay(NewRelay(Router{ID: id, DataCentre: protocol.DataCentre(fmt.Sprint("hall-", dc))}, int(s.routerRate)))
+		f.SetAnnounceAddress(string(id))
+		v := &process{id: id, rate: s.routerRate, follower: f, waiting: map[uint64][]*call{}, startAt: w.randomDelay(300 * time.Millisecond)}
+		w.routers = append(w.routers, v)
+		w.byID[id] = v
+		w.byAddress[string(id)] = v
+	}
+	for i := range s.upstreams {
+		u := &simUpstream{entry: roster.Entry{
+			ID: protocol.UpstreamID("i-" + randomName(w.random, 10)), Service: "xahu85a", Address: fmt.Sprintf("10.%d.%d.%d:8084", i%5+1, 64+i/1000, i/5%200),
+			DataCentre: protocol.DataCentre(fmt.Sprint("hall-", i%5+1)), Build: "v1", Slots: 16, State: roster.Ready,
+		}}
+		w.upstreams = append(w.upstreams, u)
+		w.after(w.randomDelay(300*time.Millisecond), func() { w.announce(u) })
+	}
+	for _, v := range slices.Concat(w.vms, w.routers) {
+		w.after(v.startAt, func() { w.tick(v) })
+	}
+	w.after(time.Second, w.sendHeartbeatsOfLeader)
+	w.table = document.New(1, tableBody(w.random, 245))
+	w.after(3*time.Second, func() { w.putTable(0) })
+	return w
+}
+
+func (w *startSim) randomDelay(d time.Duration) time.Duration {
+	return time.Duration(w.random.Int64N(int64(d)))
+}
+
+// run simulates until a time.
+func (w *startSim) run(until time.Duration) {
+	for len(w.events) > 0 && w.events[0].at <= until {
+		next := heap.Pop(&w.events).(event)
+		w.now = max(w.now, next.at)
+		next.do()
+	}
+	w.now = until
+}
+
+// announce makes an upstream's next call.
+func (w *startSim) announce(u *simUpstream) {
+	if u.at == nil {
+		u.at = w.vms[w.random.IntN(len(w.vms))]
+		u.connected = false
+	}
+	u.entry.Sequence++
+	u.attempt++
+	w.calls++
+	c := &call{from: u, attempt: u.attempt, began: w.now}
+	to, bytes := u.at, requestBytes
+	w.after(callTimeout, func() { w.ended(c, false, "") })
+	if u.connected {
+		w.deliver(nil, to, bytes, func() { w.handleAnnouncement(to, c) })
+		return
+	}
+	w.deliver(nil, to, connectBytes/2, func() {
+		w.deliver(to, nil, connectBytes/2, func() { w.deliver(nil, to, bytes, func() { w.handleAnnouncement(to, c) }) })
+	})
+}
+
+// ended records how a call ended, once.
+func (w *startSim) ended(c *call, good bool, next string) {
+	u := c.from
+	if c.attempt != u.attempt {
+		return
+	}
+	u.attempt++
+	if !good {
+		w.failed++
+		u.at = nil
+		w.after(w.randomDelay(100*time.Millisecond), func() { w.announce(u) })
+		return
+	}
+	u.connected = true
+	if to := w.byAddress[next]; to != nil && to != u.at {
+		u.at, u.connected = to, false
+	}
+	w.after(max(0, c.began+announceInterval-w.now), func() { w.announce(u) })
+}
+
+// answer sends the answer to a call.
+func (w *startSim) answer(from *process, c *call, good bool, next string) {
+	w.deliver(from, nil, answerBytes, func() { w.ended(c, good, next) })
+}
+
+// handleAnnouncement processes an announcement at a disk VM or a router.
+func (w *startSim) handleAnnouncement(v *process, c *call) {
+	e := c.from.entry
+	if v.vm != nil {
+		if v.vm.roster.Announced(w.now, e) {
+			v.vm.publisher.NoteChange(e.ID)
+		}
+		w.answer(v, c, true, v.vm.publisher.AnnounceAt(w.now, e))
+		return
+	}
+	known, number, waits := v.follower.HandleAnnouncement(w.now, e)
+	if waits {
+		v.waiting[number] = append(v.waiting[number], c)
+		return
+	}
+	w.answer(v, c, known, "")
+}
+
+// send puts messages on a process's link.
+func (w *startSim) send(from *process, messages []Message) {
+	for _, s := range messages {
+		to := w.byID[s.To]
+		w.deliver(from, to, len(codec.Marshal(s.Body))+frameBytes, func() { w.take(to, from, s.Body) })
+	}
+}
+
+// tick does what is due on a process.
+func (w *startSim) tick(v *process) {
+	defer w.after(tick, func() { w.tick(v) })
+	w.send(v, v.follower.Tick(w.now))
+	if v.vm != nil {
+		w.send(v, v.vm.publisher.PushChanges(w.now))
+		w.send(v, v.vm.publisher.SendWaiting(w.now))
+		return
+	}
+	others := slices.DeleteFunc(v.follower.Routers(w.now), func(other Router) bool { return other.ID == v.id })
+	v.follower.relay.SetRouters(others)
+	w.send(v, v.follower.relay.Due(w.now))
+	if v.tableAt == 0 && v.follower.InForce() != nil {
+		v.tableAt = w.now
+	}
+	if v.upstreamsAt == 0 && v.follower.roster.Usable() > 0 && v.follower.KnowsMostUpstreams(w.now) {
+		v.upstreamsAt = w.now
+	}
+}
+
+// take delivers a message.
+func (w *startSim) take(v, from *process, body any) {
+	f := v.follower
+	switch m := body.(type) {
+	case Watch:
+		if v.vm != nil {
+			w.send(v, v.vm.publisher.HandleWatch(w.now, from.id, m))
+		} else {
+			f.HandleWatch(w.now, from.id, m)
+		}
+	case Status:
+		w.send(v, f.HandleStatus(w.now, from.id, m))
+	case List:
+		f.HandleList(w.now, from.id, m)
+	case Changes:
+		w.send(v, f.HandleChanges(w.now, from.id, m))
+	case ChangesAck:
+		v.vm.publisher.HandleChangesAck(from.id, m)
+	case Heartbeats:
+		for _, heard := range m.Upstreams {
+			v.vm.roster.Refresh(w.now, heard)
+		}
+	case Announcements:
+		ack, _ := v.vm.publisher.HandleAnnouncements(w.now, from.id, m)
+		w.send(v, []Message{ack})
+	case AnnouncementsAck:
+		for _, c := range v.waiting[m.Number] {
+			w.answer(v, c, true, "")
+		}
+		delete(v.waiting, m.Number)
+	case Document:
+		more, _ := f.HandleDocument(w.now, from.id, m, func(*document.Document) error { return nil })
+		w.send(v, more)
+	}
+	if f.relay != nil {
+		w.send(v, f.relay.Due(w.now))
+	}
+}
+
+// sendHeartbeatsOfLeader makes the first disk VM, the leader, send heartbeats to the
+// others.
+func (w *startSim) sendHeartbeatsOfLeader() {
+	defer w.after(heartbeatInterval, w.sendHeartbeatsOfLeader)
+	for _, v := range w.vms[1:] {
+		began := w.now
+		w.deliver(w.vms[0], v, heartbeatBytes, func() { w.slowestHeartbeat = max(w.slowestHeartbeat, w.now-began) })
+	}
+}
+
+// putTable makes the operator send the table to a disk VM, and to another one every two
+// seconds until it is accepted.
+func (w *startSim) putTable(at int) {
+	if w.acceptedAt > 0 {
+		return
+	}
+	v, leader := w.vms[at], w.vms[0]
+	w.after(2*time.Second, func() { w.putTable((at + 1) % len(w.vms)) })
+	w.deliver(nil, v, tableBytes, func() {
+		w.deliver(v, leader, 6000, func() { w.replicate(leader, v) })
+	})
+}
+
+// replicate sends the table to a quorum and answers the operator.
+func (w *startSim) replicate(leader, asked *process) {
+	acks := 1
+	for _, v := range w.vms[1:] {
+		w.deliver(leader, v, 6000, func() {
+			w.deliver(v, leader, heartbeatBytes, func() {
+				if acks++; acks == 3 {
+					w.deliver(leader, asked, heartbeatBytes, func() { w.deliver(asked, nil, answerBytes, w.accepted) })
+				}
+			})
+		})
+	}
+}
+
+// accepted puts the table in force on all disk VMs.
+func (w *startSim) accepted() {
+	if w.acceptedAt > 0 {
+		return
+	}
+	w.acceptedAt = w.now
+	for _, v := range w.vms {
+		w.send(v, v.vm.publisher.SetDocument(w.now, w.table, document.MakeChange(nil, w.table)))
+	}
+}
+
+// full simulates the fleet at full size instead of a third.
+var full = flag.Bool("starting.full", false, "simulate 300 routers and 3,003 upstreams")
+
+// largeFleet is a fleet of hundreds of routers and thousands of upstreams on small
+// links. All sizes are divided by the same number unless full is set.
+func largeFleet(mbps float64) startConfig {
+	const bitsPerByte = 8
+	scale := 3.0
+	if *full {
+		scale = 1
+	}
+	link := func(mbps float64) float64 { return mbps * 1e6 / bitsPerByte / scale }
+	return startConfig{routers: int(300 / scale), upstreams: int(3003 / scale), diskVMRate: link(mbps), routerRate: link(10)}
+}
+
+const (
+	// acceptedWithin and inForceWithin are the times promised to operators for a change.
+	acceptedWithin = 4 * time.Second
+	inForceWithin  = 3 * time.Second
+	// electionTimeout is how long disk VMs may be without a heartbeat.
+	electionTimeout = 750 * time.Millisecond
+)
+
+// Guards against full links of the disk VMs, so that no table is accepted, when
+// upstreams, routers and disk VMs start together.
+func TestAFleetThatStartsWithAllItsUpstreamsTakesItsTable(t *testing.T) {
+	for _, mbps := range []float64{4.2, 6} {
+		w := largeFleet(mbps).start()
+		w.run(3*time.Second + acceptedWithin)
+		assert.Assert(t, w.acceptedAt > 0, "no table was accepted in time on %v Mbit/s", mbps)
+		assert.Assert(t, w.slowestHeartbeat < electionTimeout, "a heartbeat took %s on %v Mbit/s", w.slowestHeartbeat, mbps)
+		for _, r := range w.routers {
+			assert.Assert(t, r.tableAt > 0 && r.tableAt-w.acceptedAt <= inForceWithin, "%s has the table at %s", r.id, r.tableAt)
+			assert.Assert(t, r.upstreamsAt > 0, "%s doesn't know most upstreams", r.id)
+		}
+		assert.Assert(t, w.failed <= w.calls/100, "%d of %d announcements weren't answered in time", w.failed, w.calls)
+	}
+}
--- a/coordination/control/tables.go
+++ b/coordination/control/tables.go
@@ -10,13 +10,13 @@
 // InForce returns the table in force, nil if none is known.
 func (f *Follower) InForce() *document.Document { return f.inForce }
 
-// pull asks one disk VM for the newest table, if a newer one than the own is
-// known and nobody was asked a moment ago.
-func (f *Follower) pull(now time.Duration) []Send {
-	if !f.router || f.pulling && now-f.pulledAt < documentPatience || f.relayed(now) {
+// pull asks one disk VM, or the referral, for the newest table if a newer one than this
+// router's is known and none was asked a moment ago.
+func (f *Follower) pull(now time.Duration) []Message {
+	if !f.router || f.pulling && now-f.pulledAt < documentTimeout || f.awaitsRelay(now) {
 		return nil
 	}
-	from := f.best(now)
+	from := f.chooseDiskVM(now)
 	if from == "" {
 		f.pulling = false
 		return nil
@@ -24,31 +24,33 @@
 	f.pulling = true
 	f.pulledFrom = from
 	f.pulledAt = now
-	if f.passer.mayAsk(now) {
-		return []Send{f.askPasser(now)}
+	if f.referral.mayAsk(now) {
+		return []Message{f.askReferral(now)}
 	}
-	return []Send{f.watch(now, from, Watch{WantDocument: true})}
+	return []Message{f.watch(now, from, Watch{WantDocument: true})}
 }
 
-// SetRelay makes large tables go from router to router.
+// SetRelay sets the relay, which passes large tables and changes of upstreams on to
+// other routers.
 func (f *Follower) SetRelay(r *Relay) { f.relay = r }
 
-// relayed reports whether another router will pass the newest table on to this
-// one. A router without a table starts anew and asks a disk VM.
-func (f *Follower) relayed(now time.Duration) bool {
-	return f.relay != nil && f.relay.waits && f.inForce != nil && f.newest > f.version() &&
-		f.newestBytes >= largeChange && now-f.newestAt < relayPatience
+// awaitsRelay reports whether another router will send this one the newest table. A
+// router without a table doesn't wait for that: it asks a disk VM.
+func (f *Follower) awaitsRelay(now time.Duration) bool {
+	return f.relay != nil && f.relay.hasParent && f.inForce != nil && f.newest > f.version() &&
+		f.newestBytes >= largeChangeBytes && now-f.newestAt < relayTimeout
 }
 
-// best returns the disk VM to ask for a table, "" for none now. Each router
-// prefers another VM; if all asked the one that told them first, the leader's
-// link would be full, and it would be missed by the others.
-func (f *Follower) best(now time.Duration) protocol.RouterID {
+// chooseDiskVM returns the disk VM to ask for a table, "" if none should be asked now.
+// Each router prefers a different VM. If all routers asked the VM that announced the
+// table first, which is the leader, its link would be full, and the other disk VMs would
+// miss its heartbeats.
+func (f *Follower) chooseDiskVM(now time.Duration) protocol.RouterID {
 	var preferred, having protocol.RouterID
-	recalled := f.newestRecalled(now)
+	restored := f.newestRestored(now)
 	for _, id := range f.byPreference() {
 		s := f.sources[id]
-		if !s.inTouch(now) || s.recalled && s.version != recalled || recalled > 0 && !s.recalled {
+		if !s.alive(now) || s.restored && s.version != restored || restored > 0 && !s.restored {
 			continue
 		}
 		if f.pulling && id == f.pulledFrom {
@@ -61,36 +63,35 @@
 			having = id
 		}
 	}
-	if having == preferred || now-f.newestAt >= preferredPatience {
+	if having == preferred || now-f.newestAt >= preferredWait {
 		return having
 	}
 	return ""
 }
 
-// mayTake reports whether a disk VM in touch has a newer table that this router may
-// serve by.
+// mayTake reports whether a live disk VM has a newer table that this router may use.
 func (f *Follower) mayTake(now time.Duration) bool {
-	recalled := f.newestRecalled(now)
+	restored := f.newestRestored(now)
 	for _, s := range f.sources {
-		if s.inTouch(now) && s.version > f.version() && (!s.recalled || s.version == recalled) {
+		if s.alive(now) && s.version > f.version() && (!s.restored || s.version == restored) {
 			return true
 		}
 	}
 	return false
 }
 
-// newestRecalled returns the version of the newest table that a disk VM in touch has
-// recalled, 0 where this router may not serve by one: some disk VM in touch knows
-// which table is in force, or could say so in a moment.
-func (f *Follower) newestRecalled(now time.Duration) uint64 {
-	if !f.anyHeard || now-f.firstHeard < recalledAfter {
+// newestRestored returns the version of the newest table that a live disk VM has
+// restored, 0 if this router may not use a restored table: some live disk VM knows
+// which table is in force, or could say so within restoredTableDelay.
+func (f *Follower) newestRestored(now time.Duration) uint64 {
+	if !f.anyHeard || now-f.firstHeard < restoredTableDelay {
 		return 0
 	}
 	newest := uint64(0)
 	for _, s := range f.sources {
 		switch {
-		case !s.inTouch(now) || s.version == 0:
-		case !s.recalled:
+		case !s.alive(now) || s.version == 0:
+		case !s.restored:
 			return 0
 		default:
 			newest = max(newest, s.version)
@@ -99,7 +100,7 @@
 	return newest
 }
 
-// version is that of the table in force, 0 for none.
+// version returns the version of the table in force, 0 for none.
 func (f *Follower) version() uint64 {
 	if f.inForce == nil {
 		return 0
@@ -107,17 +108,17 @@
 	return f.inForce.Version
 }
 
-// TakeDocument takes a table, from a disk VM or a router. accept says whether the
-// router can use it; one that it can't is not asked for again. It reports whether
-// a newer table is in force.
-func (f *Follower) TakeDocument(now time.Duration, from protocol.RouterID, d Document, accept func(*document.Document) error) ([]Send, bool) {
+// HandleDocument processes a table from a disk VM or another router. accept returns an
+// error if the router can't use the table; the router doesn't ask for that one again.
+// HandleDocument reports whether a newer table is in force.
+func (f *Follower) HandleDocument(now time.Duration, from protocol.RouterID, d Document, accept func(*document.Document) error) ([]Message, bool) {
 	if f.sources[from] != nil {
 		f.heardFrom(now, from)
 	}
 	if f.inForce != nil && d.Change.Version <= f.inForce.Version {
 		return nil, false
 	}
-	if d.Recalled && d.Change.Version != f.newestRecalled(now) {
+	if d.Restored && d.Change.Version != f.newestRestored(now) {
 		return nil, false
 	}
 	next, err := d.Change.Apply(f.inForce)
@@ -126,35 +127,35 @@
 		return f.pull(now), false
 	}
 	if err := accept(next); err != nil {
-		f.beliefs = append(f.beliefs, Belief{What: BeliefRefused, About: from, Version: next.Version})
+		f.events = append(f.events, Event{Kind: EventTableRefused, Peer: from, Version: next.Version})
 		return nil, false
 	}
 	f.inForce = next
 	f.pulling = false
 	f.noteTable(from, d)
 	if f.relay != nil {
-		f.relay.Accepted(Document{Change: d.Change, Recalled: f.recalled})
+		f.relay.PassOnTable(Document{Change: d.Change, Restored: f.restored})
 	}
-	f.answerAskers(now)
+	f.answerPeerRequests(now)
 	return f.pull(now), true
 }
 
-// noteTable says that another table is served by, and by whose word.
+// noteTable records the event that a new table is in force, and who sent it.
 func (f *Follower) noteTable(from protocol.RouterID, d Document) {
 	s := f.sources[from]
-	f.recalled = d.Recalled || s != nil && s.recalled
-	what := BeliefTable
-	if f.recalled {
-		what = BeliefRecalled
+	f.restored = d.Restored || s != nil && s.restored
+	kind := EventTableInForce
+	if f.restored {
+		kind = EventTableRestored
 	}
-	f.beliefs = append(f.beliefs, Belief{What: what, About: from, Version: f.inForce.Version})
+	f.events = append(f.events, Event{Kind: kind, Peer: from, Version: f.inForce.Version})
 }
 
-// confirm notes that a disk VM which isn't only recalling it has the table in force
-// that this router has.
-func (f *Follower) confirm(from protocol.RouterID, s *source) {
-	if f.recalled && !s.recalled && s.version == f.version() {
-		f.recalled = false
-		f.beliefs = append(f.beliefs, Belief{What: BeliefTable, About: from, Version: s.version})
+// confirmTable notes that a disk VM whose table isn't merely restored has the same table
+// in force as this router.
+func (f *Follower) confirmTable(from protocol.RouterID, s *source) {
+	if f.restored && !s.restored && s.version == f.version() {
+		f.restored = false
+		f.events = append(f.events, Event{Kind: EventTableInForce, Peer: from, Version: s.version})
 	}
 }
--- a/coordination/control/tables_test.go
+++ b/coordination/control/tables_test.go
@@ -13,45 +13,46 @@
 	"endiveplank/protocol"
 )
 
-// Guards: every disk VM sends every router the whole of a new table.
-func TestATableThatChangesIsPulledFromOne(t *testing.T) {
+// Guards against every disk VM sending every router the whole of a new table.
+func TestAChangedTableIsPulledFromOneDiskVM(t *testing.T) {
 	w := newWorld(5)
-	w.put(1)
+	w.putTable(1)
 	r := w.startRouter("r1", "vm1")
 	w.run(3 * time.Second)
 	before := w.documents
-	w.put(2)
+	w.putTable(2)
 	assert.Equal(t, r.version(), uint64(2), "pulled at once, without waiting for the next tick")
 	w.run(3 * time.Second)
 	assert.Equal(t, w.documents-before, 1)
 }
 
-// Guards: the disk VM that was asked for a table loses power, and the router waits for
-// it.
+// Guards against a router that waits for a disk VM that lost power after it was asked
+// for a table.
 func TestAnotherVMIsAskedWhenOneDoesNotSend(t *testing.T) {
 	w := newWorld(3)
-	w.put(1)
+	w.putTable(1)
 	r := w.startRouter("r1", "vm1")
 	w.run(3 * time.Second)
 	next := document.New(2, []byte("table 2"))
 	for _, id := range []protocol.RouterID{"vm1", "vm2", "vm3"} {
-		sends := w.vms[id].publisher.SetDocument(w.now, next, document.Change{})
-		asked := r.TakeNews(w.now, id, sends[0].Body.(News))
+		messages := w.vms[id].publisher.SetDocument(w.now, next, document.Change{})
+		asked := r.HandleStatus(w.now, id, messages[0].Body.(Status))
 		if len(asked) > 0 {
-			w.deaf[asked[0].To] = true
+			w.cutOff[asked[0].To] = true
 		}
 	}
-	assert.Equal(t, len(w.deaf), 1)
+	assert.Equal(t, len(w.cutOff), 1)
 	assert.Equal(t, r.version(), uint64(1))
-	w.run(2 * documentPatience)
+	w.run(2 * documentTimeout)
 	assert.Equal(t, r.version(), uint64(2))
 }
 
-// Guards: all routers ask the leader for a new table, and the other voters miss it.
+// Guards against all routers asking the leader for a new table, so that the other voters
+// miss its heartbeats.
 func TestRoutersSpreadOverTheVMsForTheirTables(t *testing.T) {
 	w := newWorld(5)
-	w.put(1)
-	var routers []*follow
+	w.putTable(1)
+	var routers []*testRouter
 	for i := range 87 {
 		routers = append(routers, w.startRouter(protocol.RouterID(fmt.Sprint("r", i)), "vm1"))
 	}
@@ -59,8 +60,8 @@
 	asked := map[protocol.RouterID]int{}
 	next := document.New(2, []byte("table 2"))
 	for _, id := range []protocol.RouterID{"vm1", "vm2", "vm3", "vm4", "vm5"} {
-		for _, send := range w.vms[id].publisher.SetDocument(w.now, next, document.Change{}) {
-			for _, ask := range w.routers[send.To].TakeNews(w.now, id, send.Body.(News)) {
+		for _, message := range w.vms[id].publisher.SetDocument(w.now, next, document.Change{}) {
+			for _, ask := range w.routers[message.To].HandleStatus(w.now, id, message.Body.(Status)) {
 				asked[ask.To]++
 			}
 		}
@@ -74,11 +75,11 @@
 	}
 }
 
-// Guards: a large table takes the disk VMs seconds to send to all routers.
+// Guards against a large table that takes the disk VMs seconds to send to all routers.
 func TestALargeTableGoesFromRouterToRouter(t *testing.T) {
 	w := newWorld(5)
-	w.put(1)
-	var routers []*follow
+	w.putTable(1)
+	var routers []*testRouter
 	var names []protocol.RouterID
 	for i := range 87 {
 		names = append(names, protocol.RouterID(fmt.Sprint("r", i)))
@@ -102,9 +103,9 @@
 	w.documents = 0
 	for _, id := range inOrder(w.vms) {
 		v := w.vms[id]
-		w.carry(id, v.publisher.SetDocument(w.now, next, change))
+		w.deliver(id, v.publisher.SetDocument(w.now, next, change))
 	}
-	w.runRelays(relayPatience - 200*time.Millisecond)
+	w.runRelays(relayTimeout - 200*time.Millisecond)
 	fromVMs := w.documents
 	assert.Assert(t, fromVMs < 87/4, "%d tables from disk VMs", fromVMs)
 	for _, r := range routers {
@@ -123,7 +124,8 @@
 	return others
 }
 
-// Guards: routers that return together wait for a few disk VMs to send each a table.
+// Guards against routers that restart together and wait until a few disk VMs have sent
+// each of them a table.
 func TestRoutersThatStartTogetherGetTheTableFromEachOther(t *testing.T) {
 	w := newWorld(3)
 	body := make([]byte, 10_000)
@@ -133,7 +135,7 @@
 	}
 	for _, id := range inOrder(w.vms) {
 		v := w.vms[id]
-		w.carry(id, v.publisher.SetDocument(w.now, document.New(1, body), document.Change{}))
+		w.deliver(id, v.publisher.SetDocument(w.now, document.New(1, body), document.Change{}))
 	}
 	for i := range 87 {
 		name := protocol.RouterID(fmt.Sprint("r", i))
@@ -155,52 +157,53 @@
 	assert.Equal(t, late, 0)
 }
 
+// Guards against a router that waits forever for a large table because its relay is gone.
 func TestARouterWhoseRelayIsGoneAsksADiskVM(t *testing.T) {
 	w := newWorld(3)
-	w.put(1)
+	w.putTable(1)
 	r := w.startRouter("r", "vm1")
 	relay := NewRelay(Router{ID: "r"}, 500_000)
-	relay.waits = true
+	relay.hasParent = true
 	r.SetRelay(relay)
 	w.run(3 * time.Second)
 	next := document.New(2, []byte("table 2"))
 	for _, id := range inOrder(w.vms) {
 		v := w.vms[id]
-		w.carry(id, v.publisher.SetDocument(w.now, next, document.Change{Delta: make([]byte, largeChange)}))
+		w.deliver(id, v.publisher.SetDocument(w.now, next, document.Change{Delta: make([]byte, largeChangeBytes)}))
 	}
-	w.run(relayPatience / 2)
+	w.run(relayTimeout / 2)
 	assert.Equal(t, r.version(), uint64(1))
-	w.run(relayPatience)
+	w.run(relayTimeout)
 	assert.Equal(t, r.version(), uint64(2))
 }
 
-// runRelays lets time pass and routers pass tables on.
+// runRelays lets time pass while routers relay to each other.
 func (w *world) runRelays(d time.Duration) {
 	const step = 50 * time.Millisecond
 	for end := w.now + d; w.now < end; w.now += step {
 		for _, id := range inOrder(w.routers) {
-			w.carry(id, w.routers[id].Tick(w.now))
+			w.deliver(id, w.routers[id].Tick(w.now))
 		}
 		for _, id := range inOrder(w.routers) {
-			for _, send := range w.routers[id].relay.Due(w.now) {
-				w.passOn(id, send)
+			for _, message := range w.routers[id].relay.Due(w.now) {
+				w.passOn(id, message)
 			}
 		}
 		for _, id := range inOrder(w.vms) {
-			w.carry(id, w.vms[id].publisher.SendWaiting(w.now))
+			w.deliver(id, w.vms[id].publisher.SendWaiting(w.now))
 		}
 	}
 }
 
-// passOn delivers what a router sends to another one, and counts it for no disk VM.
-func (w *world) passOn(from protocol.RouterID, send Send) {
+// passOn delivers a message between routers. It isn't counted as one from a disk VM.
+func (w *world) passOn(from protocol.RouterID, message Message) {
 	documents, lists, listBytes := w.documents, w.lists, w.listBytes
-	w.carry(from, []Send{send})
+	w.deliver(from, []Message{message})
 	w.documents, w.lists, w.listBytes = documents, lists, listBytes
 }
 
-// Guards: tables take more than their share of a disk VM's link.
-func TestTablesLeaveRoomOnTheLink(t *testing.T) {
+// Guards against tables using more than their share of a disk VM's link.
+func TestTablesLeaveCapacityOnTheLink(t *testing.T) {
 	v := newWorld(1).vms["vm1"]
 	body := make([]byte, 60_000)
 	for i := range body {
@@ -208,15 +211,15 @@
 	}
 	v.publisher.SetDocument(0, document.New(1, body), document.Change{})
 	sent, now := 0, time.Duration(0)
-	count := func(sends []Send) {
-		for _, send := range sends {
-			if d, is := send.Body.(Document); is {
+	count := func(messages []Message) {
+		for _, message := range messages {
+			if d, is := message.Body.(Document); is {
 				sent += len(d.Change.Delta)
 			}
 		}
 	}
 	for i := range 87 {
-		count(v.publisher.Watched(now, protocol.RouterID(fmt.Sprint("v", i)), Watch{WantDocument: true}))
+		count(v.publisher.HandleWatch(now, protocol.RouterID(fmt.Sprint("v", i)), Watch{WantDocument: true}))
 	}
 	for ; now < time.Second; now += 50 * time.Millisecond {
 		count(v.publisher.SendWaiting(now))
@@ -224,18 +227,18 @@
 	assert.Assert(t, sent > 150_000 && sent < 250_000, "%d bytes", sent)
 }
 
-// Guards: a router that reaches a disk VM that was cut off goes back to its older
-// table.
-func TestARouterNeverGoesBack(t *testing.T) {
+// Guards against a router going back to an older table when it reaches a disk VM that
+// was cut off.
+func TestARouterNeverGoesBackToAnOlderTable(t *testing.T) {
 	w := newWorld(2)
-	w.put(1)
+	w.putTable(1)
 	r := w.startRouter("r1", "vm1", "vm2")
 	w.run(2 * time.Second)
-	w.deaf["vm2"] = true
-	w.put(2)
+	w.cutOff["vm2"] = true
+	w.putTable(2)
 	w.run(time.Second)
 	assert.Equal(t, r.version(), uint64(2))
-	w.deaf["vm2"], w.deaf["vm1"] = false, true
+	w.cutOff["vm2"], w.cutOff["vm1"] = false, true
 	w.run(10 * time.Second)
 	assert.Equal(t, r.version(), uint64(2))
 }
--- a/coordination/control/world_test.go
+++ b/coordination/control/world_test.go
@@ -12,17 +12,17 @@
 	"endiveplank/protocol"
 )
 
-// world joins followers and publishers by hand, with a clock of its own.
+// world connects followers and publishers in one process, with a clock of its own.
 type world struct {
 	now       time.Duration
 	vms       map[protocol.RouterID]*vm
-	routers   map[protocol.RouterID]*follow
-	deaf      map[protocol.RouterID]bool
+	routers   map[protocol.RouterID]*testRouter
+	cutOff    map[protocol.RouterID]bool
 	documents int
 	lists     int
 	listBytes int
-	// keeps are the prompts' keepers that each router was told.
-	keeps map[protocol.RouterID][]balance.Kept
+	// cacheHolders are the entries that each router received.
+	cacheHolders map[protocol.RouterID][]balance.Kept
 }
 
 type vm struct {
@@ -30,17 +30,17 @@
 	publisher *Publisher
 }
 
-type follow struct {
+type testRouter struct {
 	*Follower
 	roster *roster.Roster
 }
 
 func newWorld(vms int) *world {
-	w := &world{vms: map[protocol.RouterID]*vm{}, routers: map[protocol.RouterID]*follow{}, deaf: map[protocol.RouterID]bool{}, keeps: map[protocol.RouterID][]balance.Kept{}}
+	w := &world{vms: map[protocol.RouterID]*vm{}, routers: map[protocol.RouterID]*testRouter{}, cutOff: map[protocol.RouterID]bool{}, cacheHolders: map[protocol.RouterID][]balance.Kept{}}
 	for i := range vms {
 		w.startVM(protocol.RouterID(fmt.Sprintf("vm%d", i+1)))
 	}
-	w.tellVMs()
+	w.setDiskVMs()
 	return w
 }
 
@@ -49,8 +49,8 @@
 	w.vms[id] = &vm{roster: r, publisher: NewPublisher(r, 375_000)}
 }
 
-// tellVMs tells all disk VMs of each other, as the log's configuration does.
-func (w *world) tellVMs() {
+// setDiskVMs sets the list of disk VMs on all of them, as the log's configuration does.
+func (w *world) setDiskVMs() {
 	var ids []protocol.RouterID
 	for id := range w.vms {
 		ids = append(ids, id)
@@ -60,56 +60,56 @@
 	}
 }
 
-func (w *world) startRouter(id protocol.RouterID, seeds ...protocol.RouterID) *follow {
+func (w *world) startRouter(id protocol.RouterID, seeds ...protocol.RouterID) *testRouter {
 	r := roster.New(roster.DefaultSettings())
-	f := &follow{Follower: NewFollower(id, true, seeds, r), roster: r}
+	f := &testRouter{Follower: NewFollower(id, true, seeds, r), roster: r}
 	w.routers[id] = f
 	return f
 }
 
-// carry delivers messages until none is left.
-func (w *world) carry(from protocol.RouterID, sends []Send) {
-	for _, send := range sends {
-		if w.deaf[send.To] || w.deaf[from] {
+// deliver delivers messages, and the answers to them, until none is left.
+func (w *world) deliver(from protocol.RouterID, messages []Message) {
+	for _, message := range messages {
+		if w.cutOff[message.To] || w.cutOff[from] {
 			continue
 		}
-		switch body := send.Body.(type) {
+		switch body := message.Body.(type) {
 		case Watch:
-			if v := w.vms[send.To]; v != nil {
-				w.carry(send.To, v.publisher.Watched(w.now, from, body))
-			} else if r := w.routers[send.To]; r != nil {
-				r.Asked(w.now, from, body)
+			if v := w.vms[message.To]; v != nil {
+				w.deliver(message.To, v.publisher.HandleWatch(w.now, from, body))
+			} else if r := w.routers[message.To]; r != nil {
+				r.HandleWatch(w.now, from, body)
 			}
-		case News:
-			w.carry(send.To, w.routers[send.To].TakeNews(w.now, from, body))
+		case Status:
+			w.deliver(message.To, w.routers[message.To].HandleStatus(w.now, from, body))
 		case Changes:
-			w.carry(send.To, w.routers[send.To].TakeChanges(w.now, from, body))
+			w.deliver(message.To, w.routers[message.To].HandleChanges(w.now, from, body))
 		case ChangesAck:
-			w.vms[send.To].publisher.Acknowledged(from, body)
-		case Announced:
+			w.vms[message.To].publisher.HandleChangesAck(from, body)
+		case Announcements:
 			for _, e := range body.Entries {
-				w.tellOtherVMs(e)
+				w.mergeAtVMs(e)
 			}
-			ack, _ := w.vms[send.To].publisher.TakeAnnounced(w.now, from, body)
-			w.carry(send.To, []Send{ack})
-		case Heard:
+			ack, _ := w.vms[message.To].publisher.HandleAnnouncements(w.now, from, body)
+			w.deliver(message.To, []Message{ack})
+		case Heartbeats:
 			for _, heard := range body.Upstreams {
-				w.vms[send.To].roster.Refresh(w.now, heard)
+				w.vms[message.To].roster.Refresh(w.now, heard)
 			}
 		case List:
 			w.lists++
 			w.listBytes += len(body.Packed)
-			w.routers[send.To].TakeList(w.now, from, body)
+			w.routers[message.To].HandleList(w.now, from, body)
 		case balance.KeeperList:
-			if v := w.vms[send.To]; v != nil {
-				v.publisher.NoteKeepers(w.now, from, body)
-			} else if w.routers[send.To].TakeKeepers(w.now, body) {
-				w.keeps[send.To] = append(w.keeps[send.To], body.Kept()...)
+			if v := w.vms[message.To]; v != nil {
+				v.publisher.HandleCacheHolders(w.now, from, body)
+			} else if w.routers[message.To].HandleCacheHolders(w.now, body) {
+				w.cacheHolders[message.To] = append(w.cacheHolders[message.To], body.Kept()...)
 			}
 		case Document:
 			w.documents++
-			more, _ := w.routers[send.To].TakeDocument(w.now, from, body, func(*document.Document) error { return nil })
-			w.carry(send.To, more)
+			more, _ := w.routers[message.To].HandleDocument(w.now, from, body, func(*document.Document) error { return nil })
+			w.deliver(message.To, more)
 		}
 	}
 }
@@ -118,10 +118,10 @@
 	const step = 100 * time.Millisecond
 	for end := w.now + d; w.now < end; w.now += step {
 		for _, id := range inOrder(w.routers) {
-			w.carry(id, w.routers[id].Tick(w.now))
+			w.deliver(id, w.routers[id].Tick(w.now))
 		}
 		for _, id := range inOrder(w.vms) {
-			w.carry(id, w.vms[id].publisher.SendWaiting(w.now))
+			w.deliver(id, w.vms[id].publisher.SendWaiting(w.now))
 		}
 	}
 }
@@ -131,26 +131,26 @@
 	return slices.Sorted(maps.Keys(m))
 }
 
-// put brings a table in force on all disk VMs that aren't cut off.
-func (w *world) put(version uint64) {
+// putTable puts a table in force on all disk VMs that aren't cut off.
+func (w *world) putTable(version uint64) {
 	d := document.New(version, []byte(fmt.Sprint("table ", version)))
 	for _, id := range inOrder(w.vms) {
 		v := w.vms[id]
-		if !w.deaf[id] {
-			w.carry(id, v.publisher.SetDocument(w.now, d, document.Change{}))
+		if !w.cutOff[id] {
+			w.deliver(id, v.publisher.SetDocument(w.now, d, document.Change{}))
 		}
 	}
 }
 
-func (f *follow) version() uint64 {
+func (f *testRouter) version() uint64 {
 	if f.InForce() == nil {
 		return 0
 	}
 	return f.InForce().Version
 }
 
-// entriesOf returns the upstreams in a message with changes.
-func entriesOf(s Send) []roster.Entry {
+// entriesOf returns the entries in a message with changes.
+func entriesOf(s Message) []roster.Entry {
 	entries, err := s.Body.(Changes).all()
 	if err != nil {
 		panic(err)
--- a/daemon/diskvm/metrics.go
+++ b/daemon/diskvm/metrics.go
@@ -51,6 +51,6 @@
 	now := vm.now()
 	set("upstreams_usable", int64(vm.roster.Usable()))
 	set("routers_in_touch", int64(len(vm.publisher.Routers(now))))
-	set("disk_vms_in_touch", int64(vm.follower.InTouch(now)))
+	set("disk_vms_in_touch", int64(vm.follower.AliveDiskVMs(now)))
 	set("uptime_seconds", int64(now/time.Second))
 }
--- a/daemon/diskvm/remembered.go
+++ b/daemon/diskvm/remembered.go
@@ -158,7 +158,7 @@
 		vm.logNotRecalled(vm.remembered.table, err)
 		return
 	}
-	vm.publisher.Recall(document.New(table.Version, body))
+	vm.publisher.Restore(document.New(table.Version, body))
 	vm.log.Info().Str("event", "table-recalled").Uint64("version", table.Version).Int("bytes", len(body)).Send()
 }
 
@@ -168,7 +168,7 @@
 		vm.logNotRecalled(vm.remembered.keepers, err)
 		return
 	}
-	vm.publisher.Keepers().Recall(vm.now(), entries)
+	vm.publisher.CacheHolders().Recall(vm.now(), entries)
 	vm.log.Info().Str("event", "keepers-recalled").Int("prompts", len(entries)).Send()
 }
 
@@ -183,7 +183,7 @@
 	}
 	vm.remembered.at = now
 	vm.remembered.roster.put(codec.Marshal(vm.roster.Entries()))
-	vm.remembered.keepers.put(codec.MarshalArrays(vm.publisher.Keepers().Entries(now)))
+	vm.remembered.keepers.put(codec.MarshalArrays(vm.publisher.CacheHolders().Entries(now)))
 }
 
 // rememberTable hands the table in force to its writer.
--- a/daemon/diskvm/table.go
+++ b/daemon/diskvm/table.go
@@ -123,7 +123,7 @@
 	inForce, _ := vm.machine.InForce()
 	reply := control.PutReply{Call: put.Call, Outcome: document.OtherBase}
 	if inForce != nil {
-		reply.Held = inForce.Version
+		reply.InForce = inForce.Version
 	}
 	if outcome := document.Judge(inForce, put.Change.Version, put.Change.Result); outcome != document.Accepted {
 		reply.Outcome = outcome
--- a/daemon/diskvm/upstreams.go
+++ b/daemon/diskvm/upstreams.go
@@ -14,7 +14,7 @@
 	now := vm.now()
 	if vm.roster.Announced(now, e) {
 		vm.logUpstream(e.ID)
-		vm.publisher.Heard(e.ID)
+		vm.publisher.NoteChange(e.ID)
 	}
 	return vm.publisher.AnnounceAt(now, e)
 }
@@ -29,7 +29,7 @@
 		return
 	}
 	vm.logUpstream(id)
-	vm.publisher.Heard(id)
+	vm.publisher.NoteChange(id)
 }
 
 // logUpstream writes what is believed of an upstream.
--- a/daemon/diskvm/vm.go
+++ b/daemon/diskvm/vm.go
@@ -146,11 +146,11 @@
 	now := vm.now()
 	vm.noteMembership(now)
 	vm.fabric.SendAll(vm.follower.Tick(now))
-	vm.logBeliefs(vm.follower.Beliefs())
+	vm.logEvents(vm.follower.Events())
 	vm.rememberOften(now)
-	vm.fabric.SendAll(vm.publisher.PushHeard(now))
+	vm.fabric.SendAll(vm.publisher.PushChanges(now))
 	vm.fabric.SendAll(vm.publisher.SendWaiting(now))
-	vm.fabric.SendAll(vm.publisher.ShareKeepers(now, vm.options.Settings.Self()))
+	vm.fabric.SendAll(vm.publisher.ShareCacheHolders(now, vm.options.Settings.Self()))
 	if now-vm.expired >= expireInterval {
 		vm.expired = now
 		for _, id := range vm.roster.Expire(now) {
@@ -174,7 +174,7 @@
 	vms = slices.Compact(vms)
 	vm.publisher.SetDiskVMs(vms)
 	for _, id := range vms {
-		vm.follower.Name(now, id)
+		vm.follower.NoteDiskVM(now, id)
 	}
 	if leader := status.Leader.Router; leader != vm.leader {
 		vm.leader = leader
@@ -224,24 +224,24 @@
 	now := vm.now()
 	switch m := body.(type) {
 	case control.Watch:
-		vm.fabric.SendAll(vm.publisher.Watched(now, from, m))
-	case control.News:
-		vm.fabric.SendAll(vm.follower.TakeNews(now, from, m))
+		vm.fabric.SendAll(vm.publisher.HandleWatch(now, from, m))
+	case control.Status:
+		vm.fabric.SendAll(vm.follower.HandleStatus(now, from, m))
 	case control.Changes:
-		vm.fabric.SendAll(vm.follower.TakeChanges(now, from, m))
-	case control.Announced:
-		ack, changed := vm.publisher.TakeAnnounced(now, from, m)
+		vm.fabric.SendAll(vm.follower.HandleChanges(now, from, m))
+	case control.Announcements:
+		ack, changed := vm.publisher.HandleAnnouncements(now, from, m)
 		for _, id := range changed {
 			vm.logUpstream(id)
 		}
 		vm.fabric.Send(ack.To, ack.Body)
 	case balance.KeeperList:
-		vm.publisher.NoteKeepers(now, from, m)
+		vm.publisher.HandleCacheHolders(now, from, m)
 	case control.ChangesAck:
-		vm.publisher.Acknowledged(from, m)
+		vm.publisher.HandleChangesAck(from, m)
 	case control.List:
-		vm.follower.TakeList(now, from, m)
-	case control.Heard:
+		vm.follower.HandleList(now, from, m)
+	case control.Heartbeats:
 		for _, heard := range m.Upstreams {
 			// One that differs comes with the sender's list, whose digest differs too.
 			_ = vm.roster.Refresh(now, heard)
@@ -251,10 +251,10 @@
 	}
 }
 
-// logBeliefs writes a line for each change of what this VM believes of others.
-func (vm *VM) logBeliefs(beliefs []control.Belief) {
-	for _, b := range beliefs {
-		vm.log.Info().Str("event", b.What).Str("disk_vm", string(b.About)).Dur("age_ms", b.Age).Send()
+// logEvents writes a line for each event of the follower.
+func (vm *VM) logEvents(events []control.Event) {
+	for _, e := range events {
+		vm.log.Info().Str("event", e.Kind).Str("disk_vm", string(e.Peer)).Dur("age_ms", e.Age).Send()
 	}
 }
 
--- a/daemon/fabric/fabric.go
+++ b/daemon/fabric/fabric.go
@@ -103,9 +103,9 @@
 }
 
 // SendAll queues several messages.
-func (f *Fabric) SendAll(sends []control.Send) {
-	for _, send := range sends {
-		f.Send(send.To, send.Body)
+func (f *Fabric) SendAll(messages []control.Message) {
+	for _, message := range messages {
+		f.Send(message.To, message.Body)
 	}
 }
 
@@ -129,22 +129,22 @@
 		return wire.KindConsensus
 	case control.Watch:
 		return wire.KindWatch
-	case control.News:
-		return wire.KindNews
+	case control.Status:
+		return wire.KindStatus
 	case control.Changes:
-		return wire.KindRoster
+		return wire.KindChanges
 	case control.ChangesAck:
-		return wire.KindRosterAck
+		return wire.KindChangesAck
 	case control.List:
 		return wire.KindList
 	case control.Document:
 		return wire.KindDocument
-	case control.Heard:
-		return wire.KindHeard
-	case control.Announced:
-		return wire.KindAnnounced
-	case control.AnnouncedAck:
-		return wire.KindAnnouncedAck
+	case control.Heartbeats:
+		return wire.KindHeartbeats
+	case control.Announcements:
+		return wire.KindAnnouncements
+	case control.AnnouncementsAck:
+		return wire.KindAnnouncementsAck
 	case control.Put:
 		return wire.KindPut
 	case control.PutReply:
@@ -170,22 +170,22 @@
 		return decodeAs[consensus.Message](frame)
 	case wire.KindWatch:
 		return decodeAs[control.Watch](frame)
-	case wire.KindNews:
-		return decodeAs[control.News](frame)
-	case wire.KindRoster:
+	case wire.KindStatus:
+		return decodeAs[control.Status](frame)
+	case wire.KindChanges:
 		return decodeAs[control.Changes](frame)
-	case wire.KindRosterAck:
+	case wire.KindChangesAck:
 		return decodeAs[control.ChangesAck](frame)
 	case wire.KindList:
 		return decodeAs[control.List](frame)
 	case wire.KindDocument:
 		return decodeAs[control.Document](frame)
-	case wire.KindHeard:
-		return decodeAs[control.Heard](frame)
-	case wire.KindAnnounced:
-		return decodeAs[control.Announced](frame)
-	case wire.KindAnnouncedAck:
-		return decodeAs[control.AnnouncedAck](frame)
+	case wire.KindHeartbeats:
+		return decodeAs[control.Heartbeats](frame)
+	case wire.KindAnnouncements:
+		return decodeAs[control.Announcements](frame)
+	case wire.KindAnnouncementsAck:
+		return decodeAs[control.AnnouncementsAck](frame)
 	case wire.KindPut:
 		return decodeAs[control.Put](frame)
 	case wire.KindPutReply:
--- a/daemon/fabric/fabric_test.go
+++ b/daemon/fabric/fabric_test.go
@@ -23,14 +23,14 @@
 var messages = []any{
 	consensus.Message{Term: 3},
 	control.Watch{Router: true, Version: 7, WantList: true},
-	control.News{Version: 7, Roster: 1 << 63, Upstreams: 94},
+	control.Status{Version: 7, Roster: 1 << 63, Upstreams: 94},
 	control.Changes{Number: 2, Entries: []roster.Entry{{ID: "u1", Address: "10.0.0.1:80", State: roster.Draining, Sequence: 34}}},
 	control.ChangesAck{Number: 2},
 	control.List{Digest: 5, Packed: []byte{1, 2}},
 	control.Document{Change: document.MakeChange(nil, document.New(7, []byte("a table")))},
-	control.Heard{Upstreams: []roster.Heard{{ID: "u1", Sequence: 35, Content: 9}}},
-	control.Announced{Number: 3, Entries: []roster.Entry{{ID: "u1", Address: "10.0.0.1:80", State: roster.Ready, Sequence: 1}}},
-	control.AnnouncedAck{Number: 3},
+	control.Heartbeats{Upstreams: []roster.Heard{{ID: "u1", Sequence: 35, Content: 9}}},
+	control.Announcements{Number: 3, Entries: []roster.Entry{{ID: "u1", Address: "10.0.0.1:80", State: roster.Ready, Sequence: 1}}},
+	control.AnnouncementsAck{Number: 3},
 	control.Put{Call: 1},
 	control.PutReply{Call: 1},
 	control.Read{Call: 2},
@@ -55,7 +55,7 @@
 }
 
 func TestWhatIsNoMessageIsRefused(t *testing.T) {
-	for _, frame := range []wire.Frame{{Kind: 250}, {Kind: wire.KindNews, Payload: []byte("no news")}} {
+	for _, frame := range []wire.Frame{{Kind: 250}, {Kind: wire.KindStatus, Payload: []byte("no news")}} {
 		_, err := decode(frame)
 		assert.Assert(t, err != nil, "%+v", frame)
 	}
--- a/daemon/router/announcements.go
+++ b/daemon/router/announcements.go
@@ -88,7 +88,7 @@
 	if r.leaving.Load() {
 		return false, 0, nil
 	}
-	known, number, waits := r.follower.TakeAnnouncement(r.now(), e)
+	known, number, waits := r.follower.HandleAnnouncement(r.now(), e)
 	if !waits {
 		return known, 0, nil
 	}
--- a/daemon/router/fleet.go
+++ b/daemon/router/fleet.go
@@ -34,7 +34,7 @@
 
 // knowsEnough reports whether callers can be served well. The lock is held.
 func (r *Router) knowsEnough() bool {
-	return r.table.Load() != nil && r.book.AnyReady() && r.follower.KnowsMost(r.now())
+	return r.table.Load() != nil && r.book.AnyReady() && r.follower.KnowsMostUpstreams(r.now())
 }
 
 // Choose implements forward.Fleet.
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -120,7 +120,7 @@
 	r.follower = control.NewFollower(self, true, options.Settings.SeedPeers(), r.roster)
 	r.relay = control.NewRelay(control.Router{ID: self, DataCentre: options.Settings.DataCentre}, options.Settings.LinkRate())
 	r.follower.SetRelay(r.relay)
-	r.follower.SetAnnouncements(options.Settings.Listen.Announcements)
+	r.follower.SetAnnounceAddress(options.Settings.Listen.Announcements)
 	r.book = balance.NewBook(balance.Settings{
 		Multiple: options.Settings.Load.Multiple, Slack: options.Settings.Load.Slack,
 		DataCentre: options.Settings.DataCentre,
@@ -171,7 +171,7 @@
 	defer r.mu.Unlock()
 	now := r.now()
 	r.fabric.SendAll(r.follower.Tick(now))
-	r.logBeliefs()
+	r.logEvents()
 	r.noteRouters(now)
 	r.fabric.SendAll(r.relay.Due(now))
 	r.tellLoads(now)
@@ -195,7 +195,7 @@
 // forgetUnlisted drops the upstreams that no disk VM has listed for long. While
 // none is in touch all stay: they are the last that is known.
 func (r *Router) forgetUnlisted(now time.Duration) {
-	if r.follower.InTouch(now) == 0 {
+	if r.follower.AliveDiskVMs(now) == 0 {
 		r.unlistedSince = now
 		return
 	}
@@ -282,28 +282,28 @@
 	defer r.mu.Unlock()
 	now := r.now()
 	switch m := body.(type) {
-	case control.News:
-		r.fabric.SendAll(r.follower.TakeNews(now, from, m))
+	case control.Status:
+		r.fabric.SendAll(r.follower.HandleStatus(now, from, m))
 	case control.Changes:
-		r.fabric.SendAll(r.follower.TakeChanges(now, from, m))
+		r.fabric.SendAll(r.follower.HandleChanges(now, from, m))
 		r.takeRoster()
 	case control.List:
-		r.follower.TakeList(now, from, m)
+		r.follower.HandleList(now, from, m)
 		r.takeRoster()
 		r.fabric.SendAll(r.relay.Due(now))
 	case control.Document:
-		sends, _ := r.follower.TakeDocument(now, from, m, r.accept)
+		sends, _ := r.follower.HandleDocument(now, from, m, r.accept)
 		r.fabric.SendAll(sends)
 		r.fabric.SendAll(r.relay.Due(now))
 	case control.Watch:
-		r.follower.Asked(now, from, m)
+		r.follower.HandleWatch(now, from, m)
 		r.fabric.SendAll(r.relay.Due(now))
-	case control.AnnouncedAck:
+	case control.AnnouncementsAck:
 		r.announcements.acknowledged(m.Number)
 	case balance.Loads:
 		r.book.TakeLoads(now, from, m)
 	case balance.KeeperList:
-		if r.follower.TakeKeepers(now, m) {
+		if r.follower.HandleCacheHolders(now, m) {
 			kept := m.Kept()
 			r.log.Info().Str("event", "keepers-told").Str("from", string(from)).Int("prompts", len(kept)).Send()
 			r.book.RecallKeepers(now, kept)
@@ -314,7 +314,7 @@
 	default:
 		r.log.Warn().Str("event", "message-refused").Str("from", string(from)).Type("type", body).Send()
 	}
-	r.logBeliefs()
+	r.logEvents()
 }
 
 // accept puts a table in force.
@@ -342,11 +342,11 @@
 	return 0
 }
 
-// logBeliefs writes a line for each change of what this router believes.
-func (r *Router) logBeliefs() {
-	for _, b := range r.follower.Beliefs() {
-		r.log.Info().Str("event", b.What).Str("disk_vm", string(b.About)).Uint64("version", b.Version).
-			Int64("age_ms", b.Age.Milliseconds()).Send()
+// logEvents writes a line for each event of the follower.
+func (r *Router) logEvents() {
+	for _, e := range r.follower.Events() {
+		r.log.Info().Str("event", e.Kind).Str("disk_vm", string(e.Peer)).Uint64("version", e.Version).
+			Int64("age_ms", e.Age.Milliseconds()).Send()
 	}
 }
 
--- a/daemon/router/router_test.go
+++ b/daemon/router/router_test.go
@@ -42,12 +42,12 @@
 }
 
 // takeAnnounced takes what a router hands over.
-func (vm *diskVM) takeAnnounced(from protocol.RouterID, announced control.Announced) {
+func (vm *diskVM) takeAnnounced(from protocol.RouterID, announced control.Announcements) {
 	vm.mu.Lock()
 	defer vm.mu.Unlock()
 	if !vm.deaf {
-		ack, _ := vm.publisher.TakeAnnounced(time.Since(vm.started), from, announced)
-		vm.fabric.SendAll([]control.Send{ack})
+		ack, _ := vm.publisher.HandleAnnouncements(time.Since(vm.started), from, announced)
+		vm.fabric.SendAll([]control.Message{ack})
 	}
 }
 
@@ -73,7 +73,7 @@
 
 // Receive implements fabric.Receiver.
 func (vm *diskVM) Receive(from protocol.RouterID, body any) {
-	if announced, is := body.(control.Announced); is {
+	if announced, is := body.(control.Announcements); is {
 		vm.takeAnnounced(from, announced)
 		return
 	}
@@ -84,7 +84,7 @@
 	vm.mu.Lock()
 	defer vm.mu.Unlock()
 	now := time.Since(vm.started)
-	vm.fabric.SendAll(vm.publisher.Watched(now, from, watch))
+	vm.fabric.SendAll(vm.publisher.HandleWatch(now, from, watch))
 	vm.fabric.SendAll(vm.publisher.SendWaiting(now))
 }
 
--- a/daemon/router/serve.go
+++ b/daemon/router/serve.go
@@ -116,7 +116,7 @@
 	began := time.Now()
 	r.leaving.Store(true)
 	r.mu.Lock()
-	r.follower.SetAnnouncements("")
+	r.follower.SetAnnounceAddress("")
 	stop := r.settings.Stop
 	r.mu.Unlock()
 	r.log.Info().Str("event", "stopping").Int("active", r.handler.Active()).Send()
--- a/protocol/wire/wire.go
+++ b/protocol/wire/wire.go
@@ -98,21 +98,21 @@
 	KindEngineReply Kind = 41
 	// KindWatch to KindReadReply are the messages of coordination/control, between
 	// disk VMs and the routers that send to upstreams themselves.
-	KindWatch     Kind = 50
-	KindNews      Kind = 51
-	KindRoster    Kind = 52
-	KindDocument  Kind = 53
-	KindHeard     Kind = 54
-	KindPut       Kind = 55
-	KindPutReply  Kind = 56
-	KindRead      Kind = 57
-	KindReadReply Kind = 58
-	KindList      Kind = 59
-	KindRosterAck Kind = 64
-	// KindAnnounced and KindAnnouncedAck hand announcements from a router to a
+	KindWatch      Kind = 50
+	KindStatus     Kind = 51
+	KindChanges    Kind = 52
+	KindDocument   Kind = 53
+	KindHeartbeats Kind = 54
+	KindPut        Kind = 55
+	KindPutReply   Kind = 56
+	KindRead       Kind = 57
+	KindReadReply  Kind = 58
+	KindList       Kind = 59
+	KindChangesAck Kind = 64
+	// KindAnnouncements and KindAnnouncementsAck hand announcements from a router to a
 	// disk VM.
-	KindAnnounced    Kind = 65
-	KindAnnouncedAck Kind = 66
+	KindAnnouncements    Kind = 65
+	KindAnnouncementsAck Kind = 66
 	// KindKeepers goes between routers and disk VMs.
 	KindKeepers Kind = 67
 	// KindLoads to KindHomeReply go between those routers.
@@ -135,8 +135,8 @@
 	KindCheck: "check", KindAlive: "alive",
 	KindProbe:     "probe",
 	KindEngineAsk: "engine-ask", KindEngineReply: "engine-reply",
-	KindWatch: "watch", KindNews: "news", KindRoster: "roster", KindRosterAck: "roster-ack", KindList: "list", KindDocument: "document",
-	KindHeard: "heard", KindAnnounced: "announced", KindAnnouncedAck: "announced-ack", KindPut: "put", KindPutReply: "put-reply", KindRead: "read", KindReadReply: "read-reply",
+	KindWatch: "watch", KindStatus: "news", KindChanges: "roster", KindChangesAck: "roster-ack", KindList: "list", KindDocument: "document",
+	KindHeartbeats: "heard", KindAnnouncements: "announced", KindAnnouncementsAck: "announced-ack", KindPut: "put", KindPutReply: "put-reply", KindRead: "read", KindReadReply: "read-reply",
 	KindLoads: "loads", KindHome: "home", KindHomeReply: "home-reply", KindBlame: "blame", KindKeepers: "keepers",
 }
 
