--- a/state/cachefile/cachefile_test.go
+++ b/state/cachefile/cachefile_test.go
@@ -78,7 +78,7 @@
 		assert.NilError(t, Write(d, now, []byte("first")))
 		d.CutPowerAfter(random.IntN(7))
 		err := Write(d, now, []byte("second, which is longer"))
-		d.CrashApart(random)
+		d.CrashReordered(random)
 		content, found := Read(d, now, time.Hour)
 		confirmed := err == nil && string(content) == "second, which is longer"
 		underWay := err != nil && (string(content) == "first" || string(content) == "second, which is longer")
--- a/state/disk/fakedisk/fakedisk.go
+++ b/state/disk/fakedisk/fakedisk.go
@@ -1,7 +1,14 @@
-// Package fakedisk is a disk in memory for tests. Crash loses what was not
-// synced and may leave a torn tail; CrashApart keeps or loses each unsynced write
-// and name by itself. A test can also cut the power after some calls, flip bits,
-// make syncs fail and fill the disk. All randomness comes from the caller's source.
+// Package fakedisk implements a disk in memory for tests. Its type Disk simulates
+// the failures of a real disk:
+//
+//   - Crash loses unsynced data and may leave a torn write at the end of a file.
+//   - CrashReordered keeps or loses each unsynced write and name independently.
+//   - Restart kills the process but loses no data.
+//   - CutPowerAfter cuts the power after a number of calls.
+//   - FlipBit damages a file, FailSyncs makes syncs fail, SetCapacity fills the
+//     disk, and Stall blocks writes and syncs.
+//
+// All randomness comes from the caller's source.
 package fakedisk
 
 import (
@@ -15,48 +22,55 @@
 	"endiveplank/state/disk"
 )
 
-// Errors of the fake.
+// Errors of the fake disk.
 var (
-	// ErrSync is what a failing sync returns.
+	// ErrSync is returned by a sync while FailSyncs is on.
 	ErrSync = eris.New("fakedisk: sync failed")
-	// ErrFull is what an append returns on a full disk.
+	// ErrFull is returned by an append to a full disk.
 	ErrFull = eris.New("fakedisk: no space left")
-	// ErrCrashed is what a file returns that was opened before a crash.
-	ErrCrashed = eris.New("fakedisk: the disk went away")
+	// ErrCrashed is returned by calls on a disk without power, and by files that
+	// were opened before a crash.
+	ErrCrashed = eris.New("fakedisk: the disk lost power")
 )
 
-// inode is the content of a file, as written and as synced.
+// inode is a file.
 type inode struct {
+	// data is the content as written, synced the content at the last Sync.
 	data, synced []byte
-	// pending are the changes of the content since the last Sync.
+	// pending holds the changes of the content since the last Sync.
 	pending []write
 }
 
 // Disk is a disk.Disk in memory. It is safe for concurrent use.
 type Disk struct {
-	mu         sync.Mutex
-	names      map[string]*inode
-	syncedName map[string]*inode
-	// pending are the changes of names since the last SyncDir.
-	pending    []nameChange
+	mu          sync.Mutex
+	names       map[string]*inode
+	syncedNames map[string]*inode
+	// pending holds the changes of names since the last SyncDir.
+	pending []nameChange
+	// generation is incremented by each crash or restart. Files of an earlier
+	// generation return ErrCrashed.
 	generation int
-	// callsLeft is how many calls still have power, if it is to be cut.
-	callsLeft int
-	cutting   bool
-	failSyncs bool
-	capacity  int
-	syncs     int
-	// resumed is closed when a disk that answers nothing does so again; nil while it
-	// does.
+	// callsLeft is the number of calls that still have power, if powerCutArmed is
+	// set.
+	callsLeft     int
+	powerCutArmed bool
+	failSyncs     bool
+	// capacity bounds the bytes of all files, 0 means no bound.
+	capacity int
+	// syncs counts the syncs of files.
+	syncs int
+	// resumed is closed when a stalled disk resumes. It is nil unless the disk is
+	// stalled.
 	resumed chan struct{}
 }
 
-// New returns an empty disk without limit.
+// New returns an empty disk of unlimited capacity.
 func New() *Disk {
-	return &Disk{names: map[string]*inode{}, syncedName: map[string]*inode{}}
+	return &Disk{names: map[string]*inode{}, syncedNames: map[string]*inode{}}
 }
 
-// Stall makes the disk answer nothing until Resume.
+// Stall blocks all appends to files and all syncs of files until Resume.
 func (d *Disk) Stall() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -75,15 +89,15 @@
 	}
 }
 
-// Stalled reports whether the disk answers nothing.
+// Stalled reports whether the disk is stalled.
 func (d *Disk) Stalled() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.resumed != nil
 }
 
-// await returns once the disk answers.
-func (d *Disk) await() {
+// waitWhileStalled blocks until the disk is not stalled.
+func (d *Disk) waitWhileStalled() {
 	d.mu.Lock()
 	resumed := d.resumed
 	d.mu.Unlock()
@@ -92,14 +106,14 @@
 	}
 }
 
-// FailSyncs makes every later sync fail, or succeed again.
+// FailSyncs makes every later sync fail if fail is set, and succeed otherwise.
 func (d *Disk) FailSyncs(fail bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.failSyncs = fail
 }
 
-// SetCapacity bounds the bytes of all files; 0 means no bound.
+// SetCapacity bounds the total size of all files in bytes. 0 means no bound.
 func (d *Disk) SetCapacity(capacity int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -113,7 +127,7 @@
 	return d.syncs
 }
 
-// FlipBit flips one bit of a file, as written and as synced.
+// FlipBit flips one bit of a file, in the written and in the synced content.
 func (d *Disk) FlipBit(name string, bit int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -127,7 +141,7 @@
 func (d *Disk) Create(name string) (disk.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !d.powered() {
+	if !d.consumePoweredCall() {
 		return nil, ErrCrashed
 	}
 	node := &inode{}
@@ -173,11 +187,11 @@
 	if err != nil {
 		return err
 	}
-	if !d.powered() {
+	if !d.consumePoweredCall() {
 		return ErrCrashed
 	}
 	node.data = slices.Clone(node.data[:size])
-	node.pending = append(node.pending, write{at: int(size), cut: true})
+	node.pending = append(node.pending, write{at: int(size), truncates: true})
 	return nil
 }
 
@@ -189,7 +203,7 @@
 	if err != nil {
 		return err
 	}
-	if !d.powered() {
+	if !d.consumePoweredCall() {
 		return ErrCrashed
 	}
 	d.rename(from, to, node)
@@ -203,7 +217,7 @@
 	if _, err := d.find(name); err != nil {
 		return err
 	}
-	if !d.powered() {
+	if !d.consumePoweredCall() {
 		return ErrCrashed
 	}
 	d.setName(name, nil)
@@ -221,18 +235,18 @@
 func (d *Disk) SyncDir() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !d.powered() {
+	if !d.consumePoweredCall() {
 		return ErrCrashed
 	}
 	if d.failSyncs {
 		return eris.Wrap(ErrSync, "folder")
 	}
-	d.syncedName = maps.Clone(d.names)
+	d.syncedNames = maps.Clone(d.names)
 	d.pending = nil
 	return nil
 }
 
-// used returns the bytes of all files.
+// used returns the total size of all files in bytes.
 func (d *Disk) used() int {
 	sum := 0
 	for _, node := range d.names {
@@ -248,12 +262,12 @@
 	generation int
 }
 
-// Append implements disk.File. A full disk takes a part.
+// Append implements disk.File. If the disk gets full, a part of data is written.
 func (f *file) Append(data []byte) error {
-	f.disk.await()
+	f.disk.waitWhileStalled()
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
-	if f.generation != f.disk.generation || !f.disk.powered() {
+	if f.generation != f.disk.generation || !f.disk.consumePoweredCall() {
 		return ErrCrashed
 	}
 	if f.disk.capacity > 0 {
@@ -269,10 +283,10 @@
 
 // Sync implements disk.File.
 func (f *file) Sync() error {
-	f.disk.await()
+	f.disk.waitWhileStalled()
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
-	if f.generation != f.disk.generation || !f.disk.powered() {
+	if f.generation != f.disk.generation || !f.disk.consumePoweredCall() {
 		return ErrCrashed
 	}
 	if f.disk.failSyncs {
--- a/state/disk/fakedisk/power.go
+++ b/state/disk/fakedisk/power.go
@@ -7,49 +7,50 @@
 	"slices"
 )
 
-// write is a change of a file's content that isn't synced.
+// write is an unsynced change of a file's content: data at an offset.
 type write struct {
 	at   int
 	data []byte
-	// cut says that the file was cut at that size.
-	cut bool
+	// truncates is set if the change truncates the file. at is then the new size.
+	truncates bool
 }
 
-// nameChange gives a name another file, none for nil, that isn't synced. from is the
-// name that a renamed file had.
+// nameChange is an unsynced change of a name: node is the file that the name
+// refers to from then on, nil if the name is removed. If a file was renamed, from
+// is its former name.
 type nameChange struct {
 	name, from string
 	node       *inode
 }
 
-// append adds to the end of a file.
+// append writes data at the end of the file.
 func (n *inode) append(data []byte) {
 	n.pending = append(n.pending, write{at: len(n.data), data: slices.Clone(data)})
 	n.data = append(n.data, data...)
 }
 
-// settle makes a content the one that is on the disk.
-func (n *inode) settle(data []byte) {
+// setSynced replaces the file's content, as if it was written and synced.
+func (n *inode) setSynced(data []byte) {
 	n.data = data
 	n.synced = slices.Clone(data)
 	n.pending = nil
 }
 
-// setName gives a name a file, none for nil.
+// setName makes a name refer to a file, or removes the name if node is nil.
 func (d *Disk) setName(name string, node *inode) {
 	change := nameChange{name: name, node: node}
 	d.pending = append(d.pending, change)
 	change.apply(d.names)
 }
 
-// rename gives a file another name.
+// rename renames a file.
 func (d *Disk) rename(from, to string, node *inode) {
 	change := nameChange{name: to, from: from, node: node}
 	d.pending = append(d.pending, change)
 	change.apply(d.names)
 }
 
-// apply makes the change.
+// apply carries out the change in names.
 func (c nameChange) apply(names map[string]*inode) {
 	if c.from != "" {
 		delete(names, c.from)
@@ -61,74 +62,78 @@
 	names[c.name] = c.node
 }
 
-// CutPowerAfter lets so many more calls that change something through. All later
-// ones fail until Crash, CrashApart or Restart.
+// CutPowerAfter cuts the power after the given number of further calls that change
+// something. All later ones fail until Crash, CrashReordered or Restart.
 func (d *Disk) CutPowerAfter(calls int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.cutting = true
+	d.powerCutArmed = true
 	d.callsLeft = calls
 }
 
-// powered reports whether a call that changes something still has power, and
-// counts it.
-func (d *Disk) powered() bool {
-	if !d.cutting {
+// consumePoweredCall reports whether a call that changes something still has
+// power, and counts the call.
+func (d *Disk) consumePoweredCall() bool {
+	if !d.powerCutArmed {
 		return true
 	}
 	d.callsLeft--
 	return d.callsLeft >= 0
 }
 
-// restorePower starts the disk again. Files opened before are dead.
+// restorePower starts the disk again. Files that were opened before return
+// ErrCrashed from then on.
 func (d *Disk) restorePower() {
 	d.generation++
-	d.cutting = false
+	d.powerCutArmed = false
 }
 
-// Crash loses power: names return to the last SyncDir, contents to the last
-// Sync, plus a random part of what was appended since, whose last byte may be
-// damaged. Files opened before are dead.
+// Crash simulates a power loss. Names return to their state at the last SyncDir.
+// Contents return to their state at the last Sync, plus a random prefix of what
+// was appended since, whose last byte may be damaged. Files that were opened
+// before return ErrCrashed from then on.
 func (d *Disk) Crash(random *rand.Rand) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.restorePower()
-	d.names = maps.Clone(d.syncedName)
+	d.names = maps.Clone(d.syncedNames)
 	d.pending = nil
 	for _, name := range slices.Sorted(maps.Keys(d.names)) {
 		d.names[name].crash(random)
 	}
 }
 
-// CrashApart loses power like a file system that writes back in any order: each
-// change of a name since the last SyncDir, and each change of a file's content
-// since its last Sync, is kept, lost or, for writes, torn by itself. At some
-// losses all of them are gone. Files opened before are dead.
-func (d *Disk) CrashApart(random *rand.Rand) {
+// CrashReordered simulates a power loss on a file system that writes back in any
+// order. Each change of a name since the last SyncDir and each change of a file's
+// content since its last Sync is kept or lost independently of the others, and a
+// kept write may be torn. Some power losses lose all unsynced changes, others keep
+// all of them. Files that were opened before return ErrCrashed from then on.
+func (d *Disk) CrashReordered(random *rand.Rand) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.restorePower()
-	kept := keptShares[random.IntN(len(keptShares))]
-	found := nodes(d.names, d.syncedName)
-	d.names = maps.Clone(d.syncedName)
+	keepProbability := keepProbabilities[random.IntN(len(keepProbabilities))]
+	inodes := distinctInodes(d.names, d.syncedNames)
+	d.names = maps.Clone(d.syncedNames)
 	for _, change := range d.pending {
-		if random.Float64() < kept {
+		if random.Float64() < keepProbability {
 			change.apply(d.names)
 		}
 	}
 	d.pending = nil
-	d.syncedName = maps.Clone(d.names)
-	for _, node := range found {
-		node.crashApart(random, kept)
+	d.syncedNames = maps.Clone(d.names)
+	for _, node := range inodes {
+		node.crashReordered(random, keepProbability)
 	}
 }
 
-// keptShares are the shares of unsynced changes that losses of power keep.
-var keptShares = []float64{0, 0.2, 0.5, 0.8, 1}
+// keepProbabilities are the probabilities with which a power loss keeps an
+// unsynced change. Each power loss draws one of them.
+var keepProbabilities = []float64{0, 0.2, 0.5, 0.8, 1}
 
-// nodes returns all files that any of the names lead to, each once, in an order
+// distinctInodes returns all files that the names refer to, each once, in an order
 // that is the same in every run.
-func nodes(names ...map[string]*inode) []*inode {
+func distinctInodes(names ...map[string]*inode) []*inode {
 	var all []*inode
 	for _, some := range names {
 		for _, name := range slices.Sorted(maps.Keys(some)) {
@@ -140,16 +145,16 @@
 	return all
 }
 
-// crashApart keeps, loses or tears each unsynced change. What a lost write leaves
-// out before a kept one reads as zeros, and so does, at times, the end of the
-// file.
-func (n *inode) crashApart(random *rand.Rand, kept float64) {
+// crashReordered keeps, loses or tears each unsynced change. A lost write before a
+// kept one reads as zeros. Sometimes the file keeps its full length, and its lost
+// end reads as zeros, too.
+func (n *inode) crashReordered(random *rand.Rand, keepProbability float64) {
 	content := slices.Clone(n.synced)
 	for _, w := range n.pending {
-		if random.Float64() >= kept {
+		if random.Float64() >= keepProbability {
 			continue
 		}
-		if w.cut {
+		if w.truncates {
 			content = content[:min(len(content), w.at)]
 			continue
 		}
@@ -157,16 +162,17 @@
 		if random.IntN(4) == 0 {
 			data = data[:random.IntN(len(data)+1)]
 		}
-		content = place(content, w.at, data)
+		content = writeAt(content, w.at, data)
 	}
-	if len(content) < len(n.data) && kept > 0 && random.IntN(4) == 0 {
-		content = place(content, len(n.data), nil)
+	if len(content) < len(n.data) && keepProbability > 0 && random.IntN(4) == 0 {
+		content = writeAt(content, len(n.data), nil)
 	}
-	n.settle(content)
+	n.setSynced(content)
 }
 
-// place writes data at an offset, with zeros before it where the file ends sooner.
-func place(content []byte, at int, data []byte) []byte {
+// writeAt writes data at an offset. If the content ends before the offset, zeros
+// fill the gap.
+func writeAt(content []byte, at int, data []byte) []byte {
 	if short := at + len(data) - len(content); short > 0 {
 		content = append(content, make([]byte, short)...)
 	}
@@ -174,17 +180,21 @@
 	return content
 }
 
-// Restart kills the process but not the disk: everything written stays.
+// Restart simulates the end of the process without a power loss: everything that
+// was written is kept. Files that were opened before return ErrCrashed from then
+// on.
 func (d *Disk) Restart() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.restorePower()
 }
 
-// crash keeps the synced part and a torn rest.
+// crash keeps the synced content and a random prefix of what was appended since,
+// whose last byte may be damaged. If the file was truncated below its synced size,
+// crash keeps the synced content alone.
 func (n *inode) crash(random *rand.Rand) {
 	if !bytes.HasPrefix(n.data, n.synced) {
-		n.settle(slices.Clone(n.synced))
+		n.setSynced(slices.Clone(n.synced))
 		return
 	}
 	unsynced := len(n.data) - len(n.synced)
@@ -193,5 +203,5 @@
 	if kept > len(n.synced) && random.IntN(2) == 0 {
 		torn[kept-1] ^= byte(1 + random.IntN(255))
 	}
-	n.settle(torn)
+	n.setSynced(torn)
 }
--- a/state/disk/os.go
+++ b/state/disk/os.go
@@ -8,14 +8,15 @@
 	"github.com/rotisserie/eris"
 )
 
-// Permissions of the data folder and its files: customers' rows are nobody
-// else's business.
+// Permissions of the data folder and its files. Other users must not read
+// customers' rows.
 const (
 	folderMode = 0o700
 	fileMode   = 0o600
 )
 
-// lockName is the file that keeps a second process out of the folder.
+// lockName is the name of the lock file, which keeps a second process from using
+// the folder.
 const lockName = "lock"
 
 // ErrLocked means that another process uses the data folder.
@@ -27,16 +28,17 @@
 	lock   *os.File
 }
 
-// Open makes the folder if needed, and last, and locks it.
+// Open creates the folder durably if it doesn't exist, and locks it.
 //
-// Failure: two daemons started by mistake write the same log, and its frames
-// interleave. The lock goes with the process, so a killed one leaves none.
+// Failure: two daemons are started by mistake and write the same log, so that
+// their frames interleave. The kernel releases the lock when the process ends, so
+// a killed process leaves no lock behind.
 func Open(folder string) (*OS, error) {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
-		return nil, eris.Wrapf(err, "disk: make data folder %s", folder)
+		return nil, eris.Wrapf(err, "disk: create data folder %q", folder)
 	}
-	// Without this a power loss could take a new folder with all that was
-	// synced in it.
+	// Without this sync a power loss could drop a new folder with everything that
+	// was synced in it.
 	if err := syncFolder(filepath.Dir(folder)); err != nil {
 		return nil, err
 	}
@@ -46,12 +48,12 @@
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		_ = lock.Close()
-		return nil, eris.Wrapf(ErrLocked, "folder %s", folder)
+		return nil, eris.Wrapf(ErrLocked, "folder %q", folder)
 	}
 	return &OS{folder: folder, lock: lock}, nil
 }
 
-// Close releases the folder.
+// Close unlocks the folder.
 func (d *OS) Close() error {
 	return eris.Wrap(d.lock.Close(), "disk: close lock file")
 }
@@ -73,7 +75,7 @@
 func (d *OS) open(name string, flags int) (File, error) {
 	f, err := os.OpenFile(d.path(name), flags, fileMode)
 	if err != nil {
-		return nil, eris.Wrapf(err, "disk: open %s", name)
+		return nil, eris.Wrapf(err, "disk: open %q", name)
 	}
 	return osFile{f}, nil
 }
@@ -81,17 +83,17 @@
 // ReadAll implements Disk.
 func (d *OS) ReadAll(name string) ([]byte, error) {
 	data, err := os.ReadFile(d.path(name))
-	return data, eris.Wrapf(err, "disk: read %s", name)
+	return data, eris.Wrapf(err, "disk: read %q", name)
 }
 
 // Truncate implements Disk.
 func (d *OS) Truncate(name string, size int64) error {
-	return eris.Wrapf(os.Truncate(d.path(name), size), "disk: truncate %s", name)
+	return eris.Wrapf(os.Truncate(d.path(name), size), "disk: truncate %q", name)
 }
 
 // Rename implements Disk.
 func (d *OS) Rename(from, to string) error {
-	return eris.Wrapf(os.Rename(d.path(from), d.path(to)), "disk: rename %s", from)
+	return eris.Wrapf(os.Rename(d.path(from), d.path(to)), "disk: rename %q", from)
 }
 
 // Remove implements Disk.
@@ -119,17 +121,17 @@
 	return syncFolder(d.folder)
 }
 
-// syncFolder makes the names in a folder last.
+// syncFolder makes the names in a folder durable.
 func syncFolder(path string) error {
 	folder, err := os.Open(path)
 	if err != nil {
-		return eris.Wrapf(err, "disk: open folder %s", path)
+		return eris.Wrapf(err, "disk: open folder %q", path)
 	}
 	defer func() { _ = folder.Close() }()
-	return eris.Wrapf(folder.Sync(), "disk: sync folder %s", path)
+	return eris.Wrapf(folder.Sync(), "disk: sync folder %q", path)
 }
 
-// osFile is a File of the operating system.
+// osFile is a File on a real file system.
 type osFile struct {
 	f *os.File
 }
--- a/state/replica/repair_test.go
+++ b/state/replica/repair_test.go
@@ -143,7 +143,7 @@
 		}
 		for _, id := range f.peers {
 			f.stop(id)
-			disks[id].CrashApart(random)
+			disks[id].CrashReordered(random)
 		}
 		for _, at := range random.Perm(len(f.peers))[:2] {
 			disks[f.peers[at]] = fakedisk.New()
--- a/state/wal/apart_test.go
+++ b/state/wal/apart_test.go
@@ -123,7 +123,7 @@
 		if h.random.IntN(4) == 0 {
 			h.disk.Restart()
 		} else {
-			h.disk.CrashApart(h.random)
+			h.disk.CrashReordered(h.random)
 		}
 		again := h.random.IntN(3) == 0
 		if again {
