--- a/state/wal/bench_test.go
+++ b/state/wal/bench_test.go
@@ -11,19 +11,20 @@
 	"endiveplank/state/disk"
 )
 
-// benchEntry is the size of an order's record with its key and digest.
-const benchEntryBytes = 200
+// benchEntrySize is the size in bytes of an order's record with its key and
+// digest.
+const benchEntrySize = 200
 
 func benchEntries(from uint64, n int) []consensus.Entry {
 	all := make([]consensus.Entry, n)
 	for i := range all {
-		all[i] = consensus.Entry{Index: from + uint64(i), Term: 1, Kind: consensus.EntryCommand, Data: make([]byte, benchEntryBytes)}
+		all[i] = consensus.Entry{Index: from + uint64(i), Term: 1, Kind: consensus.EntryCommand, Data: make([]byte, benchEntrySize)}
 	}
 	return all
 }
 
-// BenchmarkAppend measures entries a second and syncs per entry on the real
-// file system, against the number of entries per sync.
+// BenchmarkAppend measures entries per second and syncs per entry on the real
+// file system for several numbers of entries per sync.
 func BenchmarkAppend(b *testing.B) {
 	for _, batch := range []int{1, 4, 16, 64, 256, 1024} {
 		b.Run(fmt.Sprintf("batch=%d", batch), func(b *testing.B) {
@@ -43,7 +44,8 @@
 	}
 }
 
-// BenchmarkReopen measures the opening of a log of so many entries.
+// BenchmarkReopen measures how long it takes to open a log for several numbers of
+// entries.
 func BenchmarkReopen(b *testing.B) {
 	for _, n := range []int{1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("entries=%d", n), func(b *testing.B) {
--- a/state/wal/doc.go
+++ b/state/wal/doc.go
@@ -1,28 +1,35 @@
-// Package wal keeps a member's hard state, log entries and snapshots in one
-// data folder, so that what was acknowledged is there after a restart.
+// Package wal is the write-ahead log of a consensus member. It stores the
+// member's hard state, log entries and snapshots in one data folder, so that
+// everything the member has acknowledged is still there after a restart.
 //
-// Files:
+// Open reads or formats a folder and returns a Log. Log.Append and Log.Sync
+// write entries, Log.SaveSnapshot writes snapshots and removes the segments that
+// they replace.
 //
-//   - identity: router and disk identifier, written when the folder is first
-//     used. A wiped folder gets a new one.
+// The folder holds these files:
+//
+//   - identity: the router ID and the disk ID, written when the folder is first
+//     used. A wiped folder gets a new disk ID.
 //   - log-N: segments of the log. A header (format version, disk, number,
 //     first frame) is followed by frames. Each frame holds the records of one
-//     sync and a CRC-32C, so one sync covers many entries. An end byte follows;
-//     segments of version 1 have none, are read, and are not appended to.
+//     sync and a CRC-32C, so one sync covers many entries. An end byte follows
+//     each frame. Segments of version 1 have no end bytes; Open reads them but
+//     never appends to them.
 //   - snapshot-INDEX: a snapshot, written to a temporary file, synced and
-//     renamed. A newer snapshot lets older segments go.
+//     renamed. A newer snapshot allows older segments to be removed.
 //
-// Because a frame is written only after the frame before it is synced, a
-// damaged frame at the very end is an unfinished write that nobody was told
-// of, and is cut. A damaged frame with a good one after it was once synced:
-// the folder is refused with CorruptionError, since cutting there would take
-// back acknowledgements. A last frame in which a single bit is wrong is
-// refused too, if the end byte behind it shows that its write was finished.
+// A frame is written only after the previous frame is synced. A damaged frame at
+// the very end is therefore an unfinished write that was never acknowledged, and
+// Open truncates the segment before it. A damaged frame with a valid frame after
+// it was synced once: Open refuses the folder with CorruptionError, because
+// truncating there would drop acknowledged entries. Open also refuses a folder
+// whose last frame has a single wrong bit, if the end byte after the frame shows
+// that its write was finished.
 //
 // Limit: several wrong bits in the very last frame cannot be told from an
-// unfinished write and are cut.
+// unfinished write, so Open truncates that frame.
 //
-// A failed write or sync poisons the Log (ErrFailed): after a failed sync the
-// kernel may have dropped the pages, so trying again could succeed without
-// the data on disk. The voter must stop.
+// After a failed write or sync the Log refuses all further writes (ErrFailed).
+// After a failed sync the kernel may have dropped the dirty pages, so a retry
+// could succeed without the data on disk. The voter must stop.
 package wal
--- a/state/wal/errors.go
+++ b/state/wal/errors.go
@@ -2,11 +2,11 @@
 
 import "fmt"
 
-// CorruptionError refuses a folder whose synced data is damaged. Restore the
-// disk from another one, or wipe the folder: the router then comes back as a
-// learner and is repaired by the others.
+// CorruptionError means that synced data in the folder is damaged, so the log
+// wasn't opened. Restore the folder from an intact copy, or wipe it: the router
+// then rejoins as a learner and receives the state from the other members.
 type CorruptionError struct {
-	// File and Offset name the place; the offset is in bytes.
+	// File and Offset are the location of the damage. Offset is in bytes.
 	File   string
 	Offset int64
 	Reason string
@@ -17,17 +17,18 @@
 	return fmt.Sprintf("wal: %s is damaged at byte %d: %s", e.File, e.Offset, e.Reason)
 }
 
-// ForeignDiskError refuses a folder that another router wrote.
+// ForeignDiskError means that the folder belongs to another router.
 type ForeignDiskError struct {
 	Own, Found string
 }
 
 // Error implements error.
 func (e ForeignDiskError) Error() string {
-	return fmt.Sprintf("wal: the data folder belongs to router %s, this is %s", e.Found, e.Own)
+	return fmt.Sprintf("wal: the data folder belongs to router %q, but this is router %q", e.Found, e.Own)
 }
 
-// VersionError refuses a file of a format that this program does not know.
+// VersionError means that a file has a format version that this program doesn't
+// support.
 type VersionError struct {
 	File    string
 	Version uint32
@@ -35,17 +36,17 @@
 
 // Error implements error.
 func (e VersionError) Error() string {
-	return fmt.Sprintf("wal: %s has format version %d, this program knows %d", e.File, e.Version, formatVersion)
+	return fmt.Sprintf("wal: %s has format version %d, this program supports version %d", e.File, e.Version, formatVersion)
 }
 
-// ErrFailed means that a write or sync failed. The Log takes no more.
+// ErrFailed means that a write or sync failed. The Log refuses all further writes.
 type ErrFailed struct {
 	Cause error
 }
 
 // Error implements error.
 func (e ErrFailed) Error() string {
-	return "wal: the disk failed and the log is closed: " + e.Cause.Error()
+	return "wal: a write or sync failed, the log accepts no more writes: " + e.Cause.Error()
 }
 
 // Unwrap returns the cause.
--- a/state/wal/identity.go
+++ b/state/wal/identity.go
@@ -15,10 +15,10 @@
 
 // Names of files in the data folder.
 const (
-	identityName   = "identity"
-	segmentPrefix  = "log-"
-	snapshotPrefix = "snapshot-"
-	temporary      = ".tmp"
+	identityName    = "identity"
+	segmentPrefix   = "log-"
+	snapshotPrefix  = "snapshot-"
+	temporarySuffix = ".tmp"
 )
 
 // identity is the content of the identity file.
@@ -28,7 +28,7 @@
 	Disk    consensus.DiskID  `msgpack:"d"`
 }
 
-// newDiskID draws an identifier that is not zero.
+// newDiskID returns a random disk ID other than zero.
 func newDiskID(random *rand.Rand) consensus.DiskID {
 	for {
 		if id := consensus.DiskID(random.Uint64()); id != 0 {
@@ -37,7 +37,7 @@
 	}
 }
 
-// readIdentity returns the identity of the folder, and false if it has none.
+// readIdentity reads the identity file. It returns false if there is none.
 func readIdentity(d disk.Disk) (identity, bool, error) {
 	data, err := d.ReadAll(identityName)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -46,13 +46,13 @@
 	if err != nil {
 		return identity{}, false, err
 	}
-	frame, ok := frameAt(data)
-	if !ok || !frameIsGood(frame) {
-		return identity{}, false, CorruptionError{File: identityName, Reason: "bad checksum"}
+	frame, ok := parseFrame(data)
+	if !ok || !hasValidChecksum(frame) {
+		return identity{}, false, CorruptionError{File: identityName, Reason: "wrong checksum or length of the frame"}
 	}
 	var id identity
-	if err := msgpack.Unmarshal(frame[frameHeader:], &id); err != nil {
-		return identity{}, false, CorruptionError{File: identityName, Reason: "cannot be decoded"}
+	if err := msgpack.Unmarshal(frame[frameHeaderSize:], &id); err != nil {
+		return identity{}, false, CorruptionError{File: identityName, Reason: "the identity cannot be decoded: " + err.Error()}
 	}
 	if id.Version != formatVersion {
 		return identity{}, false, VersionError{File: identityName, Version: id.Version}
@@ -60,7 +60,7 @@
 	return id, true, nil
 }
 
-// writeIdentity makes an identity last.
+// writeIdentity writes the identity file durably.
 func writeIdentity(d disk.Disk, id identity) error {
 	payload, err := msgpack.Marshal(id)
 	if err != nil {
@@ -69,10 +69,10 @@
 	return replaceFile(d, identityName, encodeFrame(0, payload))
 }
 
-// replaceFile writes a file so that after a crash it is the old one or the
-// new one, whole.
+// replaceFile replaces a file atomically and durably: after a crash the complete
+// old content or the complete new content is there.
 func replaceFile(d disk.Disk, name string, content []byte) error {
-	f, err := d.Create(name + temporary)
+	f, err := d.Create(name + temporarySuffix)
 	if err != nil {
 		return err
 	}
@@ -85,7 +85,7 @@
 	if err := f.Close(); err != nil {
 		return err
 	}
-	if err := d.Rename(name+temporary, name); err != nil {
+	if err := d.Rename(name+temporarySuffix, name); err != nil {
 		return err
 	}
 	return d.SyncDir()
--- a/state/wal/open.go
+++ b/state/wal/open.go
@@ -1,6 +1,7 @@
 package wal
 
 import (
+	"fmt"
 	"math/rand/v2"
 	"strconv"
 	"strings"
@@ -12,27 +13,29 @@
 	"endiveplank/state/disk"
 )
 
-// DefaultSegmentBytes is the size at which a new segment starts. It bounds
-// what one removal frees and what a scan for damage reads.
+// DefaultSegmentBytes is the size at which a new segment starts. It bounds how
+// much space one removal frees and how much a scan for damage reads.
 const DefaultSegmentBytes = 8 << 20
 
-// Options say whose log it is.
+// Options are the parameters of Open.
 type Options struct {
+	// Router is the router that owns the log.
 	Router protocol.RouterID
-	// SegmentBytes is the size of a segment; 0 means DefaultSegmentBytes.
+	// SegmentBytes is the size of a segment. 0 means DefaultSegmentBytes.
 	SegmentBytes int64
-	// Random draws the identity of a new disk.
+	// Random generates the disk ID of a new folder.
 	Random *rand.Rand
 }
 
-// Open reads the folder, or formats an empty one, and returns what it holds.
-// Errors: CorruptionError, ForeignDiskError, VersionError, those of the disk.
+// Open reads the log in a folder, or formats an empty folder, and returns the log
+// and the state stored in it. Errors: CorruptionError, ForeignDiskError,
+// VersionError, and those of the disk.
 func Open(d disk.Disk, options Options) (*Log, consensus.Stored, error) {
 	if options.SegmentBytes == 0 {
 		options.SegmentBytes = DefaultSegmentBytes
 	}
 	l := &Log{disk: d, options: options}
-	names, err := l.removeTemporary()
+	names, err := l.removeTemporaryFiles()
 	if err != nil {
 		return nil, consensus.Stored{}, err
 	}
@@ -54,16 +57,16 @@
 	return l, stored, nil
 }
 
-// removeTemporary removes files that a crash left half written, and returns
-// the names of the others.
-func (l *Log) removeTemporary() ([]string, error) {
+// removeTemporaryFiles removes temporary files that a crash left behind, and
+// returns the names of the other files.
+func (l *Log) removeTemporaryFiles() ([]string, error) {
 	names, err := l.disk.List()
 	if err != nil {
 		return nil, err
 	}
 	kept := names[:0]
 	for _, name := range names {
-		if !strings.HasSuffix(name, temporary) {
+		if !strings.HasSuffix(name, temporarySuffix) {
 			kept = append(kept, name)
 			continue
 		}
@@ -74,11 +77,11 @@
 	return kept, nil
 }
 
-// format starts a new log. The first segment comes before the identity, so a
-// folder with an identity but no log has lost its log.
+// format starts a new log. It writes the first segment before the identity, so a
+// folder with an identity but without segments must have lost its log.
 func (l *Log) format(names []string) (*Log, consensus.Stored, error) {
 	for _, name := range names {
-		if err := l.removeUnfinished(name); err != nil {
+		if err := l.removeUnfinishedFormat(name); err != nil {
 			return nil, consensus.Stored{}, err
 		}
 	}
@@ -92,24 +95,26 @@
 	return l, consensus.Stored{}, nil
 }
 
-// removeUnfinished removes the first segment of a formatting that a crash cut
-// short. Anything more without an identity is damage.
-func (l *Log) removeUnfinished(name string) error {
+// removeUnfinishedFormat removes the first segment if a crash interrupted the
+// formatting of the folder. If the folder holds more than that but no identity,
+// it is damaged.
+func (l *Log) removeUnfinishedFormat(name string) error {
 	data, err := l.disk.ReadAll(name)
 	if err != nil {
 		return err
 	}
 	if name != segmentName(1) || len(data) > headerSize+maxEmptyFrame {
-		return CorruptionError{File: identityName, Reason: "missing, while " + name + " exists"}
+		return CorruptionError{File: identityName, Reason: "the file is missing, but " + name + " exists"}
 	}
 	return l.disk.Remove(name)
 }
 
-// maxEmptyFrame is the length of the first frame of a fresh segment without a
-// vote: a frame header, one hard state record and the end byte.
-const maxEmptyFrame = frameHeader + 1 + hardStateSize + 1
+// maxEmptyFrame is the length of the first frame of a new segment if no vote was
+// cast yet: a frame header, one hard state record and the end byte.
+const maxEmptyFrame = frameHeaderSize + 1 + hardStateSize + 1
 
-// load replays snapshot and segments and makes the log ready for appending.
+// load reads the newest snapshot, replays the segments and makes the log ready
+// for appending.
 func (l *Log) load(names []string) (consensus.Stored, error) {
 	snapshot, err := newestSnapshot(l.disk, names)
 	if err != nil {
@@ -121,16 +126,16 @@
 	}
 	l.hardState = r.hardState
 	l.snapshotIndex = snapshot.Index
-	if l.segments[len(l.segments)-1].version == bareSegments {
+	if l.segments[len(l.segments)-1].version == segmentVersion1 {
 		if err := l.startSegment(nil); err != nil {
 			return consensus.Stored{}, err
 		}
 	}
 	if r.started && r.base > snapshot.Index {
-		return consensus.Stored{}, CorruptionError{File: l.segments[0].name, Reason: "entries before it are missing"}
+		return consensus.Stored{}, CorruptionError{File: l.segments[0].name, Reason: fmt.Sprintf("the log starts after entry %d, but the newest snapshot ends at entry %d", r.base, snapshot.Index)}
 	}
-	entries, fits := r.after(snapshot)
-	if !fits {
+	entries, consistent := r.entriesAfter(snapshot)
+	if !consistent {
 		if err := l.startSegment(appendReset(nil, snapshot.Index, snapshot.Term)); err != nil {
 			return consensus.Stored{}, err
 		}
@@ -138,10 +143,10 @@
 	return consensus.Stored{HardState: r.hardState, Snapshot: snapshot, Entries: entries}, nil
 }
 
-// after returns the entries that follow a snapshot. False means that the log
-// does not reach or contradicts it: a crash came between a received snapshot
-// and the reset record.
-func (r *replay) after(s consensus.Snapshot) ([]consensus.Entry, bool) {
+// entriesAfter returns the entries that follow a snapshot. It returns false if the
+// log ends before the snapshot or contradicts it: a crash happened after a
+// received snapshot was written and before the reset record was.
+func (r *replay) entriesAfter(s consensus.Snapshot) ([]consensus.Entry, bool) {
 	if s.Index == r.base && (s.Index == 0 || r.baseTerm == 0 || r.baseTerm == s.Term) {
 		return r.entries, true
 	}
@@ -154,7 +159,7 @@
 	return r.entries[s.Index-r.base:], true
 }
 
-// loadSegments replays all segments and opens the last one.
+// loadSegments replays all segments and opens the last one for appending.
 func (l *Log) loadSegments(names []string, r *replay) error {
 	for _, name := range names {
 		if number, ok := segmentNumber(name); ok {
@@ -165,7 +170,7 @@
 		return err
 	}
 	if len(l.segments) == 0 {
-		return CorruptionError{File: segmentName(1), Reason: "the log is missing, while the identity exists"}
+		return CorruptionError{File: segmentName(1), Reason: "the log is missing, but the identity file exists"}
 	}
 	for i := range l.segments {
 		if err := l.loadSegment(i, r); err != nil {
@@ -175,7 +180,7 @@
 	return nil
 }
 
-// segmentNumber reads a segment's number from its name.
+// segmentNumber parses a segment's number from its file name.
 func segmentNumber(name string) (uint64, bool) {
 	digits, found := strings.CutPrefix(name, segmentPrefix)
 	if !found {
@@ -185,8 +190,8 @@
 	return number, err == nil
 }
 
-// dropUnfinishedSegment removes a last segment whose header a crash cut short:
-// nothing in it was synced.
+// dropUnfinishedSegment removes the last segment if a crash interrupted the write
+// of its header: nothing in such a segment was synced.
 func (l *Log) dropUnfinishedSegment() error {
 	if len(l.segments) < 2 {
 		return nil
@@ -196,14 +201,15 @@
 	if err != nil {
 		return err
 	}
-	if _, ok := decodeHeader(data); ok || goodFrameAfter(data) {
+	if _, ok := decodeHeader(data); ok || containsValidFrame(data) {
 		return nil
 	}
 	l.segments = l.segments[:len(l.segments)-1]
 	return l.disk.Remove(last.name)
 }
 
-// loadSegment replays one segment; the last is cut and opened.
+// loadSegment replays one segment. If it is the last one, loadSegment also opens
+// it for appending.
 func (l *Log) loadSegment(i int, r *replay) error {
 	s := &l.segments[i]
 	if i > 0 && s.number != l.segments[i-1].number+1 {
@@ -214,29 +220,31 @@
 		return err
 	}
 	last := i == len(l.segments)-1
-	r.highest = 0
+	r.highestIndex = 0
 	end, err := readSegment(s.name, data, l.member.Disk, last, r)
 	if err != nil {
 		return err
 	}
-	s.highest = r.highest
+	s.highestIndex = r.highestIndex
 	s.version = end.header.version
-	l.nextFrame = end.next
+	l.nextFrame = end.nextFrame
 	if !last {
 		return nil
 	}
-	return l.reopen(s.name, end)
+	return l.openLastSegment(s.name, end)
 }
 
-// reopen cuts an unfinished write and syncs the rest.
+// openLastSegment opens the last segment for appending. It truncates an
+// unfinished write at the end and syncs the file and the folder.
 //
-// Failure: the process is killed between a write and its sync, or between a
-// new file and the sync of the folder. The next start sees the data in the
-// kernel's cache and builds on it; a power loss then takes it, and with it
-// orders confirmed since. Hence all that was read is synced here, names too.
-func (l *Log) reopen(name string, end segmentEnd) error {
+// Failure: the process is killed between a write and its sync, or between the
+// creation of a file and the sync of the folder. The next start reads the data
+// from the kernel's page cache and appends to it. A power loss then drops the
+// data, and with it all orders confirmed since the start. Everything that was
+// read, file names included, is therefore synced here.
+func (l *Log) openLastSegment(name string, end scanResult) error {
 	if end.torn {
-		if err := l.disk.Truncate(name, end.size); err != nil {
+		if err := l.disk.Truncate(name, end.validSize); err != nil {
 			return err
 		}
 	}
@@ -245,7 +253,7 @@
 		return err
 	}
 	l.file = f
-	l.size = end.size
+	l.segmentSize = end.validSize
 	if err := f.Sync(); err != nil {
 		return eris.Wrap(err, "wal: sync after opening")
 	}
--- a/state/wal/record.go
+++ b/state/wal/record.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/binary"
+	"fmt"
 
 	"endiveplank/coordination/consensus"
 	"endiveplank/protocol"
@@ -21,8 +22,8 @@
 	resetSize     = 8 + 8
 )
 
-// appendHardState adds a hard state record: term, epoch, disk and router of
-// the vote.
+// appendHardState appends a hard state record: the term, the epoch, and the disk
+// and router that the vote went to.
 func appendHardState(b []byte, s consensus.HardState) []byte {
 	b = append(b, recordHardState)
 	b = binary.LittleEndian.AppendUint64(b, s.Term)
@@ -32,7 +33,7 @@
 	return append(b, s.Vote.Router...)
 }
 
-// appendEntry adds an entry record: index, term, kind, data.
+// appendEntry appends an entry record: index, term, kind, data.
 func appendEntry(b []byte, e consensus.Entry) []byte {
 	b = append(b, recordEntry)
 	b = binary.LittleEndian.AppendUint64(b, e.Index)
@@ -42,24 +43,27 @@
 	return append(b, e.Data...)
 }
 
-// appendReset adds a reset record: the log starts anew after that entry.
+// appendReset appends a reset record. It discards all entries before it: the log
+// continues after the entry with that index and term.
 func appendReset(b []byte, index, term uint64) []byte {
 	b = append(b, recordReset)
 	b = binary.LittleEndian.AppendUint64(b, index)
 	return binary.LittleEndian.AppendUint64(b, term)
 }
 
-// replay rebuilds the log from records.
+// replay rebuilds the log from its records.
 type replay struct {
-	hardState      consensus.HardState
+	hardState consensus.HardState
+	// base and baseTerm are the index and term of the entry before the first of
+	// entries. baseTerm is 0 if no reset record gave it.
 	base, baseTerm uint64
 	entries        []consensus.Entry
-	// started says that an entry or reset was read.
+	// started is set once an entry or reset record was read.
 	started bool
-	// anchored says that base comes from a reset.
-	anchored bool
-	// highest is the highest index among the entries of the segment at hand.
-	highest uint64
+	// hasReset is set if base comes from a reset record.
+	hasReset bool
+	// highestIndex is the highest entry index in the segment being read.
+	highestIndex uint64
 }
 
 // last returns the index of the last entry.
@@ -67,10 +71,11 @@
 	return r.base + uint64(len(r.entries))
 }
 
-// payload applies the records of one frame. It returns "" or what is wrong.
-func (r *replay) payload(b []byte) string {
+// applyFrame applies the records in the payload of one frame. It returns "" or a
+// description of the first invalid record.
+func (r *replay) applyFrame(b []byte) string {
 	for len(b) > 0 {
-		rest, problem := r.record(b[0], b[1:])
+		rest, problem := r.applyRecord(b[0], b[1:])
 		if problem != "" {
 			return problem
 		}
@@ -79,8 +84,8 @@
 	return ""
 }
 
-// record applies one record and returns what follows it.
-func (r *replay) record(kind byte, b []byte) ([]byte, string) {
+// applyRecord applies one record and returns the bytes after it.
+func (r *replay) applyRecord(kind byte, b []byte) ([]byte, string) {
 	switch kind {
 	case recordHardState:
 		return r.readHardState(b)
@@ -89,16 +94,16 @@
 	case recordReset:
 		return r.readReset(b)
 	}
-	return nil, "unknown record"
+	return nil, fmt.Sprintf("unknown record kind %d", kind)
 }
 
 func (r *replay) readHardState(b []byte) ([]byte, string) {
 	if len(b) < hardStateSize {
-		return nil, "short hard state"
+		return nil, "hard state record is too short"
 	}
 	length := int(binary.LittleEndian.Uint16(b[24:]))
 	if len(b) < hardStateSize+length {
-		return nil, "short router name"
+		return nil, "router ID in hard state record is too short"
 	}
 	r.hardState.Term = binary.LittleEndian.Uint64(b)
 	r.hardState.Epoch = binary.LittleEndian.Uint64(b[8:])
@@ -111,11 +116,11 @@
 
 func (r *replay) readEntry(b []byte) ([]byte, string) {
 	if len(b) < entrySize {
-		return nil, "short entry"
+		return nil, "entry record is too short"
 	}
 	length := uint64(binary.LittleEndian.Uint32(b[17:]))
 	if uint64(len(b)-entrySize) < length {
-		return nil, "short entry data"
+		return nil, "data of entry record is too short"
 	}
 	e := consensus.Entry{
 		Index: binary.LittleEndian.Uint64(b),
@@ -125,35 +130,36 @@
 	if length > 0 {
 		e.Data = append([]byte(nil), b[entrySize:entrySize+length]...)
 	}
-	return b[entrySize+length:], r.add(e)
+	return b[entrySize+length:], r.addEntry(e)
 }
 
-// add puts an entry after the last, or in place of an earlier one and all
-// after it. Segments that a snapshot covers are gone, so the first entry read
-// may be any; a later one may still replace entries from before it.
-func (r *replay) add(e consensus.Entry) string {
-	first := !r.started || !r.anchored && e.Index <= r.base
+// addEntry adds an entry after the last one, or replaces an earlier entry and
+// all entries after it. Segments that a snapshot covers have been removed, so the
+// first entry read may have any index, and a later entry may still replace
+// entries that lie before the first one.
+func (r *replay) addEntry(e consensus.Entry) string {
+	first := !r.started || !r.hasReset && e.Index <= r.base
 	if first && e.Index > 0 {
 		r.started = true
 		r.base = e.Index - 1
 		r.entries = nil
 	}
 	if e.Index <= r.base || e.Index > r.last()+1 {
-		return "entry out of order"
+		return fmt.Sprintf("entry %d is out of order, expected one from %d to %d", e.Index, r.base+1, r.last()+1)
 	}
 	r.entries = append(r.entries[:e.Index-r.base-1], e)
-	r.highest = max(r.highest, e.Index)
+	r.highestIndex = max(r.highestIndex, e.Index)
 	return ""
 }
 
 func (r *replay) readReset(b []byte) ([]byte, string) {
 	if len(b) < resetSize {
-		return nil, "short reset"
+		return nil, "reset record is too short"
 	}
 	r.base = binary.LittleEndian.Uint64(b)
 	r.baseTerm = binary.LittleEndian.Uint64(b[8:])
 	r.entries = nil
 	r.started = true
-	r.anchored = true
+	r.hasReset = true
 	return b[resetSize:], ""
 }
--- a/state/wal/segment.go
+++ b/state/wal/segment.go
@@ -12,89 +12,92 @@
 	name    string
 	version uint32
 	number  uint64
-	// highest is the highest entry index in it, 0 if none.
-	highest uint64
+	// highestIndex is the highest entry index in the segment, 0 if it has no
+	// entries.
+	highestIndex uint64
 }
 
-// segmentName returns the file name of a segment; names sort by number.
+// segmentName returns the file name of a segment. Names sort by number.
 func segmentName(number uint64) string {
 	return fmt.Sprintf("%s%016x", segmentPrefix, number)
 }
 
-// segmentEnd says how the reading of a segment ended.
-type segmentEnd struct {
+// scanResult is the result of reading a segment.
+type scanResult struct {
 	header segmentHeader
-	// size is the length of the good part in bytes.
-	size int64
-	// torn says that an unfinished write follows it.
+	// validSize is the length of the header and all valid frames, in bytes.
+	validSize int64
+	// torn is set if an unfinished write follows the valid part.
 	torn bool
-	// next is the sequence of the next frame.
-	next uint64
+	// nextFrame is the sequence number of the next frame.
+	nextFrame uint64
 }
 
-// readSegment replays a segment. In the last one an unfinished write at the
-// end is left out; anywhere else damage is a CorruptionError.
-func readSegment(name string, data []byte, disk consensus.DiskID, last bool, r *replay) (segmentEnd, error) {
+// readSegment replays a segment. An unfinished write at the end of the last
+// segment is left out. Any other damage is a CorruptionError.
+func readSegment(name string, data []byte, disk consensus.DiskID, last bool, r *replay) (scanResult, error) {
 	header, ok := decodeHeader(data)
 	if !ok {
-		return segmentEnd{}, CorruptionError{File: name, Reason: "damaged header"}
+		return scanResult{}, CorruptionError{File: name, Reason: "damaged header"}
 	}
-	if !header.known() {
-		return segmentEnd{}, VersionError{File: name, Version: header.version}
+	if !header.isSupported() {
+		return scanResult{}, VersionError{File: name, Version: header.version}
 	}
 	if header.disk != disk {
-		return segmentEnd{}, CorruptionError{File: name, Offset: headerDisk, Reason: "written for disk " + header.disk.String()}
+		return scanResult{}, CorruptionError{File: name, Offset: headerDisk, Reason: "the segment belongs to disk " + header.disk.String() + ", not to " + disk.String()}
 	}
-	end := segmentEnd{header: header, size: headerSize, next: header.first}
-	for end.size < int64(len(data)) {
-		frame, ok := frameAt(data[end.size:])
-		past := end.size + int64(len(frame)+header.endSize())
-		if !ok || past > int64(len(data)) || !frameIsGood(frame) {
-			return end.damaged(name, data, last)
+	end := scanResult{header: header, validSize: headerSize, nextFrame: header.firstFrame}
+	for end.validSize < int64(len(data)) {
+		frame, ok := parseFrame(data[end.validSize:])
+		frameEnd := end.validSize + int64(len(frame)+header.endByteSize())
+		if !ok || frameEnd > int64(len(data)) || !hasValidChecksum(frame) {
+			return end.classifyDamage(name, data, last)
 		}
-		if binary.LittleEndian.Uint64(frame[frameSequence:]) != end.next {
-			return end, CorruptionError{File: name, Offset: end.size, Reason: "frame out of sequence"}
+		if binary.LittleEndian.Uint64(frame[frameSequence:]) != end.nextFrame {
+			return end, CorruptionError{File: name, Offset: end.validSize, Reason: fmt.Sprintf("frame %d is out of sequence, expected frame %d", binary.LittleEndian.Uint64(frame[frameSequence:]), end.nextFrame)}
 		}
-		if problem := r.payload(frame[frameHeader:]); problem != "" {
-			return end, CorruptionError{File: name, Offset: end.size, Reason: problem}
+		if problem := r.applyFrame(frame[frameHeaderSize:]); problem != "" {
+			return end, CorruptionError{File: name, Offset: end.validSize, Reason: problem}
 		}
-		end.size = past
-		end.next++
+		end.validSize = frameEnd
+		end.nextFrame++
 	}
 	return end, nil
 }
 
-// damaged decides whether a bad frame is an unfinished write.
+// classifyDamage decides whether the damaged frame at validSize is an unfinished
+// write or corruption of synced data.
 //
-// Failure: a bit of an old, acknowledged record rots, the log is cut there
-// and the voter forgets orders it has confirmed. It shows only when other
-// voters are lost too. The guard holds because a frame is written only after
-// the one before is synced: a good frame behind the bad one proves that the
-// bad one was good once.
-func (end segmentEnd) damaged(name string, data []byte, last bool) (segmentEnd, error) {
-	rest := data[end.size:]
+// Failure: a bit flips in an old, acknowledged record. If Open truncated the log
+// there, the voter would forget orders that it has confirmed, and nobody would
+// notice until other voters are lost too. A frame is written only after the
+// previous one is synced, so a valid frame after the damaged one proves that the
+// damaged one was valid once.
+func (end scanResult) classifyDamage(name string, data []byte, last bool) (scanResult, error) {
+	rest := data[end.validSize:]
 	reason := ""
-	frame, whole := frameAt(rest)
+	frame, whole := parseFrame(rest)
 	switch {
 	case !last:
-		reason = "bad frame before the last segment"
-	case goodFrameAfter(rest[1:]):
-		reason = "bad frame before a good one"
-	case whole && end.finished(rest[len(frame):]) && hasSingleBitError(frame):
+		reason = "damaged frame in a segment that is not the last"
+	case containsValidFrame(rest[1:]):
+		reason = "damaged frame before a valid one"
+	case whole && end.isWriteFinished(rest[len(frame):]) && hasSingleBitError(frame):
 		reason = "a single bit of the frame is wrong"
 	}
 	if reason != "" {
-		return end, CorruptionError{File: name, Offset: end.size, Reason: reason}
+		return end, CorruptionError{File: name, Offset: end.validSize, Reason: reason}
 	}
 	end.torn = true
 	return end, nil
 }
 
-// finished reports whether what follows a frame shows that its write came to
-// its end. Segments without end bytes can't show it.
-func (end segmentEnd) finished(behind []byte) bool {
-	if end.header.endSize() == 0 {
+// isWriteFinished reports whether the bytes after a frame show that its write was
+// finished. Segments without end bytes can't show it, so each of their frames
+// counts as finished.
+func (end scanResult) isWriteFinished(following []byte) bool {
+	if end.header.endByteSize() == 0 {
 		return true
 	}
-	return len(behind) > 0 && behind[0] == frameEnd
+	return len(following) > 0 && following[0] == endByte
 }
--- a/state/wal/snapshot.go
+++ b/state/wal/snapshot.go
@@ -11,13 +11,13 @@
 	"endiveplank/state/disk"
 )
 
-// snapshotName returns the file name of a snapshot; names sort by index.
+// snapshotName returns the file name of a snapshot. Names sort by index.
 func snapshotName(index uint64) string {
 	return fmt.Sprintf("%s%016x", snapshotPrefix, index)
 }
 
-// writeSnapshot makes a snapshot last. The file is a segment header, whose
-// number is the index, and one frame.
+// writeSnapshot writes a snapshot durably. The file is a segment header, whose
+// number is the snapshot's index, and one frame.
 func writeSnapshot(d disk.Disk, id consensus.DiskID, s consensus.Snapshot) error {
 	payload, err := msgpack.Marshal(s)
 	if err != nil {
@@ -41,19 +41,20 @@
 	if header.version != formatVersion {
 		return consensus.Snapshot{}, VersionError{File: name, Version: header.version}
 	}
-	frame, ok := frameAt(data[headerSize:])
-	if !ok || !frameIsGood(frame) {
-		return consensus.Snapshot{}, CorruptionError{File: name, Offset: headerSize, Reason: "bad checksum"}
+	frame, ok := parseFrame(data[headerSize:])
+	if !ok || !hasValidChecksum(frame) {
+		return consensus.Snapshot{}, CorruptionError{File: name, Offset: headerSize, Reason: "wrong checksum or length of the frame"}
 	}
 	var s consensus.Snapshot
-	if err := msgpack.Unmarshal(frame[frameHeader:], &s); err != nil {
-		return s, CorruptionError{File: name, Offset: headerSize, Reason: "cannot be decoded"}
+	if err := msgpack.Unmarshal(frame[frameHeaderSize:], &s); err != nil {
+		return s, CorruptionError{File: name, Offset: headerSize, Reason: "the snapshot cannot be decoded: " + err.Error()}
 	}
 	return s, nil
 }
 
-// newestSnapshot returns the newest snapshot in the folder, Index 0 if there
-// is none. A damaged one is refused, since the segments before it are gone.
+// newestSnapshot returns the newest snapshot in the folder, or one with Index 0
+// if there is none. A damaged snapshot is an error: an older snapshot cannot
+// replace it, because the segments between the two have been removed.
 func newestSnapshot(d disk.Disk, names []string) (consensus.Snapshot, error) {
 	newest := ""
 	for _, name := range names {
--- a/state/wal/wal.go
+++ b/state/wal/wal.go
@@ -16,25 +16,26 @@
 	hardState     consensus.HardState
 	snapshotIndex uint64
 
-	segments  []segment
-	file      disk.File
-	size      int64
-	nextFrame uint64
-	// buffer holds the records since the last Sync, and highest the highest
-	// entry among them.
-	buffer  []byte
-	highest uint64
-
-	failed *ErrFailed
+	segments    []segment
+	file        disk.File
+	segmentSize int64
+	nextFrame   uint64
+	// buffer holds the records since the last Sync. highestIndex is the highest
+	// entry index among them.
+	buffer       []byte
+	highestIndex uint64
+
+	// failure is the first failed write or sync, nil if there was none.
+	failure *ErrFailed
 }
 
-// Member returns router and disk of this log.
+// Member returns the router and disk ID of this log.
 func (l *Log) Member() consensus.Member {
 	return l.member
 }
 
-// Append adds a hard state, if not nil, and entries that replace the log from
-// the first one's index on. Nothing lasts before Sync.
+// Append buffers a hard state, if it is not nil, and entries. The entries replace
+// the log from the index of the first one on. Nothing is written before Sync.
 func (l *Log) Append(state *consensus.HardState, entries []consensus.Entry) {
 	if state != nil {
 		l.hardState = *state
@@ -42,20 +43,20 @@
 	}
 	for _, e := range entries {
 		l.buffer = appendEntry(l.buffer, e)
-		l.highest = max(l.highest, e.Index)
+		l.highestIndex = max(l.highestIndex, e.Index)
 	}
 }
 
-// Sync writes everything appended as one frame and syncs it. Error: ErrFailed,
-// after which the log takes no more.
+// Sync writes everything appended since the last Sync as one frame and syncs it
+// to disk. Error: ErrFailed, after which the log refuses all writes.
 func (l *Log) Sync() error {
-	if l.failed != nil {
-		return *l.failed
+	if l.failure != nil {
+		return *l.failure
 	}
 	if len(l.buffer) == 0 {
 		return nil
 	}
-	if l.size >= l.options.SegmentBytes {
+	if l.segmentSize >= l.options.SegmentBytes {
 		if err := l.startSegment(nil); err != nil {
 			return l.fail(err)
 		}
@@ -64,42 +65,45 @@
 		return l.fail(err)
 	}
 	last := &l.segments[len(l.segments)-1]
-	last.highest = max(last.highest, l.highest)
+	last.highestIndex = max(last.highestIndex, l.highestIndex)
 	l.buffer = l.buffer[:0]
-	l.highest = 0
+	l.highestIndex = 0
 	return nil
 }
 
-// fail poisons the log.
+// fail makes the log refuse all further writes.
 //
 // Failure: a sync fails, the kernel marks the pages clean, and a second sync
-// succeeds without them; the voter acknowledges what is not on disk, and a
-// power loss takes an order that was confirmed. No second try is made.
+// succeeds without writing them. The voter then acknowledges data that is not on
+// disk, and a power loss drops a confirmed order. The log therefore never
+// retries.
 func (l *Log) fail(cause error) error {
-	l.failed = &ErrFailed{Cause: cause}
-	return *l.failed
+	l.failure = &ErrFailed{Cause: cause}
+	return *l.failure
 }
 
-// writeFrame writes one frame, behind the header of a new segment, and syncs it.
+// writeFrame writes one frame, after the header if a new segment starts, and
+// syncs it.
 //
-// Failure: power is lost in a new segment, and of two writes the later one alone
-// lasts. A frame behind a header of zeros looks like a damaged segment, and the
-// folder is refused. The guard holds because header and frame are one write.
+// Failure: power is lost while a new segment is written, and of two writes only
+// the later one reaches the disk. A frame after a header of zeros looks like a
+// damaged segment, and Open would refuse the folder. Header and frame are
+// therefore one write.
 func (l *Log) writeFrame(header, payload []byte) error {
-	write := append(header, encodeEndedFrame(l.nextFrame, payload)...)
+	write := append(header, encodeSegmentFrame(l.nextFrame, payload)...)
 	if err := l.file.Append(write); err != nil {
 		return err
 	}
 	if err := l.file.Sync(); err != nil {
 		return err
 	}
-	l.size += int64(len(write))
+	l.segmentSize += int64(len(write))
 	l.nextFrame++
 	return nil
 }
 
-// startSegment begins a segment with the hard state, so that older ones may
-// go, followed by records.
+// startSegment creates a new segment. Its first frame holds the hard state, so
+// that older segments can be removed, followed by records.
 func (l *Log) startSegment(records []byte) error {
 	number := uint64(1)
 	if len(l.segments) > 0 {
@@ -115,21 +119,21 @@
 		return err
 	}
 	l.file = f
-	header := segmentHeader{version: endedSegments, disk: l.member.Disk, number: number, first: l.nextFrame}.encode()
-	l.size = 0
-	l.segments = append(l.segments, segment{name: segmentName(number), version: endedSegments, number: number})
+	header := segmentHeader{version: segmentVersion2, disk: l.member.Disk, number: number, firstFrame: l.nextFrame}.encode()
+	l.segmentSize = 0
+	l.segments = append(l.segments, segment{name: segmentName(number), version: segmentVersion2, number: number})
 	if err := l.writeFrame(header, append(appendHardState(nil, l.hardState), records...)); err != nil {
 		return err
 	}
 	return l.disk.SyncDir()
 }
 
-// SaveSnapshot makes a snapshot last and removes what it replaces. A received
-// snapshot also replaces the whole log. Call it with nothing unsynced before
-// it. Error: ErrFailed.
+// SaveSnapshot writes a snapshot durably and removes the segments and snapshots
+// that it replaces. A received snapshot replaces the whole log. Call SaveSnapshot
+// only after everything appended is synced. Error: ErrFailed.
 func (l *Log) SaveSnapshot(s consensus.Snapshot, received bool) error {
-	if l.failed != nil {
-		return *l.failed
+	if l.failure != nil {
+		return *l.failure
 	}
 	if err := l.saveSnapshot(s, received); err != nil {
 		return l.fail(err)
@@ -149,18 +153,20 @@
 	if err := l.startSegment(records); err != nil {
 		return err
 	}
-	return l.removeReplaced(received)
+	return l.removeObsolete(received)
 }
 
-// removeReplaced removes the oldest segments that hold nothing after the
-// snapshot, and older snapshots.
+// removeObsolete removes the oldest segments, as long as they hold no entries
+// after the snapshot, and older snapshots. With allSegments it removes all
+// segments but the last.
 //
-// Failure: power is lost behind two removals, and the later one alone lasts. The
-// hole looks like a lost segment, and the folder is refused. The guard holds
-// because each removal lasts before the next one, from the oldest on; there is
-// one for each snapshot, rarely more.
-func (l *Log) removeReplaced(all bool) error {
-	for len(l.segments) > 1 && (all || l.segments[0].highest <= l.snapshotIndex) {
+// Failure: power is lost after two removals, and only the later one reaches the
+// disk. The gap looks like a lost segment, and Open would refuse the folder.
+// Segments are therefore removed from the oldest on, and each removal is synced
+// before the next one. A snapshot usually makes one segment obsolete, rarely
+// more.
+func (l *Log) removeObsolete(allSegments bool) error {
+	for len(l.segments) > 1 && (allSegments || l.segments[0].highestIndex <= l.snapshotIndex) {
 		if err := l.disk.Remove(l.segments[0].name); err != nil {
 			return err
 		}
@@ -183,7 +189,7 @@
 	return l.disk.SyncDir()
 }
 
-// Close closes the log without syncing what was appended.
+// Close closes the log. Entries appended since the last Sync are lost.
 func (l *Log) Close() error {
 	return l.file.Close()
 }
--- a/state/wal/wal_test.go
+++ b/state/wal/wal_test.go
@@ -31,17 +31,17 @@
 	return all
 }
 
-// opened opens a log that must be good.
-func opened(t testing.TB, d disk.Disk) (*Log, consensus.Stored) {
+// mustOpen opens a log and fails the test on an error.
+func mustOpen(t testing.TB, d disk.Disk) (*Log, consensus.Stored) {
 	l, stored, err := Open(d, options())
 	assert.NilError(t, err)
 	return l, stored
 }
 
-// written returns a disk with entries 1 to n, one frame each.
-func written(t testing.TB, n uint64) *fakedisk.Disk {
+// diskWithEntries returns a disk whose log holds entries 1 to n, one frame each.
+func diskWithEntries(t testing.TB, n uint64) *fakedisk.Disk {
 	d := fakedisk.New()
-	l, _ := opened(t, d)
+	l, _ := mustOpen(t, d)
 	for i := range n {
 		l.Append(&consensus.HardState{Term: i + 1}, []consensus.Entry{entry(i+1, i+1)})
 		assert.NilError(t, l.Sync())
@@ -50,10 +50,11 @@
 }
 
 func TestPowerLossKeepsWhatWasSynced(t *testing.T) {
-	// A random history of appends, replaced entries, syncs, snapshots, full
-	// segments and crashes, with torn tails. After each crash the log must
-	// hold at least what was synced, and a prefix of what was written, with
-	// the same disk identity. A caller's confirmed order is in the first part.
+	// Guards against the loss of confirmed orders by a power loss. The test runs
+	// random appends, replaced entries, syncs, snapshots, full segments and crashes
+	// with torn writes. After each crash the log must hold all synced entries, which
+	// include every confirmed order, and a prefix of the unsynced ones. The disk ID
+	// must stay the same.
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
 		random := rand.New(rand.NewPCG(seed, 2))
@@ -74,20 +75,20 @@
 				assert.NilError(t, l.Sync())
 				synced.Entries = append(slices.Clone(synced.Entries[:from-synced.Snapshot.Index-1]), written...)
 				synced.HardState = consensus.HardState{Term: term}
-			case 1: // An own snapshot of a part.
+			case 1: // The member writes its own snapshot, which covers a part of the log.
 				if len(synced.Entries) > 0 {
 					at := synced.Entries[random.IntN(len(synced.Entries))]
 					synced.Entries = slices.Clone(synced.Entries[at.Index-synced.Snapshot.Index:])
 					synced.Snapshot = consensus.Snapshot{Index: at.Index, Term: at.Term, Data: []byte("own")}
 					assert.NilError(t, l.SaveSnapshot(synced.Snapshot, false))
 				}
-			case 2: // A received snapshot beyond the log.
+			case 2: // The member receives a snapshot that ends after its log.
 				synced.Snapshot = consensus.Snapshot{Index: last + uint64(random.IntN(5)) + 1, Term: term, Data: []byte("received")}
 				synced.Entries = nil
 				assert.NilError(t, l.SaveSnapshot(synced.Snapshot, true))
-			case 3: // A crash in the middle of a write.
+			case 3: // The member crashes during a write.
 				file := l.file
-				assert.NilError(t, file.Append(encodeEndedFrame(l.nextFrame, appendEntry(nil, entry(last+1, term)))))
+				assert.NilError(t, file.Append(encodeSegmentFrame(l.nextFrame, appendEntry(nil, entry(last+1, term)))))
 				d.Crash(random)
 				var stored consensus.Stored
 				l, stored, err = Open(d, options())
@@ -121,20 +122,21 @@
 }
 
 func TestAnUnfinishedWriteIsCutWhereverItEnds(t *testing.T) {
-	// All voters lose power during a write. On one disk the write's last byte
-	// arrives with a bit wrong, or the file has its length but not its last
-	// bytes. That is no damage: a voter that refused its folder would be a lost
-	// disk more. What was synced is there, the unfinished entry may be.
-	d := written(t, 3)
-	l, _ := opened(t, d)
+	// All voters lose power during a write. On one disk the last byte of the write
+	// has a wrong bit, or the file has its full length but zeros instead of the last
+	// bytes. This is an unfinished write and no corruption: if the voter refused its
+	// folder, one more disk would be lost. Synced entries must be there, and the
+	// unfinished one may be there.
+	d := diskWithEntries(t, 3)
+	l, _ := mustOpen(t, d)
 	name := l.segments[len(l.segments)-1].name
 	synced, err := d.ReadAll(name)
 	assert.NilError(t, err)
 	unfinished := entry(4, 4)
 	unfinished.Data = []byte("ends in a power of two: \x40")
-	write := encodeEndedFrame(l.nextFrame, appendEntry(nil, unfinished))
+	write := encodeSegmentFrame(l.nextFrame, appendEntry(nil, unfinished))
 	check := func(tail []byte, what string) {
-		restore(t, d, name, slices.Concat(synced, tail))
+		overwriteFile(t, d, name, slices.Concat(synced, tail))
 		_, stored, err := Open(d, options())
 		assert.NilError(t, err, what)
 		assert.Assert(t, len(stored.Entries) == 3 || len(stored.Entries) == 4, "%s: %d entries", what, len(stored.Entries))
@@ -150,13 +152,13 @@
 	}
 }
 
-// withoutEndBytes turns a segment into one of version 1.
+// withoutEndBytes converts a segment to version 1.
 func withoutEndBytes(data []byte) []byte {
 	header, _ := decodeHeader(data)
-	header.version = bareSegments
+	header.version = segmentVersion1
 	bare := header.encode()
 	for at := headerSize; at < len(data); {
-		frame, _ := frameAt(data[at:])
+		frame, _ := parseFrame(data[at:])
 		bare = append(bare, frame...)
 		at += len(frame) + 1
 	}
@@ -164,27 +166,27 @@
 }
 
 func TestSegmentsWithoutEndBytesAreReadAndLeftAsTheyAre(t *testing.T) {
-	// An operator installs this program over an older one. Everything the old
-	// one confirmed is there, and what follows goes to a new segment.
-	d := written(t, 12)
-	_, want := opened(t, d)
+	// An operator upgrades from a program version that wrote segments of version 1.
+	// All confirmed entries must be there, and new entries must go to a new segment.
+	d := diskWithEntries(t, 12)
+	_, want := mustOpen(t, d)
 	names, err := d.List()
 	assert.NilError(t, err)
 	for _, name := range names {
 		if _, ok := segmentNumber(name); ok {
 			data, err := d.ReadAll(name)
 			assert.NilError(t, err)
-			restore(t, d, name, withoutEndBytes(data))
+			overwriteFile(t, d, name, withoutEndBytes(data))
 		}
 	}
 	last := lastSegment(names)
 	before, err := d.ReadAll(last)
 	assert.NilError(t, err)
-	l, stored := opened(t, d)
+	l, stored := mustOpen(t, d)
 	assert.DeepEqual(t, stored, want)
 	l.Append(nil, []consensus.Entry{entry(13, 12)})
 	assert.NilError(t, l.Sync())
-	_, stored = opened(t, d)
+	_, stored = mustOpen(t, d)
 	assert.Equal(t, stored.HardState, want.HardState)
 	assert.DeepEqual(t, stored.Entries, append(want.Entries, entry(13, 12)))
 	after, err := d.ReadAll(last)
@@ -193,31 +195,33 @@
 }
 
 func TestCrashBetweenSnapshotAndResetRecord(t *testing.T) {
-	// A voter with unfinished entries of a lost leader receives a snapshot and
-	// loses power right after the file is in place. Its old entries end before
-	// the snapshot or contradict it; they must go, and new ones must follow.
+	// A voter holds uncommitted entries of a former leader. It receives a snapshot
+	// and loses power right after the snapshot file is renamed. Its old entries end
+	// before the snapshot or contradict it. They must be dropped, and new entries
+	// must be accepted after the snapshot.
 	for _, snapshot := range []consensus.Snapshot{{Index: 9, Term: 8}, {Index: 2, Term: 8}} {
-		d := written(t, 3)
-		l, _ := opened(t, d)
+		d := diskWithEntries(t, 3)
+		l, _ := mustOpen(t, d)
 		assert.NilError(t, writeSnapshot(d, l.member.Disk, snapshot))
 		for range 2 {
-			_, stored := opened(t, d)
+			_, stored := mustOpen(t, d)
 			assert.Equal(t, stored.Snapshot.Index, snapshot.Index)
 			assert.Equal(t, len(stored.Entries), 0)
 		}
-		l, _ = opened(t, d)
+		l, _ = mustOpen(t, d)
 		l.Append(nil, []consensus.Entry{entry(snapshot.Index+1, 8)})
 		assert.NilError(t, l.Sync())
-		_, stored := opened(t, d)
+		_, stored := mustOpen(t, d)
 		assert.Equal(t, len(stored.Entries), 1)
 	}
 }
 
 func TestEveryFlippedBitIsRefusedWithFileAndOffset(t *testing.T) {
-	// A bit rots on the disk of a voter that restarts. Cutting the log there
-	// would make it forget orders that it has confirmed, so it must refuse and
-	// name the place. A wrong end byte may pass, as all entries are there.
-	d := written(t, 12)
+	// A bit flips on the disk of a voter that restarts. If the voter truncated the
+	// log there, it would forget orders that it has confirmed. Open must refuse the
+	// folder and name the place. A wrong end byte may pass, because all entries are
+	// there.
+	d := diskWithEntries(t, 12)
 	names, err := d.List()
 	assert.NilError(t, err)
 	for _, name := range names {
@@ -227,25 +231,25 @@
 			d.FlipBit(name, bit)
 			_, stored, err := Open(d, options())
 			harmless := err == nil && len(stored.Entries) == 12
-			if !harmless && !inLastFrameHeader(name, data, names, bit/8) {
+			if !harmless && !inLastMagicOrLength(name, data, names, bit/8) {
 				var corrupt CorruptionError
 				assert.Assert(t, errors.As(err, &corrupt), "%s bit %d: %v", name, bit, err)
 				assert.Assert(t, corrupt.File != "" && corrupt.Reason != "")
 			}
-			restore(t, d, name, data)
+			overwriteFile(t, d, name, data)
 		}
 	}
 }
 
-// inLastFrameHeader reports whether a byte is part of magic or length of the
-// very last frame: a wrong bit there looks like an unfinished write.
-func inLastFrameHeader(name string, data []byte, names []string, at int) bool {
+// inLastMagicOrLength reports whether a byte belongs to the magic or the length
+// of the very last frame. A wrong bit there looks like an unfinished write.
+func inLastMagicOrLength(name string, data []byte, names []string, at int) bool {
 	if name != lastSegment(names) {
 		return false
 	}
 	start := headerSize
 	for {
-		frame, _ := frameAt(data[start:])
+		frame, _ := parseFrame(data[start:])
 		past := start + len(frame) + 1
 		if past == len(data) {
 			return at >= start && at < start+frameSequence
@@ -264,7 +268,7 @@
 	return last
 }
 
-func restore(t *testing.T, d *fakedisk.Disk, name string, data []byte) {
+func overwriteFile(t *testing.T, d *fakedisk.Disk, name string, data []byte) {
 	f, err := d.Create(name)
 	assert.NilError(t, err)
 	assert.NilError(t, f.Append(data))
@@ -273,8 +277,9 @@
 }
 
 func TestDamagedFolderIsRefused(t *testing.T) {
-	// Somebody moves a disk to another VM, deletes files by hand, or brings
-	// back an older program. None of these may pass as an empty or shorter log.
+	// Somebody moves a disk to another VM, deletes files by hand, or goes back to
+	// an older program version. Open must not take any of these for an empty or
+	// shorter log.
 	remove := func(name string) func(*testing.T, *fakedisk.Disk) {
 		return func(t *testing.T, d *fakedisk.Disk) { assert.NilError(t, d.Remove(name)) }
 	}
@@ -290,12 +295,12 @@
 		"middle segment gone":    {damage: remove(segmentName(2)), is: corrupt},
 		"newer format": {damage: func(t *testing.T, d *fakedisk.Disk) {
 			payload := []byte{0x81, 0xa1, 'v', 9}
-			restore(t, d, identityName, encodeFrame(0, payload))
+			overwriteFile(t, d, identityName, encodeFrame(0, payload))
 		}, is: func(err error) bool { return errors.As(err, &VersionError{}) }},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			d := written(t, 12)
+			d := diskWithEntries(t, 12)
 			o := options()
 			if test.damage != nil {
 				test.damage(t, d)
@@ -310,8 +315,8 @@
 }
 
 func TestFailedSyncPoisonsTheLog(t *testing.T) {
-	// A sync fails and the next one would succeed, as a kernel does that has
-	// dropped the pages. The log must not confirm anything after the first.
+	// A sync fails and the next one would succeed, because the kernel has dropped
+	// the dirty pages. The log must not confirm anything after the first failure.
 	for name, breakDisk := range map[string]func(*fakedisk.Disk, bool){
 		"failed sync": (*fakedisk.Disk).FailSyncs,
 		"full disk": func(d *fakedisk.Disk, broken bool) {
@@ -319,23 +324,24 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := written(t, 2)
-			l, _ := opened(t, d)
+			d := diskWithEntries(t, 2)
+			l, _ := mustOpen(t, d)
 			breakDisk(d, true)
 			l.Append(nil, entries(3, 3, 2))
 			assert.Assert(t, errors.As(l.Sync(), &ErrFailed{}))
 			breakDisk(d, false)
 			assert.Assert(t, errors.As(l.Sync(), &ErrFailed{}))
 			assert.Assert(t, errors.As(l.SaveSnapshot(consensus.Snapshot{Index: 1, Term: 1}, false), &ErrFailed{}))
-			_, stored := opened(t, d)
+			_, stored := mustOpen(t, d)
 			assert.Assert(t, len(stored.Entries) == 2 || len(stored.Entries) == 3)
 		})
 	}
 }
 
 func TestOneSyncCoversManyEntries(t *testing.T) {
+	// A sync for each entry would limit the log to the sync rate of the disk.
 	d := fakedisk.New()
-	l, _ := opened(t, d)
+	l, _ := mustOpen(t, d)
 	before := d.Syncs()
 	l.Append(nil, entries(1, 100, 1))
 	assert.NilError(t, l.Sync())
@@ -343,21 +349,24 @@
 }
 
 func TestSnapshotLetsOldSegmentsGo(t *testing.T) {
-	d := written(t, 40)
-	l, stored := opened(t, d)
+	// Segments that a snapshot covers must be removed, or the log would grow
+	// without bound. No entry after the snapshot may be lost with them.
+	d := diskWithEntries(t, 40)
+	l, stored := mustOpen(t, d)
 	before := len(l.segments)
 	assert.NilError(t, l.SaveSnapshot(consensus.Snapshot{Index: 38, Term: 38}, false))
 	assert.Assert(t, len(l.segments) < before && len(l.segments) <= 3, "%d of %d segments", len(l.segments), before)
-	_, again := opened(t, d)
+	_, again := mustOpen(t, d)
 	assert.DeepEqual(t, again.Entries, stored.Entries[38:])
 }
 
 func TestRealFolder(t *testing.T) {
-	// The same over a real file system; a second process must stay out.
+	// The log must also work on a real file system, and a second process must not
+	// be able to open the folder.
 	folder := t.TempDir()
 	d, err := disk.Open(folder)
 	assert.NilError(t, err)
-	l, _ := opened(t, d)
+	l, _ := mustOpen(t, d)
 	l.Append(&consensus.HardState{Term: 3, Vote: l.Member()}, entries(1, 50, 3))
 	assert.NilError(t, l.Sync())
 	assert.NilError(t, l.SaveSnapshot(consensus.Snapshot{Index: 20, Term: 3, Data: []byte("x")}, false))
@@ -367,13 +376,13 @@
 	assert.NilError(t, d.Close())
 	d, err = disk.Open(folder)
 	assert.NilError(t, err)
-	again, stored := opened(t, d)
+	again, stored := mustOpen(t, d)
 	assert.Equal(t, stored.HardState.Vote, again.Member())
 	assert.Equal(t, len(stored.Entries), 30)
 }
 
 func FuzzReadSegment(f *testing.F) {
-	d := written(f, 12)
+	d := diskWithEntries(f, 12)
 	names, _ := d.List()
 	for _, name := range names {
 		data, _ := d.ReadAll(name)
@@ -388,45 +397,46 @@
 		if err != nil {
 			return
 		}
-		if end.size > int64(len(data)) || (end.torn && !last) || (!end.torn && end.size != int64(len(data))) {
-			t.Fatalf("good part of %d bytes: %+v", len(data), end)
+		if end.validSize > int64(len(data)) || (end.torn && !last) || (!end.torn && end.validSize != int64(len(data))) {
+			t.Fatalf("invalid result for a segment of %d bytes: %+v", len(data), end)
 		}
 		for i, e := range r.entries {
 			if e.Index != r.base+uint64(i)+1 {
-				t.Fatalf("hole before entry %d", e.Index)
+				t.Fatalf("entries are missing before entry %d", e.Index)
 			}
 		}
 	})
 }
 
-// lazyDisk forgets to sync what the process was killed before syncing.
-type lazyDisk struct{ *fakedisk.Disk }
+// noSyncDirDisk doesn't sync the folder, as if the process was killed before it
+// could.
+type noSyncDirDisk struct{ *fakedisk.Disk }
 
-func (lazyDisk) SyncDir() error { return nil }
+func (noSyncDirDisk) SyncDir() error { return nil }
 
 func TestKilledProcessThenPowerLoss(t *testing.T) {
-	// The daemon is killed between a write and its sync, or between a new
-	// segment and the sync of the folder. It starts again, sees the data in
-	// the kernel's cache, builds on it and confirms orders. Then the power
-	// goes. What it built on must have been made to last at the start.
+	// The daemon is killed between a write and its sync, or between the creation
+	// of a segment and the sync of the folder. It starts again, reads the data from
+	// the kernel's page cache, appends to it and confirms orders. Then power is
+	// lost. The data that was read at the start must have been synced there.
 	for name, folder := range map[string]func(*fakedisk.Disk) disk.Disk{
 		"write not synced":  func(d *fakedisk.Disk) disk.Disk { return d },
-		"folder not synced": func(d *fakedisk.Disk) disk.Disk { return lazyDisk{d} },
+		"folder not synced": func(d *fakedisk.Disk) disk.Disk { return noSyncDirDisk{d} },
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := written(t, 1)
-			l, _ := opened(t, folder(d))
+			d := diskWithEntries(t, 1)
+			l, _ := mustOpen(t, folder(d))
 			for i := uint64(2); i <= 20; i++ {
 				l.Append(nil, []consensus.Entry{entry(i, 2)})
 				assert.NilError(t, l.Sync())
 			}
-			unsynced := encodeEndedFrame(l.nextFrame, appendEntry(nil, entry(21, 2)))
+			unsynced := encodeSegmentFrame(l.nextFrame, appendEntry(nil, entry(21, 2)))
 			assert.NilError(t, l.file.Append(unsynced))
 			d.Restart()
-			_, stored := opened(t, d)
+			_, stored := mustOpen(t, d)
 			assert.Equal(t, len(stored.Entries), 21)
 			d.Crash(rand.New(rand.NewPCG(1, 1)))
-			_, stored = opened(t, d)
+			_, stored = mustOpen(t, d)
 			assert.Equal(t, len(stored.Entries), 21)
 		})
 	}
