--- a/state/cachefile/cachefile.go
+++ b/state/cachefile/cachefile.go
@@ -1,11 +1,11 @@
-// Package cachefile keeps what is nice to have after a restart: a few kilobytes
-// in one file that is replaced whole. What it holds may be lost or old, and
-// whoever reads it has to do without it.
+// Package cachefile stores a few kilobytes that are useful but not required after
+// a restart, in one file that Write replaces atomically. The content may be lost
+// or outdated, and callers of Read must work without it.
 //
-// Failure guarded: power is lost while the file is written or renamed, and a
-// torn one is read. The content is checksummed, and anything else counts as no
-// file. It also says when it was written, by the time of day, so that a reader
-// can leave an old one alone.
+// Failure guarded against: power is lost while the file is written or renamed, and
+// a torn file is read after the restart. The content has a checksum, and a file
+// with a wrong checksum counts as missing. The file also holds the time of day at
+// which it was written, so that Read can ignore an outdated file.
 package cachefile
 
 import (
@@ -17,18 +17,19 @@
 	"endiveplank/state/disk"
 )
 
-// File names. The temporary one is left over by a crash and written over.
+// File names. A crash may leave the temporary file behind. The next Write
+// overwrites it.
 const (
-	name      = "cache"
-	temporary = "cache.tmp"
+	fileName      = "cache"
+	temporaryName = "cache.tmp"
 )
 
-// headerBytes are the checksum and the time of writing.
-const headerBytes = 8 + 8
+// headerSize is the length of the checksum and of the time of writing, in bytes.
+const headerSize = 8 + 8
 
-// Write replaces the file and makes it last. Errors: those of the disk.
+// Write replaces the file atomically and durably. Errors: those of the disk.
 func Write(d disk.Disk, now time.Time, content []byte) error {
-	f, err := d.Create(temporary)
+	f, err := d.Create(temporaryName)
 	if err != nil {
 		return err
 	}
@@ -38,24 +39,24 @@
 	if err == nil {
 		err = f.Sync()
 	}
-	if closed := f.Close(); err == nil {
-		err = closed
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
 	}
 	if err != nil {
 		return err
 	}
-	if err := d.Rename(temporary, name); err != nil {
+	if err := d.Rename(temporaryName, fileName); err != nil {
 		return err
 	}
 	return d.SyncDir()
 }
 
-// Read returns the content, if there is a whole file that was written within age
-// of now. A clock that was stepped forward makes it older, one that was stepped
-// back younger; neither may matter to the caller.
-func Read(d disk.Disk, now time.Time, age time.Duration) ([]byte, bool) {
-	data, err := d.ReadAll(name)
-	if err != nil || len(data) < headerBytes {
+// Read returns the content if there is an undamaged file that was written at most
+// maxAge before or after now. A clock step forward makes the file look older, a
+// clock step back makes it look newer. Callers must tolerate both.
+func Read(d disk.Disk, now time.Time, maxAge time.Duration) ([]byte, bool) {
+	data, err := d.ReadAll(fileName)
+	if err != nil || len(data) < headerSize {
 		return nil, false
 	}
 	body := data[8:]
@@ -63,7 +64,7 @@
 		return nil, false
 	}
 	written := time.UnixMilli(int64(binary.BigEndian.Uint64(body)))
-	if now.Sub(written).Abs() > age {
+	if now.Sub(written).Abs() > maxAge {
 		return nil, false
 	}
 	return body[8:], true
--- a/state/cachefile/cachefile_test.go
+++ b/state/cachefile/cachefile_test.go
@@ -13,6 +13,8 @@
 var day = time.Unix(1_700_000_000, 0)
 
 func TestWhatWasWrittenIsReadWhileItIsFresh(t *testing.T) {
+	// Read must return the newest content, and must ignore a file that is older
+	// than the caller accepts.
 	d := fakedisk.New()
 	_, found := Read(d, day, time.Minute)
 	assert.Assert(t, !found)
@@ -26,19 +28,19 @@
 }
 
 func TestAfterAPowerLossTheFileIsWholeOrMissing(t *testing.T) {
-	// Power is lost at any moment while the file is replaced again and again.
-	// A torn one, taken for whole, would name upstreams that never were.
+	// Power is lost at any moment while the file is replaced repeatedly. If a torn
+	// file counted as undamaged, it would name upstreams that never existed.
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		d := fakedisk.New()
 		for i := range random.IntN(4) {
 			assert.NilError(t, Write(d, day, []byte{byte(i), byte(i)}))
 		}
-		f, err := d.Create(temporary)
+		f, err := d.Create(temporaryName)
 		assert.NilError(t, err)
 		assert.NilError(t, f.Append([]byte("half")))
 		if random.IntN(2) == 0 {
-			assert.NilError(t, d.Rename(temporary, name))
+			assert.NilError(t, d.Rename(temporaryName, fileName))
 		}
 		d.Crash(random)
 		content, found := Read(d, day, time.Minute)
@@ -50,14 +52,17 @@
 }
 
 func TestDamageCountsAsNoFile(t *testing.T) {
+	// A bit flips on the disk. The damaged content must not be returned.
 	d := fakedisk.New()
 	assert.NilError(t, Write(d, day, []byte("content")))
-	d.FlipBit(name, 150)
+	d.FlipBit(fileName, 150)
 	_, found := Read(d, day, time.Minute)
 	assert.Assert(t, !found)
 }
 
 func TestAFullDiskIsAnErrorAndLeavesTheOldFile(t *testing.T) {
+	// The disk is full while the file is replaced. The caller must get an error,
+	// and the old content must still be readable.
 	d := fakedisk.New()
 	assert.NilError(t, Write(d, day, []byte("old")))
 	d.SetCapacity(1)
@@ -67,10 +72,10 @@
 	assert.Equal(t, string(content), "old")
 }
 
-func TestThePowerGoesWhileTheFileIsReplaced(t *testing.T) {
-	// Power is lost at any call of a replacement, and each unsynced write and name
-	// lasts or not by itself. What is read afterwards is a content that was
-	// written, the last that was confirmed or the one under way, and never a mix.
+func TestPowerLossDuringReplaceKeepsOldOrNewContent(t *testing.T) {
+	// Power is lost at any disk call of a replacement, and each unsynced write and
+	// name is kept or lost independently. The content that is read afterwards must
+	// be the last confirmed one or the one that was being written, never a mix.
 	now := time.Unix(1000, 0)
 	for seed := range uint64(2000) {
 		random := rand.New(rand.NewPCG(seed, 1))
