--- a/state/doc.go
+++ b/state/doc.go
@@ -1,4 +1,5 @@
-// Package state is the layer of what must survive a restart. Its subpackages
-// are disk (files of one data folder), wal (the write-ahead log and snapshots)
-// and replica (the driver that joins the log, consensus and a state machine).
+// Package state is the layer that stores what must survive a restart. Its
+// subpackages are disk (the files of a data folder), wal (the write-ahead log and
+// snapshots), replica (which drives consensus, the log and a state machine) and
+// cachefile (a small file whose content may be lost).
 package state
