--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -294,7 +294,7 @@
 	if d.replica != nil {
 		d.host.stop()
 		handOver, cancel := context.WithTimeout(context.Background(), askTimeout)
-		_ = d.replica.HandOver(handOver)
+		_ = d.replica.TransferLeadership(handOver)
 		cancel()
 		sleep(context.Background(), handOverTime)
 		d.replica.Stop()
--- a/daemon/diskvm/member.go
+++ b/daemon/diskvm/member.go
@@ -160,7 +160,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), handOverPatience)
 	defer cancel()
-	if err := member.HandOver(ctx); err != nil {
+	if err := member.TransferLeadership(ctx); err != nil {
 		vm.log.Warn().Str("event", "not-handed-over").Err(err).Send()
 		return
 	}
--- a/daemon/recover.go
+++ b/daemon/recover.go
@@ -27,5 +27,5 @@
 		return replica.RecoveryReport{}, eris.Wrap(err, "open the data folder; is the process stopped?")
 	}
 	defer func() { _ = folder.Close() }()
-	return replica.Recover(replica.Recovery{Self: s.RouterID, Disk: folder, Lost: lost, DryRun: dryRun}, newRandom())
+	return replica.Recover(replica.RecoveryRequest{Self: s.RouterID, Disk: folder, Lost: lost, DryRun: dryRun}, newRandom())
 }
--- a/state/replica/bench_test.go
+++ b/state/replica/bench_test.go
@@ -15,13 +15,13 @@
 	"endiveplank/state/disk"
 )
 
-// direct hands messages from replica to replica in one process.
-type direct struct {
+// memoryTransport is a Transport between replicas in one process.
+type memoryTransport struct {
 	mu       sync.RWMutex
 	replicas map[protocol.RouterID]*Replica
 }
 
-func (d *direct) Send(to protocol.RouterID, m consensus.Message) {
+func (d *memoryTransport) Send(to protocol.RouterID, m consensus.Message) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	if r := d.replicas[to]; r != nil {
@@ -50,8 +50,9 @@
 	return f.File.Sync()
 }
 
-// BenchmarkPropose measures committed commands a second on real disks, with
-// the syncs of all voters per command, against the callers at once.
+// BenchmarkPropose measures committed commands per second and syncs of all voters
+// per command on the real file system, for several numbers of voters and
+// concurrent callers.
 func BenchmarkPropose(b *testing.B) {
 	for _, voters := range []int{1, 3} {
 		for _, callers := range []int{1, 16, 256} {
@@ -64,7 +65,7 @@
 
 func benchPropose(b *testing.B, voters, callers int) {
 	peers := []protocol.RouterID{"r1", "r2", "r3"}[:voters]
-	d := &direct{replicas: map[protocol.RouterID]*Replica{}}
+	d := &memoryTransport{replicas: map[protocol.RouterID]*Replica{}}
 	var syncs atomic.Int64
 	for i, id := range peers {
 		folder, err := disk.Open(b.TempDir())
@@ -101,7 +102,7 @@
 	b.ReportMetric(float64(syncs.Load())/float64(b.N), "syncs/command")
 }
 
-func awaitLeader(d *direct) *Replica {
+func awaitLeader(d *memoryTransport) *Replica {
 	for {
 		for _, r := range d.replicas {
 			if r.IsLeaderWithLease(r.Now()) {
--- a/state/replica/config.go
+++ b/state/replica/config.go
@@ -16,90 +16,98 @@
 
 // Transport carries messages between members.
 type Transport interface {
-	// Send hands a message over without waiting. It may be lost, delayed,
-	// doubled or reordered.
+	// Send sends a message without blocking. Messages may be lost, delayed,
+	// duplicated or reordered.
 	Send(to protocol.RouterID, m consensus.Message)
 }
 
-// StateMachine is what the log drives. Its methods are called by one goroutine
-// only; readers elsewhere need the machine's own lock.
+// StateMachine holds the state that the log's commands change. One goroutine
+// alone calls its methods. If other goroutines read the state, the state machine
+// needs a lock of its own.
 type StateMachine interface {
-	// Apply carries out a committed command. It must depend on nothing but
-	// the commands before it.
+	// Apply applies a committed command. The result must depend only on this
+	// command and the commands before it.
 	Apply(index uint64, command []byte) (result []byte)
-	// Snapshot encodes the whole state. Nothing commits while it runs: keep
-	// it well under the election timeout.
+	// Snapshot encodes the whole state. Nothing commits while it runs, so it
+	// must take much less than the election timeout.
 	Snapshot() []byte
-	// Restore replaces the state by an encoded one; an error stops the member.
+	// Restore replaces the state with an encoded one. An error stops the member.
 	Restore(data []byte) error
 }
 
-// Config says how a member runs. Self, Peers, InitialVoters, Disk, Transport,
-// Machine and Random are required.
+// Config is the configuration of a member. Self, Peers, Disk, Transport, Machine
+// and Random are required.
 type Config struct {
+	// Self is the router that this member runs on.
 	Self protocol.RouterID
-	// Peers are all routers with a disk, Self included. With Open they are
-	// those to ask first, Self need not be among them, and SetContacts changes
-	// them.
+	// Peers are all routers with a disk, including Self. With Open they are only
+	// the routers to contact first: Self need not be among them, and SetContacts
+	// replaces them.
 	Peers []protocol.RouterID
-	// Open takes in routers with a disk that nobody has listed; see
+	// Open lets routers with a disk join that are not in Peers, see
 	// consensus.Settings.
 	Open bool
-	// InitialVoters are those that form a new cluster.
+	// InitialVoters are the voters that form a new cluster, see
+	// consensus.Settings.
 	InitialVoters []protocol.RouterID
-	Disk          disk.Disk
-	Transport     Transport
-	Machine       StateMachine
-	// Random is used by the member alone from New on.
+	// Disk is the data folder of the log.
+	Disk      disk.Disk
+	Transport Transport
+	Machine   StateMachine
+	// Random is used by the member alone after New is called.
 	Random *rand.Rand
-	// Consensus may set timings and limits; Self, Peers and InitialVoters in
-	// it are filled from here.
+	// Consensus may set timings and limits. New overwrites its Self, Peers, Open
+	// and InitialVoters with the values of this Config.
 	Consensus consensus.Settings
-	// Repair says when a voter is replaced. Voters 0 means as many as
+	// Repair configures when a voter is replaced. Voters 0 means the number of
 	// InitialVoters.
 	Repair repair.Settings
-	// SnapshotEvery is the least number of entries between two snapshots. The
-	// commands since must also be as large as the last snapshot.
+	// SnapshotEvery is the minimum number of entries between two snapshots. The
+	// commands since the last snapshot must also be as large as that snapshot.
 	SnapshotEvery uint64
-	// SegmentBytes is the size of a log segment; 0 means the log's default.
+	// SegmentBytes is the size of a log segment. 0 means the default of wal.
 	SegmentBytes int64
-	// Now is a monotonic clock; nil means the process's own.
+	// Now is a monotonic clock. nil means the clock of the process.
 	Now func() time.Duration
-	// Ticks lets time pass; nil means a ticker of TickInterval.
+	// Ticks triggers the ticks of the core. nil means a ticker of TickInterval.
 	Ticks <-chan time.Time
-	// OnApplied is called after each applied command, by the loop. Optional.
+	// OnApplied is called by the loop after each applied command. Optional.
 	OnApplied func(index uint64)
-	// OnLeaderChange is called when the known leader changes; "" is none.
+	// OnLeaderChange is called when the known leader changes. leader is "" if no
+	// leader is known. Optional.
 	OnLeaderChange func(leader protocol.RouterID, term uint64)
-	// OnEvent is called for each explained decision. Optional.
+	// OnEvent is called for each event of the consensus core. Optional.
 	OnEvent func(consensus.Event)
-	// OnFailed is called once if the member stops by itself. Optional.
+	// OnFailed is called once if the member stops because of a failure. Optional.
 	OnFailed func(error)
 }
 
 // Defaults of Config.
 const (
-	// DefaultSnapshotEvery bounds the replay after a restart.
+	// DefaultSnapshotEvery bounds the number of entries to replay after a
+	// restart.
 	DefaultSnapshotEvery = 10_000
 	// TickInterval is a fifth of the default heartbeat interval.
 	TickInterval = 50 * time.Millisecond
 )
 
-// entryOverhead is the fixed part of an entry in the log, in bytes.
+// entryOverhead is the size of an entry in the log without its data, in bytes.
 const entryOverhead = 22
 
-// Limits of the queues in front of the loop.
+// Limits of the loop's input queue.
 const (
-	// inputQueue holds the inputs that gather during one sync: some
-	// thousands of proposals at the highest rate a disk's sync allows.
-	// Messages beyond it are dropped, as a network would, and sent again.
-	inputQueue = 4096
-	// batchLimit bounds the inputs of one sync, so that a flood does not
-	// keep heartbeats waiting.
+	// inputQueueSize is the capacity of the queue for inputs that arrive during
+	// one sync: some thousands of proposals at the highest rate that a disk's
+	// syncs allow. If the queue is full, messages are dropped, as a network might
+	// do, and their senders repeat them.
+	inputQueueSize = 4096
+	// batchLimit bounds the inputs of one sync, so that a burst of inputs doesn't
+	// delay heartbeats.
 	batchLimit = 1024
 )
 
-// withDefaults fills optional fields and checks required ones.
+// withDefaults returns the Config with defaults for optional fields. It returns an
+// error if a required field is missing or a router isn't among the peers.
 func (c Config) withDefaults() (Config, error) {
 	if c.Self == "" || len(c.Peers) == 0 || c.Disk == nil || c.Transport == nil || c.Machine == nil || c.Random == nil {
 		return c, eris.New("replica: Self, Peers, Disk, Transport, Machine and Random are required")
@@ -120,27 +128,28 @@
 	return c, nil
 }
 
-// checkPeers finds routers that the others would not know.
+// checkPeers returns an error if Self or an initial voter is missing in Peers,
+// because the other members would not know it.
 func (c Config) checkPeers() error {
 	if c.Open {
 		return nil
 	}
 	for _, router := range append([]protocol.RouterID{c.Self}, c.InitialVoters...) {
 		if !slices.Contains(c.Peers, router) {
-			return eris.Errorf("replica: %s is not among the peers", router)
+			return eris.Errorf("replica: router %q is not among the peers %q", router, c.Peers)
 		}
 	}
 	return nil
 }
 
-// ErrNotLeader means that another member leads, or none.
+// ErrNotLeader means that another member is the leader, or that there is none.
 type ErrNotLeader = consensus.ErrNotLeader
 
 // ErrBusy means that too many entries wait for a quorum.
 type ErrBusy = consensus.ErrBusy
 
-// ErrLostLeadership means that leadership ended while the command waited. It
-// may be committed later or never.
+// ErrLostLeadership means that this member lost leadership before the command was
+// committed. The command may be committed later or never.
 type ErrLostLeadership struct {
 	Leader protocol.RouterID
 }
@@ -159,7 +168,7 @@
 }
 
 // ErrDiskFailed means that the member stopped because its disk failed or was
-// full. Whether waiting commands are committed is unknown.
+// full. Waiting commands may be committed later or never.
 type ErrDiskFailed struct {
 	Cause error
 }
--- a/state/replica/lease_test.go
+++ b/state/replica/lease_test.go
@@ -12,32 +12,33 @@
 )
 
 func TestHandOverEndsTheLeaseBeforeTheSuccessorLeads(t *testing.T) {
-	// A leader is stopped as planned while callers read under its lease. Once
-	// the successor can change rows, no read of the old ones may pass.
+	// A leader transfers leadership before a planned stop while callers read under
+	// its lease. Once the successor can change rows, the former leader must not
+	// serve reads of the old rows.
 	f := newFleet(t, 3, "r1", "r2", "r3")
 	for _, id := range f.peers {
 		f.start(id, fakedisk.New())
 	}
 	f.add(1)
 	former := f.leader()
-	old := f.nodes[former].replica
-	assert.NilError(t, old.HandOver(t.Context()))
+	old := f.vms[former].replica
+	assert.NilError(t, old.TransferLeadership(t.Context()))
 	f.eventually("another leads", func() bool {
 		leader := old.Leader()
-		return leader != former && leader != "" && f.nodes[leader].replica.IsLeaderWithLease(f.nodes[leader].replica.Now())
+		return leader != former && leader != "" && f.vms[leader].replica.IsLeaderWithLease(f.vms[leader].replica.Now())
 	})
 	assert.Assert(t, !old.IsLeaderWithLease(old.Now()))
 	_, err := old.Propose(t.Context(), make([]byte, 8))
 	var notLeader ErrNotLeader
 	assert.Assert(t, errors.As(err, &notLeader) && notLeader.Leader != former, "got %v", err)
-	assert.NilError(t, f.nodes[notLeader.Leader].replica.Barrier(t.Context()))
-	assert.Equal(t, f.nodes[notLeader.Leader].machine.value(), uint64(1))
+	assert.NilError(t, f.vms[notLeader.Leader].replica.Barrier(t.Context()))
+	assert.Equal(t, f.vms[notLeader.Leader].machine.value(), uint64(1))
 }
 
 func TestNoLeaseBeforeTheStateIsApplied(t *testing.T) {
-	// The only voter restarts and leads again. While it still applies the rows
-	// of before, a reader must not be told that it holds the lease: it would
-	// see a table from the middle of history.
+	// The only voter restarts and becomes leader again. While it still applies the
+	// entries from before the restart, it must not report that it holds the lease: a
+	// reader would see an outdated table.
 	f := newFleet(t, 1, "r1")
 	d := fakedisk.New()
 	f.start("r1", d)
@@ -54,8 +55,8 @@
 }
 
 func TestConfigIsChecked(t *testing.T) {
-	// A typing error in the settings must not make a cluster that can never
-	// form, or one that forms without a voter.
+	// A typing error in the settings must be refused. Otherwise a cluster could
+	// never form, or form without one of its voters.
 	good := Config{
 		Self: "r1", Peers: []protocol.RouterID{"r1", "r2"}, InitialVoters: []protocol.RouterID{"r1"},
 		Disk: fakedisk.New(), Transport: &fleet{}, Machine: &counter{}, Random: rand.New(rand.NewPCG(1, 1)),
@@ -78,15 +79,15 @@
 }
 
 func TestSnapshotDue(t *testing.T) {
-	// A journal of 50 MB takes small orders. Writing it every 10,000 orders
-	// would hold up every one of them for the disk's sake.
+	// A journal of 50 MB receives small orders. A snapshot every 10,000 orders
+	// would delay all orders while it is written.
 	assert.Assert(t, !snapshotDue(9_999, 10_000, 1<<30, 0))
 	assert.Assert(t, !snapshotDue(10_000, 10_000, 3<<20, 50<<20))
 	assert.Assert(t, snapshotDue(200_000, 10_000, 50<<20, 50<<20))
 }
 
 func TestCallsEndWithTheMember(t *testing.T) {
-	// A daemon stops while calls wait. Each must end with a typed answer.
+	// A daemon stops while calls wait. Each call must end with a typed error.
 	f := newFleet(t, 3, "r1", "r2", "r3")
 	n := f.start("r1", fakedisk.New())
 	_, err := n.replica.Propose(t.Context(), nil)
--- a/state/replica/loop.go
+++ b/state/replica/loop.go
@@ -9,7 +9,7 @@
 
 // run is the loop that owns the member's state.
 func (r *Replica) run() {
-	defer r.close()
+	defer r.shutDown()
 	ticks := r.config.Ticks
 	if ticks == nil {
 		ticker := time.NewTicker(TickInterval)
@@ -21,30 +21,31 @@
 		case <-r.stop:
 			return
 		case <-ticks:
-			r.drain()
+			r.drainInputs()
 			r.core.Tick(r.config.Now())
-			r.repair()
+			r.repairMembership()
 		case input := <-r.inputs:
 			input()
-			r.drain()
+			r.drainInputs()
 		}
-		r.settle()
+		r.processOutputs()
 	}
 }
 
-// repair makes the membership step that the policy asks for. The core refuses
-// one that would endanger the quorum; the policy asks again at a later tick.
-func (r *Replica) repair() {
+// repairMembership starts the membership change that the policy asks for, if any.
+// The core refuses a change that would endanger the quorum. The policy then asks
+// for it again at a later tick.
+func (r *Replica) repairMembership() {
 	now := r.config.Now()
 	if change := r.policy.Decide(now, r.core.Status()); change.Kind != 0 {
 		_ = r.core.ChangeMembership(now, change)
 	}
 }
 
-// drain takes the inputs that wait, up to the batch limit. A tick drains them
-// first: after a long sync or a freeze the answers that prove a quorum alive
-// are in the queue.
-func (r *Replica) drain() {
+// drainInputs handles the waiting inputs, up to batchLimit. It also runs before
+// each tick: after a long sync or a pause of the process, the replies that show
+// that a quorum is alive are still in the queue.
+func (r *Replica) drainInputs() {
 	for range batchLimit {
 		select {
 		case input := <-r.inputs:
@@ -55,8 +56,9 @@
 	}
 }
 
-// close ends all waiting calls.
-func (r *Replica) close() {
+// shutDown ends the lease, closes the log, ends all waiting calls and reports a
+// failure to OnFailed.
+func (r *Replica) shutDown() {
 	r.leaseUntil.Store(0)
 	_ = r.log.Close()
 	close(r.done)
@@ -65,22 +67,23 @@
 	}
 }
 
-// settle carries out what follows from the inputs until nothing is left.
-func (r *Replica) settle() {
+// processOutputs processes the core's outputs until there are no more.
+func (r *Replica) processOutputs() {
 	for r.failure == nil {
 		out := r.core.Take()
-		r.carryOut(out)
+		r.processOutput(out)
 		if !out.MustSync() && len(out.Committed) == 0 {
 			break
 		}
 	}
-	r.publish()
+	r.publishStatus()
 }
 
-// carryOut does the work of one output in the order that safety asks for:
-// persist and sync, then promise, then apply.
-func (r *Replica) carryOut(out consensus.Output) {
-	r.report(out.Events)
+// processOutput processes one output in the order that safety requires: it
+// persists and syncs first, then sends votes and acknowledgements, then applies
+// committed entries.
+func (r *Replica) processOutput(out consensus.Output) {
+	r.reportEvents(out.Events)
 	r.withdrawLease()
 	r.sendAll(out.Messages)
 	if out.MustSync() {
@@ -91,13 +94,14 @@
 		r.core.Persisted(r.config.Now(), out.Sequence)
 	}
 	r.sendAll(out.AfterSync)
-	r.noteLeadership()
+	r.updateLeader()
 	r.apply(out)
-	r.answerReads(out.Reads)
-	r.compact()
+	r.completeReads(out.Reads)
+	r.compactIfDue()
 }
 
-// persist writes what must not be forgotten.
+// persist writes the output's snapshot, hard state and entries to the log and
+// syncs them.
 func (r *Replica) persist(out consensus.Output) error {
 	if out.Snapshot != nil {
 		if err := r.log.SaveSnapshot(*out.Snapshot, true); err != nil {
@@ -108,15 +112,15 @@
 	return r.log.Sync()
 }
 
-// sendAll hands messages to the transport.
+// sendAll sends messages through the transport.
 func (r *Replica) sendAll(messages []consensus.Message) {
 	for _, m := range messages {
 		r.config.Transport.Send(m.To.Router, m)
 	}
 }
 
-// report passes on explained decisions.
-func (r *Replica) report(events []consensus.Event) {
+// reportEvents calls OnEvent for each event.
+func (r *Replica) reportEvents(events []consensus.Event) {
 	if r.config.OnEvent == nil {
 		return
 	}
@@ -125,62 +129,65 @@
 	}
 }
 
-// noteLeadership fails the waiting proposals when leadership ends, and tells
-// of a change of leader.
-func (r *Replica) noteLeadership() {
+// updateLeader fails all pending proposals if this member lost leadership, and
+// reports a change of the known leader.
+func (r *Replica) updateLeader() {
 	leader := r.core.Leader()
 	leads := r.core.Role() == consensus.Leader
 	if r.wasLeader && !leads {
-		r.loseProposals(leader)
+		r.failPendingProposals(leader)
 	}
 	r.wasLeader = leads
 	if leader != r.leader {
 		r.leader = leader
-		r.tellLeader(leader, r.core.Term())
+		r.notifyLeaderChange(leader, r.core.Term())
 	}
 }
 
-// tellLeader calls OnLeaderChange.
-func (r *Replica) tellLeader(leader protocol.RouterID, term uint64) {
+// notifyLeaderChange calls OnLeaderChange, if it is set.
+func (r *Replica) notifyLeaderChange(leader protocol.RouterID, term uint64) {
 	if r.config.OnLeaderChange != nil {
 		r.config.OnLeaderChange(leader, term)
 	}
 }
 
-// loseProposals answers all waiting proposals with an unknown outcome.
-func (r *Replica) loseProposals(leader protocol.RouterID) {
-	for index, w := range r.waiting {
-		w.reply <- answer{err: ErrLostLeadership{Leader: leader}}
-		delete(r.waiting, index)
+// failPendingProposals fails all pending proposals with ErrLostLeadership: their
+// outcome is unknown.
+func (r *Replica) failPendingProposals(leader protocol.RouterID) {
+	for index, w := range r.pendingProposals {
+		w.reply <- proposalResult{err: ErrLostLeadership{Leader: leader}}
+		delete(r.pendingProposals, index)
 	}
 }
 
-// propose appends a command; its answer comes from apply.
-func (r *Replica) propose(command []byte, reply chan answer) {
+// propose appends a command to the log. applyEntry replies when it is applied.
+func (r *Replica) propose(command []byte, reply chan proposalResult) {
 	index, term, err := r.core.Propose(r.config.Now(), command)
 	if err != nil {
-		reply <- answer{err: err}
+		reply <- proposalResult{err: err}
 		return
 	}
-	r.waiting[index] = waiter{term: term, reply: reply}
+	r.pendingProposals[index] = pendingProposal{term: term, reply: reply}
 }
 
-// barrier asks the core for a read index; its answer comes from answerReads.
+// barrier asks the core for a read index. completeReads replies when the core has
+// confirmed it.
 func (r *Replica) barrier(reply chan error) {
 	r.nextBarrier++
 	if err := r.core.ReadIndex(r.config.Now(), r.nextBarrier); err != nil {
 		reply <- err
 		return
 	}
-	r.barriers[r.nextBarrier] = reply
+	r.pendingBarriers[r.nextBarrier] = reply
 }
 
-// answerReads answers confirmed barriers. What they cover is committed in this
-// output or an earlier one, so it is applied by now.
-func (r *Replica) answerReads(reads []consensus.Read) {
+// completeReads replies to the barriers that the core has confirmed or that were
+// lost with leadership. The entries that a confirmed barrier waits for were
+// committed in this output or an earlier one, so they are already applied.
+func (r *Replica) completeReads(reads []consensus.Read) {
 	for _, read := range reads {
-		reply := r.barriers[read.ID]
-		delete(r.barriers, read.ID)
+		reply := r.pendingBarriers[read.ID]
+		delete(r.pendingBarriers, read.ID)
 		if read.Lost {
 			reply <- ErrLostLeadership{Leader: r.leader}
 			continue
@@ -189,7 +196,7 @@
 	}
 }
 
-// apply runs committed commands through the state machine.
+// apply restores a received snapshot and applies committed entries.
 func (r *Replica) apply(out consensus.Output) {
 	if out.Snapshot != nil {
 		if err := r.config.Machine.Restore(out.Snapshot.Data); err != nil {
@@ -197,51 +204,52 @@
 			return
 		}
 		r.applied = out.Snapshot.Index
-		r.snapshotAt = out.Snapshot.Index
+		r.snapshotIndex = out.Snapshot.Index
 		r.snapshotBytes = len(out.Snapshot.Data)
-		r.loggedBytes = 0
+		r.bytesSinceSnapshot = 0
 	}
 	for _, e := range out.Committed {
 		r.applyEntry(e)
 	}
 }
 
-// applyEntry applies one entry and answers its proposal, if it waits here.
+// applyEntry applies one entry and replies to its proposal, if this member made
+// it.
 func (r *Replica) applyEntry(e consensus.Entry) {
 	var result []byte
 	if e.Kind == consensus.EntryCommand {
 		result = r.config.Machine.Apply(e.Index, e.Data)
 	}
 	r.applied = e.Index
-	r.loggedBytes += entryOverhead + len(e.Data)
-	if w, ok := r.waiting[e.Index]; ok {
-		delete(r.waiting, e.Index)
-		w.reply <- outcome(w, e, result, r.leader)
+	r.bytesSinceSnapshot += entryOverhead + len(e.Data)
+	if w, ok := r.pendingProposals[e.Index]; ok {
+		delete(r.pendingProposals, e.Index)
+		w.reply <- resultFor(w, e, result, r.leader)
 	}
 	if e.Kind == consensus.EntryCommand && r.config.OnApplied != nil {
 		r.config.OnApplied(e.Index)
 	}
 }
 
-// outcome answers a proposal: another term at its index means that another
-// leader's entry took its place.
-func outcome(w waiter, e consensus.Entry, result []byte, leader protocol.RouterID) answer {
+// resultFor returns the result of a proposal whose index is e.Index. If the entry
+// has another term, another leader's entry replaced the proposal.
+func resultFor(w pendingProposal, e consensus.Entry, result []byte, leader protocol.RouterID) proposalResult {
 	if w.term != e.Term {
-		return answer{err: ErrLostLeadership{Leader: leader}}
+		return proposalResult{err: ErrLostLeadership{Leader: leader}}
 	}
-	return answer{result: result}
+	return proposalResult{result: result}
 }
 
-// compact writes a snapshot when enough entries have gathered.
-func (r *Replica) compact() {
-	if r.failure != nil || !snapshotDue(r.applied-r.snapshotAt, r.config.SnapshotEvery, r.loggedBytes, r.snapshotBytes) {
+// compactIfDue writes a snapshot if snapshotDue says so.
+func (r *Replica) compactIfDue() {
+	if r.failure != nil || !snapshotDue(r.applied-r.snapshotIndex, r.config.SnapshotEvery, r.bytesSinceSnapshot, r.snapshotBytes) {
 		return
 	}
 	data := r.config.Machine.Snapshot()
 	s, ok := r.core.Compact(r.applied, data)
-	r.snapshotAt = r.applied
+	r.snapshotIndex = r.applied
 	r.snapshotBytes = len(data)
-	r.loggedBytes = 0
+	r.bytesSinceSnapshot = 0
 	if !ok {
 		return
 	}
@@ -250,33 +258,36 @@
 	}
 }
 
-// snapshotDue says whether a snapshot is worth its writing.
+// snapshotDue reports whether a new snapshot should be written, given the number
+// and size of the entries since the last one and the size of the last one.
 //
-// Load: a journal of tens of megabytes that takes a thousand commands a
-// second. Harm prevented: with a bound on entries alone, the whole state would
-// be written every few seconds, and nothing commits meanwhile. The log grows to
-// the size of the state first, so snapshots at most double what is written.
-func snapshotDue(entries, every uint64, logged, snapshot int) bool {
-	return entries >= every && logged >= snapshot
+// Load: a journal of tens of megabytes receives a thousand commands per second.
+// With a limit on the number of entries alone, the whole state would be written
+// every few seconds, and nothing commits while it is written. The log must
+// therefore first grow to the size of the last snapshot, so that snapshots at most
+// double the amount of data written.
+func snapshotDue(entries, minEntries uint64, loggedBytes, snapshotBytes int) bool {
+	return entries >= minEntries && loggedBytes >= snapshotBytes
 }
 
-// publish makes status and lease visible to other goroutines.
-func (r *Replica) publish() {
+// publishStatus makes the status and the lease visible to other goroutines.
+func (r *Replica) publishStatus() {
 	status := r.core.Status()
 	r.status.Store(&status)
 	r.publishLease()
 }
 
-// withdrawLease ends a lease that was given up, before messages leave: nobody
-// may read under it once a successor has been told.
+// withdrawLease ends the published lease if the core no longer holds one. It must
+// run before messages are sent: nobody may read under the lease once the successor
+// has received the leadership transfer.
 func (r *Replica) withdrawLease() {
 	if !r.core.HoldsLease(r.config.Now()) {
 		r.leaseUntil.Store(0)
 	}
 }
 
-// publishLease makes the end of the lease visible, after the state machine has
-// applied what the lease covers.
+// publishLease makes the end of the lease visible to other goroutines. It must run
+// after the state machine has applied everything committed so far.
 func (r *Replica) publishLease() {
 	now := r.config.Now()
 	until := r.core.LeaseUntil(now)
--- a/state/replica/recover.go
+++ b/state/replica/recover.go
@@ -13,21 +13,22 @@
 	"endiveplank/state/wal"
 )
 
-// Recovery is a request to go on from one data folder after the quorum is
-// lost for good.
-type Recovery struct {
+// RecoveryRequest asks Recover to continue from one data folder after the quorum
+// is lost for good.
+type RecoveryRequest struct {
+	// Self and Disk are the surviving router and its data folder.
 	Self protocol.RouterID
 	Disk disk.Disk
-	// Lost names all other voters, as the operator has found them gone for
-	// good. Recover refuses any other list.
+	// Lost must name all other voters. With it the operator confirms that they are
+	// lost for good. Recover refuses any other list.
 	Lost []protocol.RouterID
-	// DryRun checks and reports, and writes nothing to the log.
+	// DryRun makes Recover check and report without writing to the log.
 	DryRun bool
 }
 
-// RecoveryReport says from where the state goes on. What the lost voters had
-// confirmed after LastIndex is lost; what is on this disk is kept, confirmed
-// or not.
+// RecoveryReport describes the state from which the member continues. Commands
+// that the lost voters had confirmed after LastIndex are lost. Commands on this
+// disk are kept, whether or not they were confirmed.
 type RecoveryReport struct {
 	Member    consensus.Member
 	LastIndex uint64
@@ -35,9 +36,10 @@
 	Epoch     uint64
 }
 
-// ErrRecoveryNotConfirmed means that Lost does not name exactly the other
-// voters.
+// ErrRecoveryNotConfirmed means that RecoveryRequest.Lost does not name exactly
+// the other voters.
 type ErrRecoveryNotConfirmed struct {
+	// Voters are all other voters.
 	Voters []protocol.RouterID
 }
 
@@ -54,12 +56,12 @@
 	return "replica: the data folder holds no state to go on from"
 }
 
-// Recover rewrites a stopped member's data folder so that it goes on as the
-// only voter, in a new epoch. Spares then join and become voters as ever. Run
-// it on the survivor with the highest term and, among equals, the highest last
-// index. Errors: ErrRecoveryNotConfirmed, ErrNothingToRecover, those of
-// wal.Open.
-func Recover(request Recovery, random *rand.Rand) (RecoveryReport, error) {
+// Recover rewrites the data folder of a stopped member so that the member
+// continues as the only voter, in a new epoch. Spares then join and become voters
+// as usual. Run Recover on the survivor with the highest term and, if several have
+// it, on the one among them with the highest last index. Errors:
+// ErrRecoveryNotConfirmed, ErrNothingToRecover, and those of wal.Open.
+func Recover(request RecoveryRequest, random *rand.Rand) (RecoveryReport, error) {
 	log, stored, err := wal.Open(request.Disk, wal.Options{Router: request.Self, Random: random})
 	if err != nil {
 		return RecoveryReport{}, err
@@ -85,7 +87,7 @@
 	return report, nil
 }
 
-// otherVoters returns the routers of all voters but one, sorted.
+// otherVoters returns the sorted routers of all voters except self.
 func otherVoters(self consensus.Member, stored consensus.Stored) []protocol.RouterID {
 	var others []protocol.RouterID
 	for _, voter := range consensus.NewestConfiguration(stored).Voters {
@@ -97,7 +99,8 @@
 	return others
 }
 
-// sameRouters compares a sorted list with one in any order.
+// sameRouters reports whether a sorted list holds the same routers as a list in
+// any order.
 func sameRouters(sorted, other []protocol.RouterID) bool {
 	return slices.Equal(sorted, slices.Sorted(slices.Values(other)))
 }
--- a/state/replica/recover_test.go
+++ b/state/replica/recover_test.go
@@ -12,9 +12,9 @@
 )
 
 func TestRecoveryFromALostQuorum(t *testing.T) {
-	// Two of three voters burn down. The operator recovers from the third,
-	// which keeps what it had, and adds VMs with empty disks. Then one of the
-	// lost two turns up with its old disk: it must not take part again.
+	// Two of three voters are lost for good. The operator recovers from the third
+	// one, which keeps its state, and adds VMs with empty disks. Then one of the two
+	// lost voters comes back with its old disk: it must not take part again.
 	f := newFleet(t, 3, "r1", "r2", "r3")
 	disks := map[protocol.RouterID]*fakedisk.Disk{}
 	for _, id := range f.peers {
@@ -22,11 +22,11 @@
 		f.start(id, disks[id])
 	}
 	f.add(30)
-	f.eventually("all have it", func() bool { return f.nodes["r3"].machine.value() == 30 })
+	f.eventually("all have it", func() bool { return f.vms["r3"].machine.value() == 30 })
 	for _, id := range f.peers {
 		f.stop(id)
 	}
-	recovery := Recovery{Self: "r3", Disk: disks["r3"], Lost: []protocol.RouterID{"r2"}}
+	recovery := RecoveryRequest{Self: "r3", Disk: disks["r3"], Lost: []protocol.RouterID{"r2"}}
 	random := rand.New(rand.NewPCG(1, 1))
 	_, err := Recover(recovery, random)
 	var unconfirmed ErrRecoveryNotConfirmed
@@ -40,16 +40,16 @@
 	f.start("r1", disks["r1"])
 	assert.Equal(t, f.add(1), uint64(31))
 	f.eventually("the empty disk votes", func() bool {
-		c := f.nodes["r3"].replica.Status().Configuration
-		return c.IsVoter(f.nodes["r2"].replica.Status().Self)
+		c := f.vms["r3"].replica.Status().Configuration
+		return c.IsVoter(f.vms["r2"].replica.Status().Self)
 	})
-	former := f.nodes["r1"].replica
-	f.eventually("the former voter stands aside", func() bool { return former.Status().Superseded })
-	assert.Assert(t, !f.nodes["r3"].replica.Status().Configuration.IsVoter(former.Status().Self))
-	assert.Equal(t, f.nodes["r1"].machine.value(), uint64(0))
+	former := f.vms["r1"].replica
+	f.eventually("the former voter is superseded", func() bool { return former.Status().Superseded })
+	assert.Assert(t, !f.vms["r3"].replica.Status().Configuration.IsVoter(former.Status().Self))
+	assert.Equal(t, f.vms["r1"].machine.value(), uint64(0))
 }
 
 func TestRecoveryOfAnEmptyFolderIsRefused(t *testing.T) {
-	_, err := Recover(Recovery{Self: "r1", Disk: fakedisk.New()}, rand.New(rand.NewPCG(1, 1)))
+	_, err := Recover(RecoveryRequest{Self: "r1", Disk: fakedisk.New()}, rand.New(rand.NewPCG(1, 1)))
 	assert.ErrorType(t, err, ErrNothingToRecover{})
 }
--- a/state/replica/repair_test.go
+++ b/state/replica/repair_test.go
@@ -11,7 +11,9 @@
 	"endiveplank/state/disk/fakedisk"
 )
 
-// voterRouters returns the routers of the voters, as the leader has them.
+// voterRouters returns the sorted routers of the voters in the leader's
+// configuration. It returns nil if there is no leader or a membership change is
+// pending.
 func (f *fleet) voterRouters() []protocol.RouterID {
 	for _, n := range f.running() {
 		status := n.replica.Status()
@@ -27,6 +29,7 @@
 	return nil
 }
 
+// leader waits for a leader with a lease and returns it.
 func (f *fleet) leader() protocol.RouterID {
 	for {
 		for _, n := range f.running() {
@@ -38,10 +41,10 @@
 }
 
 func TestLostVotersAreReplacedWithoutAnOperator(t *testing.T) {
-	// Two of five VMs with disks are spares. The leader's VM is lost for good;
-	// a spare takes its place. Right after that the next leader is lost too,
-	// and the last spare takes its place. No order may be lost on the way, and
-	// the three that are left must go on.
+	// Two of five VMs with disks are spares. The leader's VM is lost for good, and
+	// a spare must replace it. Right after that the next leader is lost too, and
+	// the last spare must replace it. No order may be lost, and the remaining three
+	// voters must still accept orders after one more is lost.
 	f := newFleet(t, 3, "r1", "r2", "r3", "r4", "r5")
 	for _, id := range f.peers {
 		f.start(id, fakedisk.New())
@@ -66,18 +69,19 @@
 }
 
 func TestWipedDiskReturnsAsLearnerAndIsPromoted(t *testing.T) {
-	// A VM comes back with an empty disk after thousands of changes, without
-	// any spare. It must not count as the voter it was. It gets a snapshot as
-	// a new member, is promoted, and its old self is removed.
+	// A VM comes back with an empty disk after thousands of changes, and there is
+	// no spare. It must not count as the voter that it was before, because it has
+	// forgotten its vote and its entries. It must join as a new member, receive a
+	// snapshot and be promoted, and its former membership must be removed.
 	f := newFleet(t, 3, "r1", "r2", "r3")
-	f.every = 50
+	f.snapshotEvery = 50
 	for _, id := range f.peers {
 		f.start(id, fakedisk.New())
 	}
 	for range 200 {
 		f.add(1)
 	}
-	old := f.nodes["r2"].replica.Status().Self
+	old := f.vms["r2"].replica.Status().Self
 	f.stop("r2")
 	back := f.start("r2", fakedisk.New())
 	self := back.replica.Status().Self
@@ -92,10 +96,10 @@
 }
 
 func TestAllVotersLosePowerTogether(t *testing.T) {
-	// A rack loses power while orders run. Whatever was confirmed must be
-	// there when the three come back, whatever each disk had not synced.
+	// A rack loses power while orders run. All confirmed orders must be there when
+	// the three voters come back, no matter what each disk had not synced.
 	f := newFleet(t, 3, "r1", "r2", "r3")
-	f.every = 40
+	f.snapshotEvery = 40
 	disks := map[protocol.RouterID]*fakedisk.Disk{}
 	random := rand.New(rand.NewPCG(5, 5))
 	for _, id := range f.peers {
@@ -119,13 +123,13 @@
 	assert.Equal(t, f.add(1), sum+1)
 }
 
-func TestPowerIsLostRightAfterAnAcknowledgementWithTwoDisks(t *testing.T) {
-	// A change is acknowledged, and at that moment five disk VMs lose power in the
-	// middle of whatever they do. Of what their disks had not synced each write
-	// and name is kept or lost by itself, and two disks are empty afterwards. What
-	// was acknowledged is still there, and so it is the next time.
+func TestPowerLossAfterAcknowledgementAndLossOfTwoDisks(t *testing.T) {
+	// Right after a change is acknowledged, five disk VMs lose power. Each unsynced
+	// write and name on their disks is kept or lost independently, and two disks
+	// are empty afterwards. All acknowledged changes must still be there, and again
+	// after each further power loss.
 	f := newFleet(t, 5, "r1", "r2", "r3", "r4", "r5")
-	f.every = 15
+	f.snapshotEvery = 15
 	random := rand.New(rand.NewPCG(11, 5))
 	disks := map[protocol.RouterID]*fakedisk.Disk{}
 	for _, id := range f.peers {
@@ -153,12 +157,13 @@
 		}
 		sum++
 		assert.Equal(t, f.add(1), sum)
-		f.eventually("all five vote again", func() bool { return f.allVote() })
+		f.eventually("all five vote again", func() bool { return f.onlyMembersVote() })
 	}
 }
 
-// allVote reports whether every running member votes, and nobody else does.
-func (f *fleet) allVote() bool {
+// onlyMembersVote reports whether every running member is a voter, and nobody else
+// is.
+func (f *fleet) onlyMembersVote() bool {
 	for _, n := range f.running() {
 		status := n.replica.Status()
 		if !status.Configuration.IsVoter(status.Self) || len(status.Configuration.Voters) != len(f.peers) {
--- a/state/replica/replica.go
+++ b/state/replica/replica.go
@@ -14,53 +14,54 @@
 	"endiveplank/state/wal"
 )
 
-// Replica is a running member.
+// Replica is one member of the replicated log.
 type Replica struct {
 	config Config
 	core   *consensus.Core
 	policy repair.Policy
 	log    *wal.Log
 
-	inputs  chan func()
-	stop    chan struct{}
-	done    chan struct{}
-	once    sync.Once
-	started atomic.Bool
+	inputs   chan func()
+	stop     chan struct{}
+	done     chan struct{}
+	stopOnce sync.Once
+	started  atomic.Bool
 
-	// leaseUntil is the end of the lease by Config.Now, 0 if none.
+	// leaseUntil is the end of the leader lease on the clock Config.Now, 0 if this
+	// member holds none.
 	leaseUntil atomic.Int64
 	status     atomic.Pointer[consensus.Status]
-	// failure is why the loop ended; it is set before done is closed.
+	// failure is the reason why the loop ended. It is set before done is closed.
 	failure error
 
-	// What follows belongs to the loop.
-	waiting     map[uint64]waiter
-	barriers    map[uint64]chan error
-	nextBarrier uint64
-	applied     uint64
-	snapshotAt  uint64
-	// snapshotBytes is the size of the newest snapshot, and loggedBytes that
-	// of the commands since.
-	snapshotBytes int
-	loggedBytes   int
-	leader        protocol.RouterID
-	wasLeader     bool
-}
-
-// answer is the outcome of a proposal.
-type answer struct {
+	// Only the loop uses the following fields.
+	pendingProposals map[uint64]pendingProposal
+	pendingBarriers  map[uint64]chan error
+	nextBarrier      uint64
+	applied          uint64
+	snapshotIndex    uint64
+	// snapshotBytes is the size of the newest snapshot. bytesSinceSnapshot is the
+	// size of the entries since then.
+	snapshotBytes      int
+	bytesSinceSnapshot int
+	leader             protocol.RouterID
+	wasLeader          bool
+}
+
+// proposalResult is the result of a proposal.
+type proposalResult struct {
 	result []byte
 	err    error
 }
 
-// waiter is a proposal that waits for its entry.
-type waiter struct {
+// pendingProposal is a proposal whose entry isn't applied yet.
+type pendingProposal struct {
 	term  uint64
-	reply chan answer
+	reply chan proposalResult
 }
 
 // New opens the log and restores the state machine from the newest snapshot.
-// Errors: those of wal.Open, and of StateMachine.Restore.
+// Errors: those of wal.Open and StateMachine.Restore.
 func New(config Config) (*Replica, error) {
 	config, err := config.withDefaults()
 	if err != nil {
@@ -84,30 +85,30 @@
 	settings.InitialVoters = config.InitialVoters
 	r := &Replica{
 		config: config, log: log,
-		policy:     repair.New(config.Repair),
-		core:       consensus.New(settings, stored, config.Now(), config.Random),
-		inputs:     make(chan func(), inputQueue),
-		stop:       make(chan struct{}),
-		done:       make(chan struct{}),
-		waiting:    map[uint64]waiter{},
-		barriers:   map[uint64]chan error{},
-		applied:    stored.Snapshot.Index,
-		snapshotAt: stored.Snapshot.Index, snapshotBytes: len(stored.Snapshot.Data),
+		policy:           repair.New(config.Repair),
+		core:             consensus.New(settings, stored, config.Now(), config.Random),
+		inputs:           make(chan func(), inputQueueSize),
+		stop:             make(chan struct{}),
+		done:             make(chan struct{}),
+		pendingProposals: map[uint64]pendingProposal{},
+		pendingBarriers:  map[uint64]chan error{},
+		applied:          stored.Snapshot.Index,
+		snapshotIndex:    stored.Snapshot.Index, snapshotBytes: len(stored.Snapshot.Data),
 	}
-	r.publish()
+	r.publishStatus()
 	return r, nil
 }
 
-// Start runs the member. Call it once.
+// Start starts the member's loop. Call it once.
 func (r *Replica) Start() {
 	r.started.Store(true)
 	go r.run()
 }
 
-// Stop ends the member and waits for it. What is not committed may still be,
-// by the others.
+// Stop stops the member and waits until it has ended. The other members may still
+// commit proposals that are not committed yet.
 func (r *Replica) Stop() {
-	r.once.Do(func() { close(r.stop) })
+	r.stopOnce.Do(func() { close(r.stop) })
 	if r.started.Load() {
 		<-r.done
 		return
@@ -115,18 +116,19 @@
 	_ = r.log.Close()
 }
 
-// Done is closed when the loop has ended, by Stop or by a failure.
+// Done returns a channel that is closed when the loop has ended, because of Stop
+// or of a failure.
 func (r *Replica) Done() <-chan struct{} {
 	return r.done
 }
 
-// Now returns the time by the member's clock.
+// Now returns the time on the member's clock.
 func (r *Replica) Now() time.Duration {
 	return r.config.Now()
 }
 
-// Receive takes a message from the transport. It does not wait: a message
-// that finds the queue full is dropped.
+// Receive takes a message from the transport. It doesn't block: if the input queue
+// is full, the message is dropped.
 func (r *Replica) Receive(m consensus.Message) {
 	select {
 	case r.inputs <- func() { r.core.Receive(r.config.Now(), m) }:
@@ -134,10 +136,10 @@
 	}
 }
 
-// Propose has a command committed and returns what Apply answered here. See
-// the package comment for the errors.
+// Propose proposes a command, waits until it is committed and applied, and returns
+// the result of Apply on this member. See the package comment for the errors.
 func (r *Replica) Propose(ctx context.Context, command []byte) ([]byte, error) {
-	reply := make(chan answer, 1)
+	reply := make(chan proposalResult, 1)
 	if err := r.enqueue(ctx, func() { r.propose(command, reply) }); err != nil {
 		return nil, err
 	}
@@ -147,12 +149,12 @@
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	case <-r.done:
-		return nil, r.ended()
+		return nil, r.endError()
 	}
 }
 
-// Barrier returns when this member, as leader, has applied everything that
-// was accepted anywhere before the call. Errors as for Propose.
+// Barrier returns when this member, as leader, has applied all commands that any
+// member accepted before the call. It returns the same errors as Propose.
 func (r *Replica) Barrier(ctx context.Context) error {
 	reply := make(chan error, 1)
 	if err := r.enqueue(ctx, func() { r.barrier(reply) }); err != nil {
@@ -161,8 +163,8 @@
 	return r.await(ctx, reply)
 }
 
-// ChangeMembership starts a membership step; see consensus.Core. It answers
-// when the step is in the log, not when it is committed.
+// ChangeMembership starts a membership change, see consensus.Core. It returns when
+// the change is in the log, before it is committed.
 func (r *Replica) ChangeMembership(ctx context.Context, change consensus.Change) error {
 	reply := make(chan error, 1)
 	input := func() { reply <- r.core.ChangeMembership(r.config.Now(), change) }
@@ -172,16 +174,18 @@
 	return r.await(ctx, reply)
 }
 
-// SetContacts replaces the routers to ask first, with Config.Open.
+// SetContacts replaces the routers to contact first. It has an effect only with
+// Config.Open.
 func (r *Replica) SetContacts(ctx context.Context, routers []protocol.RouterID) error {
 	return r.enqueue(ctx, func() { r.core.SetContacts(routers) })
 }
 
-// HandOver makes this member, if it leads, give leadership to a caught-up voter
-// before a planned stop. It answers at once; leadership ends within
-// milliseconds, or stays if no voter is ready within an election timeout.
-// Proposals that wait are answered with ErrLostLeadership.
-func (r *Replica) HandOver(ctx context.Context) error {
+// TransferLeadership makes this member, if it is the leader, transfer leadership
+// to a voter that is caught up. Call it before a planned stop. It returns without
+// waiting for the transfer: leadership ends within milliseconds, or stays if no
+// voter is caught up within an election timeout. Waiting proposals then fail with
+// ErrLostLeadership.
+func (r *Replica) TransferLeadership(ctx context.Context) error {
 	reply := make(chan error, 1)
 	if err := r.enqueue(ctx, func() { reply <- r.core.HandOver(r.config.Now()) }); err != nil {
 		return err
@@ -189,7 +193,7 @@
 	return r.await(ctx, reply)
 }
 
-// await waits for an answer of the loop.
+// await waits for a reply of the loop.
 func (r *Replica) await(ctx context.Context, reply <-chan error) error {
 	select {
 	case err := <-reply:
@@ -197,11 +201,11 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-r.done:
-		return r.ended()
+		return r.endError()
 	}
 }
 
-// enqueue hands an input to the loop.
+// enqueue adds an input to the loop's queue. It blocks while the queue is full.
 func (r *Replica) enqueue(ctx context.Context, input func()) error {
 	select {
 	case r.inputs <- input:
@@ -209,31 +213,32 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-r.done:
-		return r.ended()
+		return r.endError()
 	}
 }
 
-// ended says why the loop has ended.
-func (r *Replica) ended() error {
+// endError returns the error for calls that find the loop ended.
+func (r *Replica) endError() error {
 	if r.failure != nil {
 		return r.failure
 	}
 	return ErrStopped{}
 }
 
-// Leader returns the leader, or "" if none is known.
+// Leader returns the leader's router, or "" if no leader is known.
 func (r *Replica) Leader() protocol.RouterID {
 	return r.Status().Leader.Router
 }
 
-// IsLeaderWithLease reports whether this member leads and no other member can
-// lead at now, by the clock of Now. To read local state under the lease, read
-// first, then call this with a time taken after the read.
+// IsLeaderWithLease reports whether this member is the leader and no other member
+// can be the leader at the time now, on the clock of Now. To read local state
+// under the lease, read first, then call this method with a time taken after the
+// read.
 func (r *Replica) IsLeaderWithLease(now time.Duration) bool {
 	return int64(now) < r.leaseUntil.Load()
 }
 
-// Status returns a view of the member as of its last step.
+// Status returns the member's status after its last step.
 func (r *Replica) Status() consensus.Status {
 	return *r.status.Load()
 }
--- a/state/replica/replica_test.go
+++ b/state/replica/replica_test.go
@@ -18,7 +18,7 @@
 	"endiveplank/state/disk/fakedisk"
 )
 
-// counter is a state machine that adds up its commands.
+// counter is a state machine that adds up the numbers in its commands.
 type counter struct {
 	mu  sync.Mutex
 	sum uint64
@@ -51,36 +51,36 @@
 	return c.sum
 }
 
-// node is one VM of a fleet.
-type node struct {
+// vm is one VM with a disk in a fleet.
+type vm struct {
 	disk    *fakedisk.Disk
 	machine *counter
 	replica *Replica
 	ticks   chan time.Time
 }
 
-// fleet runs replicas over an in-memory network. Its clock moves by one step
-// whenever every running replica has taken the tick before.
+// fleet runs replicas over an in-memory network. Its clock advances by one step
+// after each running replica has taken its last tick.
 type fleet struct {
-	t      *testing.T
-	mu     sync.Mutex
-	nodes  map[protocol.RouterID]*node
-	peers  []protocol.RouterID
-	voters []protocol.RouterID
-	clock  atomic.Int64
-	every  uint64
-	seed   uint64
-	done   chan struct{}
+	t             *testing.T
+	mu            sync.Mutex
+	vms           map[protocol.RouterID]*vm
+	peers         []protocol.RouterID
+	voters        []protocol.RouterID
+	clock         atomic.Int64
+	snapshotEvery uint64
+	seed          uint64
+	done          chan struct{}
 	// onApply is called before each command on any member, if set.
 	onApply func(*Replica)
 }
 
 func newFleet(t *testing.T, voters int, peers ...protocol.RouterID) *fleet {
-	f := &fleet{t: t, nodes: map[protocol.RouterID]*node{}, peers: peers, voters: peers[:voters], every: 10_000, done: make(chan struct{})}
+	f := &fleet{t: t, vms: map[protocol.RouterID]*vm{}, peers: peers, voters: peers[:voters], snapshotEvery: 10_000, done: make(chan struct{})}
 	stopped := make(chan struct{})
 	go func() {
 		defer close(stopped)
-		f.pump()
+		f.runClock()
 	}()
 	t.Cleanup(func() {
 		close(f.done)
@@ -92,7 +92,7 @@
 	return f
 }
 
-func (f *fleet) pump() {
+func (f *fleet) runClock() {
 	for {
 		select {
 		case <-f.done:
@@ -106,8 +106,9 @@
 	}
 }
 
-// tick gives a member its tick. One whose disk stalls may be waiting for that.
-func (n *node) tick() {
+// tick sends one tick to the member. It gives up if the disk is stalled, because
+// the member may be waiting for the disk.
+func (n *vm) tick() {
 	for {
 		select {
 		case n.ticks <- time.Time{}:
@@ -122,36 +123,37 @@
 	}
 }
 
-func (f *fleet) running() []*node {
+func (f *fleet) running() []*vm {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var nodes []*node
-	for _, n := range f.nodes {
+	var nodes []*vm
+	for _, n := range f.vms {
 		nodes = append(nodes, n)
 	}
 	return nodes
 }
 
-// Send implements Transport for all nodes, over the encoding of the wire.
+// Send implements Transport for all VMs. It encodes and decodes each message as on
+// the network.
 func (f *fleet) Send(to protocol.RouterID, sent consensus.Message) {
 	var m consensus.Message
 	data, err := msgpack.Marshal(sent)
 	assert.NilError(f.t, err)
 	assert.NilError(f.t, msgpack.Unmarshal(data, &m))
 	f.mu.Lock()
-	n := f.nodes[to]
+	n := f.vms[to]
 	f.mu.Unlock()
 	if n != nil {
 		n.replica.Receive(m)
 	}
 }
 
-func (f *fleet) start(id protocol.RouterID, disk *fakedisk.Disk) *node {
+func (f *fleet) start(id protocol.RouterID, disk *fakedisk.Disk) *vm {
 	f.seed++
-	n := &node{disk: disk, machine: &counter{}, ticks: make(chan time.Time)}
+	n := &vm{disk: disk, machine: &counter{}, ticks: make(chan time.Time)}
 	r, err := New(Config{
 		Self: id, Peers: f.peers, InitialVoters: f.voters, Disk: disk, Transport: f, Machine: n.machine,
-		Random: rand.New(rand.NewPCG(f.seed, 1)), SnapshotEvery: f.every, Ticks: n.ticks,
+		Random: rand.New(rand.NewPCG(f.seed, 1)), SnapshotEvery: f.snapshotEvery, Ticks: n.ticks,
 		Now: func() time.Duration { return time.Duration(f.clock.Load()) },
 	})
 	assert.NilError(f.t, err)
@@ -162,21 +164,21 @@
 	r.Start()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.nodes[id] = n
+	f.vms[id] = n
 	return n
 }
 
 func (f *fleet) stop(id protocol.RouterID) {
 	f.mu.Lock()
-	n := f.nodes[id]
-	delete(f.nodes, id)
+	n := f.vms[id]
+	delete(f.vms, id)
 	f.mu.Unlock()
 	if n != nil {
 		n.replica.Stop()
 	}
 }
 
-// add proposes a number until some leader has committed it.
+// add proposes a number until a leader has committed it, and returns the sum.
 func (f *fleet) add(number uint64) uint64 {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -191,7 +193,7 @@
 	}
 }
 
-// eventually waits until a condition holds; the pump moves time on.
+// eventually waits until a condition holds, while runClock advances the time.
 func (f *fleet) eventually(what string, holds func() bool) {
 	deadline := time.Now().Add(time.Minute)
 	for !holds() {
@@ -201,8 +203,9 @@
 }
 
 func TestSingleVoterKeepsItsStateOverPowerLoss(t *testing.T) {
-	// An order is confirmed, then the only VM with a disk loses power. After
-	// the restart the order must be there: it was synced before the answer.
+	// An order is confirmed, then the only VM with a disk loses power. After the
+	// restart the order must be there, because it was synced before it was
+	// confirmed.
 	f := newFleet(t, 1, "r1")
 	d := fakedisk.New()
 	f.start("r1", d)
@@ -214,8 +217,8 @@
 }
 
 func TestThreeVotersAgreeAndSurviveALoss(t *testing.T) {
-	// Three voters form a cluster by themselves. One dies; the other two go
-	// on; it returns and catches up.
+	// Three voters form a cluster automatically. One loses power, and the other two
+	// must still commit commands. It comes back and must catch up.
 	f := newFleet(t, 3, "r1", "r2", "r3")
 	disks := map[protocol.RouterID]*fakedisk.Disk{}
 	for _, id := range f.peers {
@@ -233,8 +236,8 @@
 }
 
 func TestFailedSyncStopsTheVoter(t *testing.T) {
-	// The disk of a voter starts to fail. Callers must hear of it, and never
-	// get a confirmation that the disk does not hold.
+	// The disk of a voter starts to fail. Callers must get an error, and never a
+	// confirmation for a command that isn't on disk.
 	for name, breakDisk := range map[string]func(*fakedisk.Disk){
 		"failed sync": func(d *fakedisk.Disk) { d.FailSyncs(true) },
 		"full disk":   func(d *fakedisk.Disk) { d.SetCapacity(1) },
