--- a/coordination/balance/average.go
+++ b/coordination/balance/average.go
@@ -5,39 +5,43 @@
 	"time"
 )
 
-// averageTells is the time constant of an average of others' work, in intervals at
-// which they tell it. With fewer, requests follow the noise of single messages again;
-// with more they do no better, and an upstream that hangs is found later.
-const averageTells = 3
-
-// average is a value over time, the latest weighing most.
-type average struct {
-	value float64
-	until time.Duration
+// averageIntervals is the time constant of the moving average of the other routers' load,
+// in report intervals. With fewer, requests follow the noise of single reports; with more
+// the distribution gets no better, and an upstream that hangs is found later.
+const averageIntervals = 3
+
+// movingAverage is an exponentially weighted moving average over time.
+type movingAverage struct {
+	value   float64
+	updated time.Duration
 }
 
-// at returns the average now, if the value has been the latest since the last change.
-func (a average) at(now, life time.Duration, latest int) float64 {
-	keep := math.Exp(-float64(max(now-a.until, 0)) / float64(life))
-	return a.value*keep + float64(latest)*(1-keep)
+// valueAt returns the average at now, if the value has been current since the last
+// update.
+func (a movingAverage) valueAt(now, timeConstant time.Duration, current int) float64 {
+	keep := math.Exp(-float64(max(now-a.updated, 0)) / float64(timeConstant))
+	return a.value*keep + float64(current)*(1-keep)
 }
 
-// change notes that the value was the latest until now.
-func (a *average) change(now, life time.Duration, latest int) {
-	a.value = a.at(now, life, latest)
-	a.until = max(a.until, now)
+// update records that the value was current until now.
+func (a *movingAverage) update(now, timeConstant time.Duration, current int) {
+	a.value = a.valueAt(now, timeConstant, current)
+	a.updated = max(a.updated, now)
 }
 
-// averageLife is the time constant of averages of the others' work.
-func (b *Book) averageLife() time.Duration { return averageTells * b.TellInterval() }
+// averageTimeConstant returns the time constant of the averages of the other routers'
+// load.
+func (b *Balancer) averageTimeConstant() time.Duration { return averageIntervals * b.ReportInterval() }
 
-// usual is the others' work on an upstream, on average.
-func (b *Book) usual(now time.Duration, u *upstream) float64 {
-	return u.usual.at(now, b.averageLife(), u.elsewhere)
+// averageElsewhere returns the moving average of the other routers' requests in flight on
+// an upstream.
+func (b *Balancer) averageElsewhere(now time.Duration, u *upstream) float64 {
+	return u.elsewhereAverage.valueAt(now, b.averageTimeConstant(), u.elsewhere)
 }
 
-// addElsewhere notes that the other routers have more work on an upstream, or less.
-func (b *Book) addElsewhere(now time.Duration, u *upstream, more int) {
-	u.usual.change(now, b.averageLife(), u.elsewhere)
-	u.elsewhere += more
+// addElsewhere changes the number of the other routers' requests in flight on an upstream
+// by delta.
+func (b *Balancer) addElsewhere(now time.Duration, u *upstream, delta int) {
+	u.elsewhereAverage.update(now, b.averageTimeConstant(), u.elsewhere)
+	u.elsewhere += delta
 }
--- a/coordination/balance/balance_test.go
+++ b/coordination/balance/balance_test.go
@@ -26,8 +26,8 @@
 	return list
 }
 
-func newBook(upstreams int) *Book {
-	b := NewBook(Settings{Multiple: 2, Slack: 3, DataCentre: "dc0"})
+func newBalancer(upstreams int) *Balancer {
+	b := NewBalancer(Settings{Multiple: 2, Slack: 3, DataCentre: "dc0"})
 	b.SetRoster(entries(upstreams))
 	return b
 }
@@ -38,44 +38,46 @@
 
 func prompt(key uint64) Request { return Request{Service: "s", Prompt: key, HasPrompt: true} }
 
-func TestLoadsOfOtherRoutersAreAddedAndLapse(t *testing.T) {
-	// A router sends ten requests and dies. Its requests must count while it
-	// lives, and not for ever.
-	a, b := newBook(3), newBook(3)
+func TestLoadsOfOtherRoutersAreAddedAndExpire(t *testing.T) {
+	// Guards: the requests of a router that dies are counted for ever. A router sends ten
+	// requests and dies; they count only while its reports are fresh.
+	a, b := newBalancer(3), newBalancer(3)
 	for range 10 {
 		a.Started("u01")
 	}
-	loads, any := a.OwnLoads(false)
+	loads, any := a.OwnLoadReport(false)
 	assert.Assert(t, any)
-	b.TakeLoads(now, "a", loads)
+	b.ApplyLoadReport(now, "a", loads)
 	load, _ := b.Load("u01")
 	assert.Equal(t, load, 10)
 
-	_, any = a.OwnLoads(false)
+	_, any = a.OwnLoadReport(false)
 	assert.Assert(t, !any, "nothing has changed since")
 	a.Ended(now, "u01", Served)
-	loads, _ = a.OwnLoads(false)
-	b.TakeLoads(now, "a", loads)
-	b.TakeLoads(now, "a", loads)
+	loads, _ = a.OwnLoadReport(false)
+	b.ApplyLoadReport(now, "a", loads)
+	b.ApplyLoadReport(now, "a", loads)
 	load, _ = b.Load("u01")
-	assert.Equal(t, load, 9, "told twice, counted once")
+	assert.Equal(t, load, 9, "reported twice, counted once")
 
-	assert.DeepEqual(t, b.Expire(now+loadsLife+1), []protocol.RouterID{"a"})
+	assert.DeepEqual(t, b.Expire(now+reportTTL+1), []protocol.RouterID{"a"})
 	load, _ = b.Load("u01")
 	assert.Equal(t, load, 0)
 }
 
-func TestALostMessageIsMadeUpForByWholeLoads(t *testing.T) {
-	a, b := newBook(3), newBook(3)
+func TestFullReportCorrectsALostReport(t *testing.T) {
+	// Guards: a lost report leaves a wrong load. The full report that follows corrects
+	// it.
+	a, b := newBalancer(3), newBalancer(3)
 	a.Started("u01")
 	a.Started("u02")
-	loads, _ := a.OwnLoads(false)
-	b.TakeLoads(now, "a", loads)
+	loads, _ := a.OwnLoadReport(false)
+	b.ApplyLoadReport(now, "a", loads)
 	a.Ended(now, "u01", Served)
-	a.OwnLoads(false) // lost on the way
-	whole, any := a.OwnLoads(true)
+	a.OwnLoadReport(false) // the report is lost
+	whole, any := a.OwnLoadReport(true)
 	assert.Assert(t, any)
-	b.TakeLoads(now, "a", whole)
+	b.ApplyLoadReport(now, "a", whole)
 	load, _ := b.Load("u01")
 	assert.Equal(t, load, 0)
 	load, _ = b.Load("u02")
@@ -83,7 +85,9 @@
 }
 
 func TestPlainRequestsGoToTheLeastLoaded(t *testing.T) {
-	b := newBook(3)
+	// Guards: a request without a prompt goes to a loaded upstream, to another data
+	// centre, or back to the upstream that failed it.
+	b := newBalancer(3)
 	random := seeded()
 	assert.Equal(t, b.Pick(now, random, plain()).ID, protocol.UpstreamID("u00"), "in the own data centre among equals")
 	b.Started("u00")
@@ -94,8 +98,9 @@
 	assert.Equal(t, b.Pick(now, random, tried).ID, protocol.UpstreamID("u00"))
 }
 
-func TestUpstreamsThatLeaveGetNothingNew(t *testing.T) {
-	b := newBook(2)
+func TestDrainingUpstreamsGetNoNewRequests(t *testing.T) {
+	// Guards: an upstream that is draining or gone gets new requests.
+	b := newBalancer(2)
 	list := entries(2)
 	list[0].State = roster.Draining
 	changed := b.SetRoster(list)
@@ -105,20 +110,21 @@
 	}
 	list[1].State = roster.Gone
 	b.SetRoster(list)
-	assert.Equal(t, b.Pick(now, seeded(), plain()).Reason, ReasonNone)
+	assert.Equal(t, b.Pick(now, seeded(), plain()).Reason, ReasonNoUpstream)
 }
 
-func TestAnUpstreamThatFailsPartOfItsRequestsIsFoundByAllTogether(t *testing.T) {
-	// One of three upstreams fails half of its requests and its health check is
-	// good. Each of nine routers sees one request of it a second, too few to
-	// judge; together they see it within a second.
-	books := make([]*Book, 9)
-	for i := range books {
-		books[i] = newBook(3)
+func TestPartialFailuresAreDetectedAcrossRouters(t *testing.T) {
+	// Guards: partial failures go undetected because each router sees too few. One of
+	// three upstreams fails half of its requests while its health check passes. Each of
+	// nine routers sends it one request a second; together they detect it within a
+	// second.
+	balancers := make([]*Balancer, 9)
+	for i := range balancers {
+		balancers[i] = newBalancer(3)
 	}
 	at := now
 	for step := range 10 {
-		for i, b := range books {
+		for i, b := range balancers {
 			id := protocol.UpstreamID(fmt.Sprintf("u%02d", (i+step)%3))
 			b.Started(id)
 			result := Served
@@ -127,54 +133,54 @@
 			}
 			b.Ended(at, id, result)
 		}
-		for i, b := range books {
-			loads, _ := b.OwnLoads(false)
-			for j, other := range books {
+		for i, b := range balancers {
+			loads, _ := b.OwnLoadReport(false)
+			for j, other := range balancers {
 				if j != i {
-					other.TakeLoads(at, protocol.RouterID(fmt.Sprint(i)), loads)
+					other.ApplyLoadReport(at, protocol.RouterID(fmt.Sprint(i)), loads)
 				}
 			}
 		}
 		at += 100 * time.Millisecond
 	}
-	for _, b := range books {
+	for _, b := range balancers {
 		for range 20 {
 			assert.Assert(t, b.Pick(at, seeded(), plain()).ID != "u01")
 		}
 	}
 }
 
-func TestWhatIsBelievedOfAnUpstreamIsToldOnceEachTime(t *testing.T) {
-	// An upstream crashes without a word. Whoever reads the logs of a lost request
-	// has to find that its router left the upstream alone, by what, and since when
-	// it no longer does. Refusals of a full one aren't told: they pass in 100 ms.
-	b := newBook(3)
+func TestHealthChangesAreReportedOnce(t *testing.T) {
+	// Guards: the logs don't show that a router ejected an upstream, why, and until when.
+	// Each change is reported once. Refusals of a full upstream aren't reported: they
+	// pass in 100 ms.
+	b := newBalancer(3)
 	b.Ended(now, "u00", Refused)
-	assert.Equal(t, len(b.Judgements(now)), 0)
+	assert.Equal(t, len(b.HealthChanges(now)), 0)
 	for range 3 {
 		b.Ended(now, "u01", Failed)
 	}
 	b.Ended(now, "u02", Unreachable)
-	told := b.Judgements(now)
-	assert.Equal(t, len(told), 2)
-	assert.Equal(t, told[0], Judgement{ID: "u01", Avoided: true, Failed: 3})
-	assert.Equal(t, told[1], Judgement{ID: "u02", Avoided: true, Failed: 1, Alone: unreachableFor})
-	assert.Equal(t, len(b.Judgements(now+time.Millisecond)), 0)
-
-	told = b.Judgements(now + unreachableFor)
-	assert.Equal(t, len(told), 2)
-	for _, judgement := range told {
-		assert.Assert(t, !judgement.Avoided, "%+v", judgement)
+	changes := b.HealthChanges(now)
+	assert.Equal(t, len(changes), 2)
+	assert.Equal(t, changes[0], HealthChange{ID: "u01", Ejected: true, Failed: 3})
+	assert.Equal(t, changes[1], HealthChange{ID: "u02", Ejected: true, Failed: 1, Backoff: minBackoff})
+	assert.Equal(t, len(b.HealthChanges(now+time.Millisecond)), 0)
+
+	changes = b.HealthChanges(now + minBackoff)
+	assert.Equal(t, len(changes), 2)
+	for _, change := range changes {
+		assert.Assert(t, !change.Ejected, "%+v", change)
 	}
-	assert.Equal(t, len(b.Judgements(now+time.Second)), 0)
+	assert.Equal(t, len(b.HealthChanges(now+time.Second)), 0)
 }
 
-func TestAServiceThatFailsOneInSevenIsNotJudged(t *testing.T) {
-	// One request in seven fails on every upstream, as this service does. None
-	// of them is worse than the others, and none may be left out for long.
-	b := newBook(3)
+func TestUniformFailuresEjectNoUpstream(t *testing.T) {
+	// Guards: upstreams are ejected for failures that belong to the service. One request
+	// in seven fails on every upstream, and none may be excluded for long.
+	b := newBalancer(3)
 	random := seeded()
-	out := 0
+	excluded := 0
 	at := now
 	for range 3000 {
 		at += 30 * time.Millisecond
@@ -186,15 +192,15 @@
 		}
 		b.Ended(at, choice.ID, result)
 		list, _ := b.usable(at, plain())
-		out += 3 - len(list)
+		excluded += 3 - len(list)
 	}
-	assert.Assert(t, out < 3*3000/50, "left out %d of %d times", out, 3*3000)
+	assert.Assert(t, excluded < 3*3000/50, "excluded %d of %d times", excluded, 3*3000)
 }
 
-func TestABadJudgementNeverEmptiesTheSet(t *testing.T) {
-	// The network fails for some seconds and with it all upstreams. Left out
-	// for that, there would be nobody to send to when it is well again.
-	b := newBook(3)
+func TestEjectionNeverEmptiesTheSet(t *testing.T) {
+	// Guards: no upstream is left to send to when the network recovers. The network fails
+	// for some seconds, and all upstreams with it.
+	b := newBalancer(3)
 	for _, u := range []protocol.UpstreamID{"u00", "u01", "u02"} {
 		for range 10 {
 			b.Started(u)
@@ -206,50 +212,52 @@
 	assert.Equal(t, choice.Reason, ReasonLastResort)
 }
 
-func TestAnUnreachableUpstreamIsLeftAloneLongerEachTime(t *testing.T) {
-	b := newBook(2)
-	alone := func(at time.Duration) bool {
+func TestUnreachableUpstreamBacksOffExponentially(t *testing.T) {
+	// Guards: requests keep trying an upstream to which no connection can be made.
+	b := newBalancer(2)
+	ejected := func(at time.Duration) bool {
 		list, _ := b.usable(at, plain())
 		return !slices.ContainsFunc(list, func(u *upstream) bool { return u.entry.ID == "u00" })
 	}
 	b.Started("u00")
 	b.Ended(now, "u00", Unreachable)
-	assert.Assert(t, alone(now+unreachableFor-1))
-	assert.Assert(t, !alone(now+unreachableFor))
+	assert.Assert(t, ejected(now+minBackoff-1))
+	assert.Assert(t, !ejected(now+minBackoff))
 	b.Started("u00")
-	b.Ended(now+unreachableFor, "u00", Unreachable)
-	assert.Assert(t, alone(now+2*unreachableFor))
+	b.Ended(now+minBackoff, "u00", Unreachable)
+	assert.Assert(t, ejected(now+2*minBackoff))
 	b.Started("u00")
-	b.Ended(now+4*unreachableFor, "u00", Served)
-	assert.Assert(t, !alone(now+4*unreachableFor))
+	b.Ended(now+4*minBackoff, "u00", Served)
+	assert.Assert(t, !ejected(now+4*minBackoff))
 }
 
 // pickAnswered picks the engine of a prompt, which begins to answer it at once.
-func pickAnswered(b *Book, at time.Duration, random *rand.Rand, r Request) Choice {
+func pickAnswered(b *Balancer, at time.Duration, random *rand.Rand, r Request) Choice {
 	made := b.Pick(at, random, r)
-	b.Keeps(at, made.ID, r.Prompt, r.Beginnings)
+	b.ConfirmCached(at, made.ID, r.Prompt, r.SharedPrefixes)
 	return made
 }
 
-func TestAPromptGoesWhereItsBeginningIsKept(t *testing.T) {
-	// Reading ten thousand tokens again takes a fifth of a second of an
-	// engine's time; every router has to find the engine that has read them.
-	a, b := newBook(12), newBook(12)
+func TestPromptGoesToItsCacheHolder(t *testing.T) {
+	// Guards: routers don't find the engine that another router sent a prompt to.
+	// Prefilling ten thousand tokens again takes a fifth of a second of an engine's time.
+	a, b := newBalancer(12), newBalancer(12)
 	first := pickAnswered(a, now, seeded(), prompt(7))
 	assert.Equal(t, first.CopyFrom, "")
 	a.Started(first.ID)
-	loads, _ := a.OwnLoads(false)
-	b.TakeLoads(now, "a", loads)
+	loads, _ := a.OwnLoadReport(false)
+	b.ApplyLoadReport(now, "a", loads)
 	second := pickAnswered(b, now, seeded(), prompt(7))
 	assert.Equal(t, second.ID, first.ID)
-	assert.Equal(t, second.Reason, ReasonKeeper)
+	assert.Equal(t, second.Reason, ReasonCacheHolder)
 	assert.Equal(t, second.CopyFrom, "")
 }
 
-func TestAPromptInDemandIsCopiedAndNotReadAgain(t *testing.T) {
-	// A third of all requests begin alike. Their engine has its fill, and the
-	// next one copies the beginning from it.
-	b := newBook(12)
+func TestPromptInDemandIsCopiedAndNotPrefilledAgain(t *testing.T) {
+	// Guards: an engine prefills a prompt that it could copy. A third of all requests
+	// share a prefix; when its holder has reached the load bound, the next engine copies
+	// the prefix.
+	b := newBalancer(12)
 	first := pickAnswered(b, now, seeded(), prompt(7))
 	for range 10 {
 		b.Started(first.ID)
@@ -259,44 +267,45 @@
 	assert.Equal(t, next.CopyFrom, first.Address)
 	again := pickAnswered(b, now, seeded(), prompt(7))
 	assert.Equal(t, again.ID, next.ID)
-	assert.Equal(t, again.CopyFrom, "", "it keeps it by now")
+	assert.Equal(t, again.CopyFrom, "", "it has it cached by now")
 }
 
-// Guards: an engine that failed a prompt unread is taken for its keeper by this router
-// and all others.
-func TestAnEngineThatFailedAPromptUnreadKeepsNothing(t *testing.T) {
-	b := newBook(12)
-	kept := pickAnswered(b, now, seeded(), prompt(7))
+// Guards: an engine that failed a prompt before prefilling it is considered a cache
+// holder by this router and all others.
+func TestEngineThatFailedAPromptIsNoCacheHolder(t *testing.T) {
+	b := newBalancer(12)
+	holder := pickAnswered(b, now, seeded(), prompt(7))
 	for range 10 {
-		b.Started(kept.ID)
+		b.Started(holder.ID)
 	}
 	failed := b.Pick(now, seeded(), prompt(7))
-	assert.Assert(t, failed.ID != kept.ID)
-	assert.Equal(t, b.Pick(now, seeded(), prompt(7)).ID, failed.ID, "while it may be reading it")
-	told := len(b.keepers.news)
-	b.NotKept(failed.ID, 7)
-	b.NotKept(kept.ID, 7)
-	assert.Equal(t, b.Pick(now, seeded(), prompt(7)).CopyFrom, kept.Address, "the other one has read it")
-	assert.Equal(t, len(b.keepers.news), told)
-
-	b.NotKept(b.Pick(now, seeded(), prompt(8)).ID, 8)
-	assert.Equal(t, len(b.keepers.prompts[8]), 0)
+	assert.Assert(t, failed.ID != holder.ID)
+	assert.Equal(t, b.Pick(now, seeded(), prompt(7)).ID, failed.ID, "while it may be prefilling it")
+	announced := len(b.cacheHolders.unannounced)
+	b.ForgetUnconfirmed(failed.ID, 7)
+	b.ForgetUnconfirmed(holder.ID, 7)
+	assert.Equal(t, b.Pick(now, seeded(), prompt(7)).CopyFrom, holder.Address, "the other one has prefilled it")
+	assert.Equal(t, len(b.cacheHolders.unannounced), announced)
+
+	b.ForgetUnconfirmed(b.Pick(now, seeded(), prompt(8)).ID, 8)
+	assert.Equal(t, len(b.cacheHolders.byPrefix[8]), 0)
 }
 
-// Guards: an engine is asked for what it is still reading.
-func TestNothingIsCopiedFromAnEngineThatStillReads(t *testing.T) {
-	b := newBook(12)
+// Guards: a prefix is copied from an engine that is still prefilling it.
+func TestNothingIsCopiedDuringPrefill(t *testing.T) {
+	b := newBalancer(12)
 	first := b.Pick(now, seeded(), prompt(7))
 	for range 10 {
 		b.Started(first.ID)
 	}
 	assert.Equal(t, b.Pick(now, seeded(), prompt(7)).CopyFrom, "")
-	b.Keeps(now, first.ID, 7, nil)
+	b.ConfirmCached(now, first.ID, 7, nil)
 	assert.Equal(t, b.Pick(now, seeded(), prompt(7)).CopyFrom, first.Address)
 }
 
-func TestALeavingEngineIsCopiedFromWhileItIsThere(t *testing.T) {
-	b := newBook(12)
+func TestDrainingEngineIsACopySource(t *testing.T) {
+	// Guards: prefixes that a draining engine has cached are prefilled again elsewhere.
+	b := newBalancer(12)
 	first := pickAnswered(b, now, seeded(), prompt(7))
 	list := entries(12)
 	at := slices.IndexFunc(list, func(e roster.Entry) bool { return e.ID == first.ID })
@@ -311,36 +320,39 @@
 	assert.Equal(t, other.CopyFrom, "")
 }
 
-func TestAnEngineThatStartedAnewKeepsNothing(t *testing.T) {
-	// An engine crashes and starts again under its name. What it kept is gone;
-	// copied from it, a prompt would be read whole after a vain question.
-	b := newBook(2)
+func TestRestartedEngineHoldsNoPrefixes(t *testing.T) {
+	// Guards: prompts are copied from an engine whose cache is gone. An engine that
+	// crashed and restarted under its ID doesn't hold the prefixes of its former
+	// incarnation; after a vain attempt to copy, the prompt would be prefilled whole.
+	b := newBalancer(2)
 	first := pickAnswered(b, now, seeded(), prompt(7))
 	list := entries(2)
 	at := slices.IndexFunc(list, func(e roster.Entry) bool { return e.ID == first.ID })
 	list[at].Born = 99
 	b.SetRoster(list)
-	assert.Equal(t, len(b.keepersOf(now, 7, b.services["s"])), 0)
+	assert.Equal(t, len(b.holdersOf(now, 7, b.services["s"])), 0)
 }
 
-func TestMemoryOfPromptsIsBounded(t *testing.T) {
-	b := newBook(3)
-	for key := range uint64(3 * mostPrompts) {
+func TestCacheHoldersAreBounded(t *testing.T) {
+	// Guards: the memory of a router grows with every prompt it has seen.
+	b := newBalancer(3)
+	for key := range uint64(3 * maxPrefixes) {
 		pickAnswered(b, now, seeded(), prompt(key))
 	}
-	assert.Assert(t, len(b.keepers.prompts) <= mostPrompts)
+	assert.Assert(t, len(b.cacheHolders.byPrefix) <= maxPrefixes)
 }
 
-func TestPromptsStayWithinTheBoundAndAreHardlyReadTwice(t *testing.T) {
-	// Nine routers with views a tenth of a second old send 140 prompts, some in
-	// demand, to twelve engines, two of which come late. No engine may have
-	// more than twice the mean and three, and hardly a prompt may be read on a
-	// second engine that could have copied it.
+func TestPromptsStayWithinTheLoadBoundAndAreRarelyPrefilledTwice(t *testing.T) {
+	// Guards: stale loads overload an engine, or prompts are prefilled instead of copied.
+	// Nine routers with views a tenth of a second old send 140 prompts, some in demand,
+	// to twelve engines, two of which join late. No engine may exceed twice the mean load
+	// plus three, and hardly any prompt may be prefilled on a second engine that could
+	// have copied it.
 	const routers, engines, prompts = 9, 12, 140
 	random := rand.New(rand.NewPCG(4, 4))
-	books := make([]*Book, routers)
-	for i := range books {
-		books[i] = newBook(engines - 2)
+	balancers := make([]*Balancer, routers)
+	for i := range balancers {
+		balancers[i] = newBalancer(engines - 2)
 	}
 	type run struct {
 		router int
@@ -348,14 +360,14 @@
 		end    time.Duration
 	}
 	var running []run
-	held := map[protocol.UpstreamID]int{}
-	reads, over, sent := 0, 0, 0
-	kept := map[uint64]map[protocol.UpstreamID]bool{}
+	inFlight := map[protocol.UpstreamID]int{}
+	prefills, over, sent := 0, 0, 0
+	cached := map[uint64]map[protocol.UpstreamID]bool{}
 	at := now
 	for step := range 3000 {
 		at += 10 * time.Millisecond
 		if step == 1000 {
-			for _, b := range books {
+			for _, b := range balancers {
 				b.SetRoster(entries(engines))
 			}
 		}
@@ -363,8 +375,8 @@
 			if r.end > at {
 				return false
 			}
-			books[r.router].Ended(at, r.id, Served)
-			held[r.id]--
+			balancers[r.router].Ended(at, r.id, Served)
+			inFlight[r.id]--
 			return true
 		})
 		key := uint64(random.IntN(prompts))
@@ -372,86 +384,86 @@
 			key = 0
 		}
 		router := random.IntN(routers)
-		choice := pickAnswered(books[router], at, random, prompt(key))
-		mean := float64(len(running)) / float64(len(books[0].services["s"]))
-		if float64(held[choice.ID]) > 2*mean+3 {
+		choice := pickAnswered(balancers[router], at, random, prompt(key))
+		mean := float64(len(running)) / float64(len(balancers[0].services["s"]))
+		if float64(inFlight[choice.ID]) > 2*mean+3 {
 			over++
 		}
 		sent++
-		if kept[key] == nil {
-			kept[key] = map[protocol.UpstreamID]bool{}
+		if cached[key] == nil {
+			cached[key] = map[protocol.UpstreamID]bool{}
 		}
-		if !kept[key][choice.ID] && choice.CopyFrom == "" {
-			reads++
+		if !cached[key][choice.ID] && choice.CopyFrom == "" {
+			prefills++
 		}
-		kept[key][choice.ID] = true
-		books[router].Started(choice.ID)
-		held[choice.ID]++
+		cached[key][choice.ID] = true
+		balancers[router].Started(choice.ID)
+		inFlight[choice.ID]++
 		running = append(running, run{router, choice.ID, at + time.Duration(random.IntN(1600))*time.Millisecond})
 		if step%10 == 9 {
-			for i, b := range books {
-				loads, _ := b.OwnLoads(step%100 == 99)
-				for j, other := range books {
+			for i, b := range balancers {
+				loads, _ := b.OwnLoadReport(step%100 == 99)
+				for j, other := range balancers {
 					if j != i {
-						other.TakeLoads(at, protocol.RouterID(fmt.Sprint(i)), loads)
+						other.ApplyLoadReport(at, protocol.RouterID(fmt.Sprint(i)), loads)
 					}
 				}
 			}
 		}
 	}
 	assert.Assert(t, over*200 < sent, "%d of %d over the bound", over, sent)
-	assert.Assert(t, reads <= prompts*11/10, "%d reads of %d prompts", reads, prompts)
+	assert.Assert(t, prefills <= prompts*11/10, "%d prefills of %d prompts", prefills, prompts)
 }
 
-func TestTheOnlyUpstreamIsAskedAgainAfterAnError(t *testing.T) {
-	// Of four servers of a desk three were taken away. It answers some requests with
-	// an error that passes; their repeat had nowhere to go, and the callers got an
-	// error of the router's own.
-	b := newBook(1)
+func TestOnlyUpstreamIsRetriedAfterAnError(t *testing.T) {
+	// Guards: the retry of a request has no upstream. Three of a desk's four servers were
+	// removed, and the last answers some requests with a transient error; their callers
+	// got an error of the router's own.
+	b := newBalancer(1)
 	tried := plain()
 	tried.Tried = []protocol.UpstreamID{"u00"}
-	assert.Equal(t, b.Pick(now, seeded(), tried).Reason, ReasonNone, "it broke off: it may be gone")
-	tried.Again = true
+	assert.Equal(t, b.Pick(now, seeded(), tried).Reason, ReasonNoUpstream, "the connection broke: it may be gone")
+	tried.AllowTried = true
 	assert.Equal(t, b.Pick(now, seeded(), tried).ID, protocol.UpstreamID("u00"))
 	b.SetRoster(entries(2))
 	assert.Equal(t, b.Pick(now, seeded(), tried).ID, protocol.UpstreamID("u01"))
 }
 
-func TestAPromptStaysWithItsKeeperWhileThereIsRoom(t *testing.T) {
-	// Engines with 64 places have two or three requests each, and the one that keeps a
-	// prompt in demand has six. Sent elsewhere, the prompt's beginning would be copied
-	// for nothing. At the operators' bound it has to go elsewhere.
-	b := newBook(18)
-	keeper := pickAnswered(b, now, seeded(), prompt(7)).ID
+func TestPromptStaysWithItsCacheHolderWithinTheLoadBound(t *testing.T) {
+	// Guards: prefixes are copied without need. Engines with 64 slots have two or three
+	// requests each, and the holder of a prompt in demand has six. The prompt goes
+	// elsewhere only at the operators' load bound.
+	b := newBalancer(18)
+	holder := pickAnswered(b, now, seeded(), prompt(7)).ID
 	for _, e := range entries(18) {
 		for range 2 {
 			b.Started(e.ID)
 		}
 	}
 	for range 4 {
-		b.Started(keeper)
+		b.Started(holder)
 	}
-	assert.Equal(t, pickAnswered(b, now, seeded(), prompt(7)).ID, keeper, "six, of a mean of 2.2")
+	assert.Equal(t, pickAnswered(b, now, seeded(), prompt(7)).ID, holder, "six, of a mean of 2.2")
 	for range 2 {
-		b.Started(keeper)
+		b.Started(holder)
 	}
 	made := pickAnswered(b, now, seeded(), prompt(7))
-	assert.Assert(t, made.ID != keeper, "eight, of a mean of 2.3")
+	assert.Assert(t, made.ID != holder, "eight, of a mean of 2.3")
 	assert.Assert(t, made.CopyFrom != "")
 }
 
-func TestACommonBeginningIsCopiedWhereThePromptIsNew(t *testing.T) {
-	// Twenty prompts share their first part. Each comes to an engine of its own, which
-	// would read that part anew though the first engine keeps it. An engine that keeps
-	// the prompt itself, and one that is the only source, copy nothing.
-	b := newBook(18)
+func TestSharedPrefixIsCopiedForANewPrompt(t *testing.T) {
+	// Guards: an engine prefills a shared prefix that another one has cached. Twenty
+	// prompts share their first part, and each goes to an engine of its own. An engine
+	// that holds the prompt itself, and one that is the only source, copy nothing.
+	b := newBalancer(18)
 	like := func(key uint64) Request {
-		return Request{Service: "s", Prompt: key, HasPrompt: true, Beginnings: []uint64{1, 2}}
+		return Request{Service: "s", Prompt: key, HasPrompt: true, SharedPrefixes: []uint64{1, 2}}
 	}
 	first := pickAnswered(b, now, seeded(), like(100))
 	assert.Equal(t, first.CopyFrom, "")
-	assert.Equal(t, pickAnswered(b, now, seeded(), like(100)).CopyFrom, "", "it is kept")
-	told := len(b.keepers.news)
+	assert.Equal(t, pickAnswered(b, now, seeded(), like(100)).CopyFrom, "", "it is cached")
+	announced := len(b.cacheHolders.unannounced)
 	for key := range uint64(20) {
 		made := pickAnswered(b, now, seeded(), like(200+key))
 		if made.ID == first.ID {
@@ -460,7 +472,7 @@
 			assert.Equal(t, made.CopyFrom, first.Address)
 		}
 	}
-	assert.Equal(t, len(b.keepers.news)-told, 20, "the beginnings themselves are told once")
-	pickAnswered(b, now+tellAgain+1, seeded(), like(100))
-	assert.Equal(t, len(b.keepers.news)-told, 23, "and again after a while")
+	assert.Equal(t, len(b.cacheHolders.unannounced)-announced, 20, "the shared prefixes are announced once")
+	pickAnswered(b, now+announceInterval+1, seeded(), like(100))
+	assert.Equal(t, len(b.cacheHolders.unannounced)-announced, 23, "and again after announceInterval")
 }
--- a/coordination/balance/busy_test.go
+++ b/coordination/balance/busy_test.go
@@ -10,10 +10,10 @@
 	"endiveplank/protocol"
 )
 
-// failingAtOnce plays ten seconds of three upstreams with much to do, the first of
-// which begin to answer everything with an error at once. It returns the share of
-// requests that fail.
-func failingAtOnce(b *Book, broken int) float64 {
+// failingAtOnce simulates ten seconds of three busy upstreams, of which the first ones
+// begin to answer every request with an error at once. It returns the share of requests
+// that fail.
+func failingAtOnce(b *Balancer, broken int) float64 {
 	const (
 		last      = 300 * time.Millisecond
 		perSecond = 200
@@ -44,18 +44,19 @@
 	return float64(failed) / requests
 }
 
-func TestAnUpstreamThatFailsAtOnceTakesNoWorkForBeingIdle(t *testing.T) {
-	// Three upstreams have much to do when one or two of them begin to answer all
-	// with an error within a millisecond. Beside those idle ones the others pass the
-	// bound on load, so that reliable finds no room with them: most callers' requests
-	// and their repeats would fail, though somebody is there who answers.
+func TestUpstreamThatFailsFastAttractsNoRequests(t *testing.T) {
+	// Guards: an upstream that fails fast looks idle and attracts requests. One or two of
+	// three busy upstreams begin to answer every request with an error within a
+	// millisecond. Compared with those idle ones the others exceed the load bound, so
+	// reliable finds no capacity on them: most requests and their retries would fail
+	// though a working upstream is left.
 	for name, settings := range map[string]Settings{
 		"wide bound":   {Multiple: 2, Slack: 3},
 		"narrow bound": {Multiple: 1.25, Slack: 2},
 	} {
 		for broken := 1; broken <= 2; broken++ {
 			t.Run(fmt.Sprintf("%s, %d of 3 fail", name, broken), func(t *testing.T) {
-				b := NewBook(settings)
+				b := NewBalancer(settings)
 				b.SetRoster(entries(3))
 				share := failingAtOnce(b, broken)
 				assert.Assert(t, share <= 0.02, "%.3f failed", share)
@@ -65,34 +66,35 @@
 }
 
 func TestARequestGoesWhereTheLoadIsBelowItsLimit(t *testing.T) {
-	// One engine keeps a prompt that everybody asks for and has as many requests as
-	// begin in time; others have room. The caller has its answer in time there, where
-	// the prompt is copied to.
-	b := newBook(4)
+	// Guards: a request waits at a cache holder without capacity. One engine holds a
+	// prompt in demand and has as many requests as it can begin in time. Others have
+	// capacity, and answer in time by copying the prompt.
+	b := newBalancer(4)
 	limited := prompt(5)
-	limited.Limit = 3
-	keeper := pickAnswered(b, now, seeded(), limited).ID
+	limited.LoadLimit = 3
+	holder := pickAnswered(b, now, seeded(), limited).ID
 	for range 3 {
-		b.Started(keeper)
+		b.Started(holder)
 	}
 	other := b.Pick(now, seeded(), limited)
-	assert.Assert(t, other.ID != keeper && other.ID != "")
+	assert.Assert(t, other.ID != holder && other.ID != "")
 	assert.Assert(t, other.CopyFrom != "")
 }
 
-func TestTheLastEngineWithRoomIsNotFlooded(t *testing.T) {
-	// All engines but one have as many requests as begin in time. All routers know the
-	// same of that one until they hear of each other: if each sent it what it has, it
-	// would have a multiple of the others' work, beyond the bound on load.
-	b := newBook(4)
+func TestLastEngineWithCapacityIsNotOverloaded(t *testing.T) {
+	// Guards: all routers send to the last engine with capacity. All engines but one have
+	// as many requests as they can begin in time. Until the next reports all routers see
+	// the same load there; if each sent its requests, the engine would far exceed the
+	// load bound.
+	b := newBalancer(4)
 	limited := prompt(5)
-	limited.Limit = 3
+	limited.LoadLimit = 3
 	for _, id := range []protocol.UpstreamID{"u00", "u01", "u02"} {
 		for range 3 {
 			b.Started(id)
 		}
 	}
-	assert.DeepEqual(t, b.Pick(now, seeded(), limited), Choice{Reason: ReasonNoRoom, Limit: 3, Mean: 2.25})
-	limited.Limit = 0
+	assert.DeepEqual(t, b.Pick(now, seeded(), limited), Choice{Reason: ReasonNoCapacity, Limit: 3, Mean: 2.25})
+	limited.LoadLimit = 0
 	assert.Assert(t, b.Pick(now, seeded(), limited).ID != "", "it was sent before")
 }
--- a/coordination/balance/desk_test.go
+++ b/coordination/balance/desk_test.go
@@ -15,24 +15,24 @@
 	"endiveplank/protocol"
 )
 
-// deskRun is a plain service of a few servers behind many routers, each of which
-// knows the others' work as of its last message.
+// deskRun simulates a plain service of a few servers behind many routers, each of which
+// knows the others' load as of their last reports.
 type deskRun struct {
 	routers int
-	// places is how many requests each server works on at once; the others wait.
+	// places is how many requests each server runs at once; the others wait.
 	places int
-	// speeds are how long requests take on each server, in usual times.
+	// speeds are the durations of requests on each server, as multiples of work.
 	speeds []float64
-	// perSecond is how many requests there are, work how long one takes.
+	// perSecond is the rate of requests, work the duration of one.
 	perSecond float64
 	work      time.Duration
-	// skew is the share of the requests that come to the routers of the first data
-	// centre, 0 for an even one.
+	// skew is the share of the requests that go to the routers of the first data centre,
+	// 0 for an even distribution.
 	skew    float64
 	seconds int
 }
 
-// deskEvent is a request that arrives or ends, or a router that tells the others.
+// deskEvent is a request that arrives or ends, or a router that reports its load.
 type deskEvent struct {
 	at     time.Duration
 	kind   deskEventKind
@@ -47,7 +47,7 @@
 const (
 	requestArrives deskEventKind = iota
 	requestEnds
-	routerTells
+	routerReports
 )
 
 // deskEvents is a heap of events, the next one first.
@@ -63,29 +63,29 @@
 	return last
 }
 
-// deskServer works on its places and keeps the others waiting.
+// deskServer runs requests on its places and queues the others.
 type deskServer struct {
 	busy    int
 	waiting []deskEvent
 }
 
-// deskModel is a run under way.
+// deskModel is the state of a simulation.
 type deskModel struct {
 	deskRun
-	random  *rand.Rand
-	list    []roster.Entry
-	books   []*Book
-	servers []deskServer
-	events  deskEvents
-	took    []time.Duration
+	random    *rand.Rand
+	list      []roster.Entry
+	balancers []*Balancer
+	servers   []deskServer
+	events    deskEvents
+	took      []time.Duration
 }
 
-// play returns how long the requests took, in order.
+// play returns the sorted durations of the requests.
 func (run deskRun) play(seed uint64) []time.Duration {
 	m := &deskModel{deskRun: run, random: rand.New(rand.NewPCG(seed, 1)), servers: make([]deskServer, len(run.speeds))}
 	for i := range run.speeds {
 		m.list = append(m.list, roster.Entry{
-			ID: protocol.UpstreamID(fmt.Sprintf("u%02d", i)), Service: "s", State: roster.Ready, DataCentre: deskPlace(i),
+			ID: protocol.UpstreamID(fmt.Sprintf("u%02d", i)), Service: "s", State: roster.Ready, DataCentre: deskDataCentre(i),
 		})
 	}
 	for i := range run.routers {
@@ -100,14 +100,14 @@
 	return m.took
 }
 
-// deskPlace spreads routers and servers over four data centres.
-func deskPlace(i int) protocol.DataCentre { return protocol.DataCentre(fmt.Sprint("dc", i%4)) }
+// deskDataCentre distributes routers and servers over four data centres.
+func deskDataCentre(i int) protocol.DataCentre { return protocol.DataCentre(fmt.Sprint("dc", i%4)) }
 
 func deskRouter(i int) protocol.RouterID { return protocol.RouterID(fmt.Sprint("r", i)) }
 
-// startRouter makes a router that tells the others, at a moment of its own.
+// startRouter adds a router that reports to the others, with a random offset.
 func (m *deskModel) startRouter(i int) {
-	b := NewBook(Settings{Multiple: 2, Slack: 3, DataCentre: deskPlace(i)})
+	b := NewBalancer(Settings{Multiple: 2, Slack: 3, DataCentre: deskDataCentre(i)})
 	b.SetRoster(m.list)
 	var n Neighbours
 	for j := range m.routers {
@@ -116,15 +116,15 @@
 		}
 	}
 	b.SetNeighbours(n)
-	m.books = append(m.books, b)
-	first := time.Duration(m.random.Float64() * float64(b.TellInterval()))
-	heap.Push(&m.events, deskEvent{at: first, kind: routerTells, router: i})
+	m.balancers = append(m.balancers, b)
+	first := time.Duration(m.random.Float64() * float64(b.ReportInterval()))
+	heap.Push(&m.events, deskEvent{at: first, kind: routerReports, router: i})
 }
 
 func (m *deskModel) step(e deskEvent) {
 	switch e.kind {
-	case routerTells:
-		m.tell(e)
+	case routerReports:
+		m.report(e)
 	case requestArrives:
 		m.arrive(e)
 	case requestEnds:
@@ -132,33 +132,33 @@
 	}
 }
 
-// tell sends a router's work to all others, now and then the whole.
-func (m *deskModel) tell(e deskEvent) {
-	b := m.books[e.router]
-	loads, any := b.OwnLoads(m.random.IntN(3) == 0)
-	for j, other := range m.books {
+// report sends a router's load report to all others, sometimes a full one.
+func (m *deskModel) report(e deskEvent) {
+	b := m.balancers[e.router]
+	loads, any := b.OwnLoadReport(m.random.IntN(3) == 0)
+	for j, other := range m.balancers {
 		if j != e.router && any {
-			other.TakeLoads(now+e.at, deskRouter(e.router), loads)
+			other.ApplyLoadReport(now+e.at, deskRouter(e.router), loads)
 		}
 	}
-	heap.Push(&m.events, deskEvent{at: e.at + b.TellInterval(), kind: routerTells, router: e.router})
+	heap.Push(&m.events, deskEvent{at: e.at + b.ReportInterval(), kind: routerReports, router: e.router})
 }
 
-// arrive sends a request on, and draws when the next one comes.
+// arrive sends a request to its server, and draws when the next one arrives.
 func (m *deskModel) arrive(e deskEvent) {
 	router := m.random.IntN(m.routers)
 	if m.random.Float64() < m.skew {
 		router -= router % 4
 	}
-	made := m.books[router].Pick(now+e.at, m.random, plain())
-	m.books[router].Started(made.ID)
+	made := m.balancers[router].Pick(now+e.at, m.random, plain())
+	m.balancers[router].Started(made.ID)
 	server := slices.IndexFunc(m.list, func(e roster.Entry) bool { return e.ID == made.ID })
 	m.serve(e.at, deskEvent{router: router, server: server, began: e.at})
 	pause := time.Duration(m.random.ExpFloat64() / m.perSecond * float64(time.Second))
 	heap.Push(&m.events, deskEvent{at: e.at + pause, kind: requestArrives})
 }
 
-// serve has a server work on a request, once it has a place.
+// serve has a server run a request, once it has a place.
 func (m *deskModel) serve(at time.Duration, request deskEvent) {
 	s := &m.servers[request.server]
 	if s.busy >= m.places {
@@ -174,7 +174,7 @@
 
 func (m *deskModel) end(e deskEvent) {
 	m.took = append(m.took, e.at-e.began)
-	m.books[e.router].Ended(now+e.at, m.list[e.server].ID, Served)
+	m.balancers[e.router].Ended(now+e.at, m.list[e.server].ID, Served)
 	s := &m.servers[e.server]
 	s.busy--
 	if len(s.waiting) > 0 {
@@ -184,11 +184,12 @@
 	}
 }
 
-func TestManyRoutersShareADeskTheyHearOfLate(t *testing.T) {
-	// A desk of four servers is half busy. Each of 83 routers hears of the others' work
-	// every 0.4 s, and each of them sends to the server that looked idle: it has a
-	// queue, the others have none, and callers wait three times as long as the work
-	// takes. Measured against a desk on which nobody ever waits.
+func TestManyRoutersWithStaleLoadsBalanceADesk(t *testing.T) {
+	// Guards: many routers with stale loads send to the same idle server. A desk of four
+	// servers is half loaded, and each of 83 routers learns of the others' load every 0.4
+	// s. If each sent to the server that looked idle, that one would have a queue while
+	// the others have none, and callers would wait three times as long as the work takes.
+	// The reference is a desk on which no request ever waits.
 	for name, run := range map[string]deskRun{
 		"83 routers":                              {routers: 83, speeds: []float64{1, 1, 1, 1}, perSecond: 400},
 		"83 routers, most callers in one place":   {routers: 83, speeds: []float64{1, 1, 1, 1}, perSecond: 400, skew: 0.7},
@@ -213,9 +214,9 @@
 }
 
 func TestASlowServerOfADeskGetsLess(t *testing.T) {
-	// One server of four takes three times as long. Drawn blindly it gets a quarter of
-	// the requests, has a queue that grows by the second, and each caller there waits
-	// until its time is up.
+	// Guards: a slow server gets as many requests as the others. One server of four takes
+	// three times as long. With a quarter of the requests its queue would grow by the
+	// second, and its callers would wait until their deadlines.
 	run := deskRun{routers: 83, places: 6, speeds: []float64{1, 1, 1, 3}, perSecond: 350, work: 30 * time.Millisecond, seconds: 20}
 	took := run.play(1)
 	assert.Assert(t, quantile(took, 0.9) < 150*time.Millisecond, "%v", quantile(took, 0.9))
--- a/coordination/balance/doc.go
+++ b/coordination/balance/doc.go
@@ -1,28 +1,30 @@
-// Package balance chooses the upstream of each request on a router that sends
-// to upstreams itself.
+// Package balance selects the upstream of each request on a router that sends requests to
+// upstreams itself.
 //
-// A Book holds what the router knows of each upstream's work: its own requests
-// exactly, those of the other routers by the Loads that they exchange several
-// times a second, how many of all of them failed, and which engines keep the
-// beginnings of prompts. Pick chooses from it. A KeeperRecord is what a disk VM
-// remembers of the keepers, for routers that start.
+// A Balancer holds the router's view of each upstream: the router's own requests in
+// flight, which it knows exactly; the load of the other routers, which they send several
+// times a second in LoadReports; the failure rate that all routers together have seen;
+// and which engines hold the prefixes of prompts in their caches. Pick chooses from this
+// view. A CacheHolderRecord is kept by a disk VM and gives routers that start what is
+// known of the cache holders.
 //
-// Ways weighed and their figures: docs/design/platform.md.
+// The strategies that were considered, with measurements: docs/design/platform.md.
 //
-// Failures guarded:
+// The package guards against these failures:
 //
-//   - Routers that see an upstream's load late all send to the least loaded one
-//     at once. A prompt goes where it is kept, or by an order of its own, which
-//     is spread over all engines and doesn't follow the load of the moment; the
-//     load only bounds it. Requests without a prompt are drawn, by this router's
-//     own work and by the average of the others'.
-//   - A router dies, and its requests are counted for ever. Its Loads lapse.
-//   - An upstream fails part of its requests while its health check is good. It
-//     is judged by outcomes, of all routers together, because one router alone
-//     sees too few of them. Requests that a failure would lose go past it long
-//     before the others do.
-//   - All routers restart while the engines run on, and nobody knows which engine
-//     keeps what. Disk VMs remember it.
-//   - Nearly all upstreams fail, by a fault of the network or of the request.
-//     A bad judgement never empties the set.
+//   - Routers have stale views of an upstream's load, and all of them send to the least
+//     loaded one at once. A prompt therefore goes to an engine that has its prefix
+//     cached, or by rendezvous hashing, which spreads prompts over all engines and
+//     doesn't depend on the current load; load only bounds the choice. Requests without a
+//     prompt go to one of the upstreams with the fewest requests of this router, drawn at
+//     random with weights by the moving average of the other routers' load.
+//   - A router dies, and its requests are counted for ever. Its LoadReports expire.
+//   - An upstream fails part of its requests while its health check passes. Outlier
+//     detection uses the outcomes of all routers together, because one router alone sees
+//     too few. Requests that can't be retried avoid such an upstream long before the
+//     others do.
+//   - All routers restart while the engines run on, and no router knows which engine has
+//     which prefix cached. Disk VMs keep a record of it.
+//   - Nearly all upstreams fail, because of the network or of a request. Outlier
+//     detection never ejects all upstreams.
 package balance
--- a/coordination/balance/exchange.go
+++ b/coordination/balance/exchange.go
@@ -10,34 +10,35 @@
 )
 
 const (
-	// leastTell and tellPerRouter make up the interval of a mesh.
-	leastTell     = 100 * time.Millisecond
-	tellPerRouter = 5 * time.Millisecond
-	// GroupsFrom is the number of routers from which a mesh tells too seldom: the
-	// intervals grow with the routers.
-	GroupsFrom = 100
-	// groupTell is the interval where work goes by way of relays.
-	groupTell = 250 * time.Millisecond
+	// The report interval of a mesh is intervalPerRouter times its routers, at least
+	// minReportInterval.
+	minReportInterval = 100 * time.Millisecond
+	intervalPerRouter = 5 * time.Millisecond
+	// GroupingThreshold is the number of routers from which a mesh reports too rarely, as
+	// its interval grows with the number of routers.
+	GroupingThreshold = 100
+	// groupReportInterval is the report interval where relays aggregate the reports.
+	groupReportInterval = 250 * time.Millisecond
 )
 
-// Neighbours are the routers that this one exchanges its work with.
+// Neighbours are the routers that this one exchanges load reports with.
 //
-// Load: hundreds of routers each tell all others of their work. Harm prevented:
-// messages and bytes grow with the square of the routers, and told seldom enough
-// to bear that, work has ended by the time the others hear of it. In a large
-// fleet a router tells its relay; relays add up what their members told, tell
-// each other, and tell their members the sum.
+// If each of hundreds of routers reported to all others, messages and bytes would grow
+// with the square of the number of routers; and if they reported rarely enough to bear
+// that, requests would have ended before the others learn of them. In a large fleet a
+// router reports to its relay instead. Relays add up their members' reports, exchange the
+// totals, and send the total to their members.
 //
-// Failure guarded: a relay is gone. Its members know only their own work for the
-// seconds until the list of routers says so, and choose as a router does that has
+// Failure guarded against: a relay is gone. Until the list of routers says so, for
+// seconds, its members know only their own load, and choose as a router does that has
 // just started.
 type Neighbours struct {
 	// Mesh are all other routers, in a small fleet.
 	Mesh []protocol.RouterID
-	// Relay is who adds up for this router, "" if it does so itself.
+	// Relay is the router that aggregates for this one, "" if this router is a relay
+	// itself or part of a mesh.
 	Relay protocol.RouterID
-	// Members are those that this router adds up for, and Relays those that do
-	// the same for others.
+	// Members are the routers for which this one aggregates, and Relays the other relays.
 	Members []protocol.RouterID
 	Relays  []protocol.RouterID
 }
@@ -51,27 +52,28 @@
 	return all
 }
 
-// has reports whether a router's work is taken. In a mesh it is anybody's: a router
-// that has just started is known to others before it is listed here.
-func (n Neighbours) has(id protocol.RouterID) bool {
+// accepts reports whether to apply a router's reports. A mesh accepts any router's: other
+// routers receive reports of a router that has just started before their list names it.
+func (n Neighbours) accepts(id protocol.RouterID) bool {
 	return !n.grouped() || slices.Contains(n.all(), id)
 }
 
-// grouped reports whether work goes by way of relays.
+// grouped reports whether relays aggregate the load reports.
 func (n Neighbours) grouped() bool {
 	return n.Relay != "" || len(n.Members) > 0 || len(n.Relays) > 0
 }
 
-// same compares neighbours.
-func (n Neighbours) same(other Neighbours) bool {
+// equal compares neighbours.
+func (n Neighbours) equal(other Neighbours) bool {
 	return n.Relay == other.Relay && slices.Equal(n.Mesh, other.Mesh) &&
 		slices.Equal(n.Members, other.Members) && slices.Equal(n.Relays, other.Relays)
 }
 
-// SetNeighbours tells who the neighbours are. What others have told is dropped: a
-// router that changes its relay would count the same work twice.
-func (b *Book) SetNeighbours(n Neighbours) {
-	if b.neighbours.same(n) {
+// SetNeighbours replaces the neighbours. It drops what routers that are no neighbours any
+// more have reported: a router that changes its relay would otherwise count the same load
+// twice.
+func (b *Balancer) SetNeighbours(n Neighbours) {
+	if b.neighbours.equal(n) {
 		return
 	}
 	b.neighbours = n
@@ -79,57 +81,57 @@
 		return
 	}
 	all := n.all()
-	maps.DeleteFunc(b.routers, func(id protocol.RouterID, _ *others) bool { return !slices.Contains(all, id) })
-	maps.DeleteFunc(b.told, func(id protocol.RouterID, _ map[Short]Work) bool {
+	maps.DeleteFunc(b.routers, func(id protocol.RouterID, _ *remoteLoads) bool { return !slices.Contains(all, id) })
+	maps.DeleteFunc(b.reported, func(id protocol.RouterID, _ map[ShortID]UpstreamLoad) bool {
 		return id != otherRelays && !slices.Contains(all, id)
 	})
 	b.sumElsewhere()
 }
 
-// TellInterval returns how often this router tells the others of its work. In a
-// mesh each tells less often the more there are, so that all of them together
-// cost a router the same messages a second whatever their number.
-func (b *Book) TellInterval() time.Duration {
+// ReportInterval returns how often this router reports its load. In a mesh the interval
+// grows with the number of routers, so that a router receives the same number of messages
+// a second whatever the size of the mesh.
+func (b *Balancer) ReportInterval() time.Duration {
 	if b.neighbours.grouped() {
-		return groupTell
+		return groupReportInterval
 	}
-	return max(leastTell, time.Duration(len(b.neighbours.Mesh)+1)*tellPerRouter)
+	return max(minReportInterval, time.Duration(len(b.neighbours.Mesh)+1)*intervalPerRouter)
 }
 
-// Tell is a message about work to another router.
-type Tell struct {
-	To    protocol.RouterID
-	Loads Loads
+// OutgoingReport is a load report to another router.
+type OutgoingReport struct {
+	To     protocol.RouterID
+	Report LoadReport
 }
 
-// Tell returns what the neighbours don't know yet, or the whole.
-func (b *Book) Tell(whole bool) []Tell {
+// PendingReports returns the changes that the neighbours don't know yet, or full reports.
+func (b *Balancer) PendingReports(full bool) []OutgoingReport {
 	n := b.neighbours
 	if n.grouped() && n.Relay == "" {
-		return b.tellAsRelay(whole)
+		return b.relayReports(full)
 	}
-	loads, any := b.OwnLoads(whole)
-	if !any {
+	report, ok := b.OwnLoadReport(full)
+	if !ok {
 		return nil
 	}
-	var tells []Tell
+	var reports []OutgoingReport
 	for _, id := range n.all() {
-		tells = append(tells, Tell{To: id, Loads: loads})
+		reports = append(reports, OutgoingReport{To: id, Report: report})
 	}
-	return tells
+	return reports
 }
 
-// OwnLoads returns what the other routers don't know yet, or all of this
-// router's work. False means that there is nothing to tell.
-func (b *Book) OwnLoads(whole bool) (Loads, bool) {
-	loads := Loads{Whole: whole}
+// OwnLoadReport returns the part of this router's load that the other routers don't know
+// yet, or all of it. False means that there is nothing to send.
+func (b *Balancer) OwnLoadReport(full bool) (LoadReport, bool) {
+	report := LoadReport{Full: full}
 	for _, u := range b.upstreams {
-		if whole && u.own.InFlight > 0 || u.own != u.told {
-			loads.Works = append(loads.Works, u.own)
+		if full && u.own.InFlight > 0 || u.own != u.reported {
+			report.Upstreams = append(report.Upstreams, u.own)
 		}
-		u.told = u.own
+		u.reported = u.own
 	}
-	slices.SortFunc(loads.Works, func(x, y Work) int { return cmp.Compare(x.ID, y.ID) })
-	loads.Kept = b.keepers.takeNews()
-	return loads, whole || len(loads.Works) > 0 || len(loads.Kept) > 0
+	slices.SortFunc(report.Upstreams, func(x, y UpstreamLoad) int { return cmp.Compare(x.ID, y.ID) })
+	report.Cached = b.cacheHolders.takeUnannounced()
+	return report, full || len(report.Upstreams) > 0 || len(report.Cached) > 0
 }
--- a/coordination/balance/exchange_test.go
+++ b/coordination/balance/exchange_test.go
@@ -11,23 +11,23 @@
 	"endiveplank/protocol"
 )
 
-// groups are routers that exchange their work by way of relays: r0, r10, r20 and so
-// on add up for the nine behind each of them.
+// groups are routers that exchange their load through relays: r0, r10, r20 and so on
+// aggregate for the nine behind each of them.
 type groups struct {
-	at       time.Duration
-	books    map[protocol.RouterID]*Book
-	order    []protocol.RouterID
-	messages map[protocol.RouterID]int
-	gone     map[protocol.RouterID]bool
+	at        time.Duration
+	balancers map[protocol.RouterID]*Balancer
+	order     []protocol.RouterID
+	messages  map[protocol.RouterID]int
+	gone      map[protocol.RouterID]bool
 }
 
 func newGroups(routers, upstreams int) *groups {
 	const perRelay = 10
-	g := &groups{at: now, books: map[protocol.RouterID]*Book{}, messages: map[protocol.RouterID]int{}, gone: map[protocol.RouterID]bool{}}
+	g := &groups{at: now, balancers: map[protocol.RouterID]*Balancer{}, messages: map[protocol.RouterID]int{}, gone: map[protocol.RouterID]bool{}}
 	name := func(i int) protocol.RouterID { return protocol.RouterID(fmt.Sprint("r", i)) }
 	for i := range routers {
 		g.order = append(g.order, name(i))
-		book := newBook(upstreams)
+		balancer := newBalancer(upstreams)
 		neighbours := Neighbours{Relay: name(i - i%perRelay)}
 		if i%perRelay == 0 {
 			neighbours = Neighbours{}
@@ -41,57 +41,58 @@
 				}
 			}
 		}
-		book.SetNeighbours(neighbours)
-		g.books[name(i)] = book
+		balancer.SetNeighbours(neighbours)
+		g.balancers[name(i)] = balancer
 	}
 	return g
 }
 
-// round lets each router tell its neighbours once.
+// round lets each router send one report to its neighbours.
 func (g *groups) round(whole bool) {
-	g.at += groupTell
+	g.at += groupReportInterval
 	for _, id := range g.order {
 		if g.gone[id] {
 			continue
 		}
-		for _, tell := range g.books[id].Tell(whole) {
+		for _, tell := range g.balancers[id].PendingReports(whole) {
 			g.messages[tell.To]++
 			if !g.gone[tell.To] {
-				g.books[tell.To].TakeLoads(g.at, id, tell.Loads)
+				g.balancers[tell.To].ApplyLoadReport(g.at, id, tell.Report)
 			}
 		}
 	}
 }
 
-// work lets requests start and end at random, and returns what is in flight.
-func (g *groups) work(random *rand.Rand, steps int, inFlight map[protocol.UpstreamID]int) {
+// change starts and ends requests at random, and counts what is in flight.
+func (g *groups) change(random *rand.Rand, steps int, inFlight map[protocol.UpstreamID]int) {
 	for range steps {
 		id := protocol.UpstreamID(fmt.Sprintf("u%02d", random.IntN(20)))
-		book := g.books[g.order[random.IntN(len(g.order))]]
+		balancer := g.balancers[g.order[random.IntN(len(g.order))]]
 		if random.IntN(3) > 0 {
-			book.Started(id)
+			balancer.Started(id)
 			inFlight[id]++
-		} else if u := book.upstreams[id]; u.own.InFlight > 0 {
-			book.Ended(g.at, id, Served)
+		} else if u := balancer.upstreams[id]; u.own.InFlight > 0 {
+			balancer.Ended(g.at, id, Served)
 			inFlight[id]--
 		}
 	}
 }
 
-func TestWorkIsAddedUpByRelays(t *testing.T) {
-	// Three hundred routers share twenty upstreams. Each has to know the work of
-	// all, and can't take a message from each of the others several times a second.
+func TestRelaysAggregateLoads(t *testing.T) {
+	// Guards: routers of a large fleet lack part of the load, or get too many messages.
+	// Three hundred routers share twenty upstreams; each must know the load of all, and
+	// can't receive a message from every other router several times a second.
 	g := newGroups(300, 20)
 	random := seeded()
 	inFlight := map[protocol.UpstreamID]int{}
 	for range 5 {
-		g.work(random, 500, inFlight)
+		g.change(random, 500, inFlight)
 		for range 3 {
 			g.round(false)
 		}
 		for _, id := range g.order {
 			for upstream, want := range inFlight {
-				load, _ := g.books[id].Load(upstream)
+				load, _ := g.balancers[id].Load(upstream)
 				assert.Equal(t, load, want, "%s on %s", upstream, id)
 			}
 		}
@@ -101,12 +102,13 @@
 	}
 }
 
-func TestLostSumsAreMadeUpForByWholeOnes(t *testing.T) {
-	// A connection between two relays is replaced, and a sum is lost with it. The
-	// whole that follows within a second has to set everything right.
+func TestFullReportsCorrectLostTotals(t *testing.T) {
+	// Guards: a lost total leaves wrong loads. A connection between two relays is
+	// replaced, and a report is lost; the full report that follows within a second must
+	// correct everything.
 	g := newGroups(40, 20)
 	inFlight := map[protocol.UpstreamID]int{}
-	g.work(seeded(), 300, inFlight)
+	g.change(seeded(), 300, inFlight)
 	g.gone["r10"] = true
 	for range 3 {
 		g.round(false)
@@ -117,54 +119,55 @@
 	}
 	for _, id := range g.order {
 		for upstream, want := range inFlight {
-			load, _ := g.books[id].Load(upstream)
+			load, _ := g.balancers[id].Load(upstream)
 			assert.Equal(t, load, want, "%s on %s", upstream, id)
 		}
 	}
 }
 
-func TestOutcomesAndKeptPromptsPassRelays(t *testing.T) {
-	// An upstream fails a third of its requests, of which each router sees one or
-	// two; and an engine keeps a prompt that one router has sent there.
+func TestRelaysForwardOutcomesAndCacheHolders(t *testing.T) {
+	// Guards: relays drop outcomes or cache holders. An upstream fails a third of its
+	// requests, of which each router sees one or two, and an engine holds a prompt that
+	// one router sent.
 	g := newGroups(40, 20)
 	for range 3 {
 		g.round(true)
 	}
-	choice := pickAnswered(g.books["r13"], g.at, seeded(), prompt(77))
+	choice := pickAnswered(g.balancers["r13"], g.at, seeded(), prompt(77))
 	for _, id := range g.order {
 		for range 2 {
-			g.books[id].Started("u05")
-			g.books[id].Ended(g.at, "u05", Failed)
+			g.balancers[id].Started("u05")
+			g.balancers[id].Ended(g.at, "u05", Failed)
 		}
 	}
 	for range 3 {
 		g.round(false)
 	}
 	for _, id := range g.order {
-		assert.Assert(t, g.books[id].upstreams["u05"].health.isAvoided(g.at), "%s", id)
-		keepers := g.books[id].keepersOf(g.at, 77, g.books[id].services["s"])
-		assert.Equal(t, len(keepers), 1, "%s", id)
-		assert.Equal(t, keepers[0].entry.ID, choice.ID)
+		assert.Assert(t, g.balancers[id].upstreams["u05"].health.isEjected(g.at), "%s", id)
+		holders := g.balancers[id].holdersOf(g.at, 77, g.balancers[id].services["s"])
+		assert.Equal(t, len(holders), 1, "%s", id)
+		assert.Equal(t, holders[0].entry.ID, choice.ID)
 	}
 }
 
-func TestWorkIsNotCountedTwiceWhenARelayChanges(t *testing.T) {
-	// A relay loses power, and its members get another one that adds up all that
-	// the old one did.
+func TestLoadIsNotCountedTwiceWhenARelayChanges(t *testing.T) {
+	// Guards: load is counted twice. A relay loses power, and its members get another
+	// relay, which adds up the load that the old one did.
 	g := newGroups(40, 20)
 	inFlight := map[protocol.UpstreamID]int{}
-	g.work(seeded(), 300, inFlight)
+	g.change(seeded(), 300, inFlight)
 	for range 3 {
 		g.round(true)
 	}
-	member := g.books["r13"]
+	member := g.balancers["r13"]
 	member.SetNeighbours(Neighbours{Relay: "r20"})
 	assert.Equal(t, member.Routers(), 0)
-	relay := g.books["r20"]
+	relay := g.balancers["r20"]
 	neighbours := relay.neighbours
 	neighbours.Members = append(append([]protocol.RouterID{}, neighbours.Members...), "r13")
 	relay.SetNeighbours(neighbours)
-	old := g.books["r10"]
+	old := g.balancers["r10"]
 	old.SetNeighbours(Neighbours{Members: old.neighbours.Members[:2], Relays: old.neighbours.Relays})
 	for range 3 {
 		g.round(true)
--- a/coordination/balance/health.go
+++ b/coordination/balance/health.go
@@ -9,18 +9,17 @@
 type Result uint8
 
 const (
-	// Served means that the upstream answered as it should, also with an error
-	// of the request's own.
+	// Served means that the upstream answered correctly, which includes an error that the
+	// request itself caused.
 	Served Result = iota + 1
 	// Failed means a broken, missing or wrong answer.
 	Failed
-	// Unreachable means that no connection could be made, so that nothing was
-	// sent.
+	// Unreachable means that no connection could be made, so nothing was sent.
 	Unreachable
 	// Refused means that the upstream said that it didn't run the request.
 	Refused
-	// Abandoned means that the caller left or the time was up; it tells nothing
-	// of the upstream.
+	// Abandoned means that the caller left or the deadline passed; it says nothing about
+	// the upstream.
 	Abandoned
 )
 
@@ -30,89 +29,90 @@
 }
 
 const (
-	// healthMemory is the time constant with which outcomes are forgotten: an
-	// upstream that is well again is trusted after about twice of it.
-	healthMemory = 2 * time.Second
-	// leastFailures is how many failures, weighed by age, make a judgement: as many
-	// in a row are rare where requests fail now and then by themselves.
-	leastFailures = 2.5
-	// badShare is the share of failures above which an upstream gets no work,
-	// though the others have much. It guards what Book.reliable can't, which passes
-	// over an upstream only as far as others have room: one of a few busy upstreams
-	// fails all at once, seems idle for it, and takes nearly all requests.
-	badShare = 0.4
-	// unreachableFor is how long an upstream that takes no connection is left
-	// alone before one request tries it again. It is doubled up to mostAlone.
-	unreachableFor = 400 * time.Millisecond
-	mostAlone      = 3 * time.Second
-	// refusedFor is how long an upstream that refused is left alone: some
-	// requests' time on a plain service.
-	refusedFor = 100 * time.Millisecond
+	// healthTimeConstant is the time constant with which outcomes decay: an upstream that
+	// has recovered is used again after about twice as long.
+	healthTimeConstant = 2 * time.Second
+	// minFailures is how many failures, weighted by age, it takes to eject an upstream.
+	// As many in a row are rare where requests fail occasionally by themselves.
+	minFailures = 2.5
+	// maxFailureRate is the failure rate above which an upstream gets no requests,
+	// however loaded the others are. It covers a case that Balancer.reliable can't, which
+	// excludes an upstream only while the others have spare capacity: one of a few busy
+	// upstreams starts to fail immediately, looks idle for that reason, and attracts
+	// nearly all requests.
+	maxFailureRate = 0.4
+	// minBackoff is how long an upstream to which no connection could be made gets no
+	// request, until one request tries it again. It doubles up to maxBackoff.
+	minBackoff = 400 * time.Millisecond
+	maxBackoff = 3 * time.Second
+	// refusedBackoff is how long an upstream that refused a request gets no other: the
+	// duration of a few requests of a plain service.
+	refusedBackoff = 100 * time.Millisecond
 )
 
-// health judges one upstream by outcomes of requests.
+// health is the outlier detection of one upstream, by the outcomes of requests.
 //
-// Load: an upstream that fails some of its requests at once, while its health
-// check is good; one that takes no connections for seconds; one that is full.
-// Harm prevented: each of its requests costs a caller time or the answer.
+// It detects an upstream that starts to fail some of its requests while its health check
+// passes, one to which no connection can be made for seconds, and one that is full. Each
+// request sent to such an upstream costs a caller time or the answer.
 type health struct {
-	at             time.Duration
+	updatedAt      time.Duration
 	served, failed float64
-	// until is when the next request may try an upstream that took no
-	// connection or refused.
-	until time.Duration
-	// alone is how long it is left alone after the next such outcome.
-	alone time.Duration
+	// backoffUntil is when the next request may try an upstream that was unreachable or
+	// refused.
+	backoffUntil time.Duration
+	// backoff is the length of the last backoff of an unreachable upstream.
+	backoff time.Duration
 }
 
-// note counts outcomes.
-func (h *health) note(now time.Duration, result Result, count uint64) {
+// record counts outcomes.
+func (h *health) record(now time.Duration, result Result, count uint64) {
 	h.decay(now)
 	switch result {
 	case Served:
 		h.served += float64(count)
 		if count > 0 {
-			h.alone = 0
-			h.until = 0
+			h.backoff = 0
+			h.backoffUntil = 0
 		}
 	case Failed:
 		h.failed += float64(count)
 	case Unreachable:
 		h.failed += float64(count)
-		h.alone = min(max(2*h.alone, unreachableFor), mostAlone)
-		h.until = now + h.alone
+		h.backoff = min(max(2*h.backoff, minBackoff), maxBackoff)
+		h.backoffUntil = now + h.backoff
 	case Refused:
-		h.until = max(h.until, now+refusedFor)
+		h.backoffUntil = max(h.backoffUntil, now+refusedBackoff)
 	}
 }
 
-// decay forgets outcomes with time.
+// decay reduces the weight of outcomes by their age.
 func (h *health) decay(now time.Duration) {
-	if now <= h.at {
+	if now <= h.updatedAt {
 		return
 	}
-	keep := math.Exp(-float64(now-h.at) / float64(healthMemory))
+	keep := math.Exp(-float64(now-h.updatedAt) / float64(healthTimeConstant))
 	h.served *= keep
 	h.failed *= keep
-	h.at = now
+	h.updatedAt = now
 }
 
-// isBad reports whether an upstream should get no work now.
-func (h *health) isBad(now time.Duration) bool {
-	return now < h.until || h.failsOften(now)
+// isUnavailable reports whether an upstream should get no requests now.
+func (h *health) isUnavailable(now time.Duration) bool {
+	return now < h.backoffUntil || h.failsOften(now)
 }
 
-// isAvoided reports whether an upstream gets no work because it fails or takes
-// no connections, and not only because it is full for the moment.
-func (h *health) isAvoided(now time.Duration) bool {
-	return now < h.until && h.alone > 0 || h.failsOften(now)
+// isEjected reports whether an upstream gets no requests because it fails or can't be
+// reached, and not only because it is full at the moment.
+func (h *health) isEjected(now time.Duration) bool {
+	return now < h.backoffUntil && h.backoff > 0 || h.failsOften(now)
 }
 
-// failsOften judges by the outcomes of late.
+// failsOften evaluates the recent outcomes.
 func (h *health) failsOften(now time.Duration) bool {
 	h.decay(now)
-	if h.failed < leastFailures {
+	if h.failed < minFailures {
 		return false
 	}
-	return h.failed > badShare*(h.failed+h.served)
+	return h.failed > maxFailureRate*(h.failed+h.served)
 }
--- a/coordination/balance/pick.go
+++ b/coordination/balance/pick.go
@@ -14,24 +14,24 @@
 // Request is what is known of a request when its upstream is chosen.
 type Request struct {
 	Service protocol.Service
-	// Prompt is the key of the prompt's beginning, where HasPrompt is set.
+	// Prompt is the key of the prompt's prefix, if HasPrompt is set.
 	Prompt    uint64
 	HasPrompt bool
-	// Beginnings are the keys of the shorter beginnings that the prompt has in common
-	// with others, the longest first.
-	Beginnings []uint64
-	// Once says that the request is lost if the upstream fails: it may not be
-	// repeated, or was sent as often as it may be.
-	Once bool
-	// Limit is the least load with which an upstream doesn't get the request; 0 says
-	// that there is none. Requests that were sent before have none: what was done for
-	// them would be lost.
-	Limit int
-	// Tried are upstreams that this request was sent to.
+	// SharedPrefixes are the keys of the shorter prefixes that the prompt has in common
+	// with other prompts, the longest first.
+	SharedPrefixes []uint64
+	// NoRetry says that the request is lost if the upstream fails: it must not be
+	// repeated, or its attempts are used up.
+	NoRetry bool
+	// LoadLimit is the load from which on an upstream doesn't get the request; 0 means no
+	// limit. Requests that were sent before have no limit: the work already done for them
+	// would be lost.
+	LoadLimit int
+	// Tried are upstreams that this request was already sent to.
 	Tried []protocol.UpstreamID
-	// Again says that it may go to one of those once more, where there is no other:
-	// the last one answered, with an error.
-	Again bool
+	// AllowTried says that, where no other is left, the request may go again to an
+	// upstream that it was sent to, as the last one answered with an error.
+	AllowTried bool
 }
 
 // Reason says why an upstream was chosen, for the log.
@@ -39,46 +39,49 @@
 
 // The reasons.
 const (
-	// ReasonKeeper: it keeps the prompt's beginning.
-	ReasonKeeper Reason = "keeper"
-	// ReasonOrder: none that keeps it is within the bound, and it is among the
-	// first in the prompt's order.
-	ReasonOrder Reason = "prompt-order"
-	// ReasonLeastLoaded: it has little work, compared with the others.
+	// ReasonCacheHolder: it has the prompt's prefix cached.
+	ReasonCacheHolder Reason = "keeper"
+	// ReasonRendezvous: no cache holder is within the load bound, and it is the first
+	// within the bound by rendezvous hashing of the prompt.
+	ReasonRendezvous Reason = "prompt-order"
+	// ReasonLeastLoaded: it has a low load, compared with the others.
 	ReasonLeastLoaded Reason = "least-loaded"
-	// ReasonLastResort: all upstreams that are left look bad.
+	// ReasonLastResort: all upstreams that are left are unavailable or were tried before.
 	ReasonLastResort Reason = "last-resort"
-	// ReasonNoRoom: too few upstreams have a load below the request's limit.
-	ReasonNoRoom Reason = "no-room"
-	// ReasonNone: there is no upstream.
-	ReasonNone Reason = "no-upstream"
+	// ReasonNoCapacity: too few upstreams have a load below the request's limit.
+	ReasonNoCapacity Reason = "no-room"
+	// ReasonNoUpstream: there is no upstream.
+	ReasonNoUpstream Reason = "no-upstream"
 )
 
-// Choice is the upstream of a request.
+// Choice is the upstream chosen for a request.
 type Choice struct {
 	ID      protocol.UpstreamID
 	Address string
 	Reason  Reason
-	// CopyFrom is the address of an engine that keeps the prompt's beginning,
-	// "" where the chosen one keeps it or nobody is known to.
+	// CopyFrom is the address of an engine that has the prompt's prefix cached, "" if the
+	// chosen one has it or no cache holder is known.
 	CopyFrom string
-	// Load and Mean are what the choice was made from.
+	// Load is the chosen upstream's load, and Mean the mean load of its service.
 	Load int
 	Mean float64
-	// Limit is the request's limit, where there is no room for it.
+	// Limit is the request's load limit, set if the reason is ReasonNoCapacity.
 	Limit int
-	// PassedOver is how many upstreams weren't considered because they lose requests.
-	PassedOver int
+	// Excluded is the number of upstreams that weren't considered because they lose
+	// requests.
+	Excluded int
 }
 
-// usable returns the upstreams of a service that may take the request: ready
-// and not tried, and of those the ones that aren't bad, if there are any.
+// usable returns the upstreams of a service that may take the request: those that are
+// ready, untried and available; if there are none, the untried ones, although they are
+// unavailable; and if all were tried, the tried ones, if the request allows it. lastResort is
+// set in the latter two cases.
 //
-// Load: a service has one upstream left, and one request in seven fails there by
-// itself. Harm prevented: the caller gets no answer, not even the upstream's error,
-// as no other one is left for the repeat; a third of the repeats are served.
-func (b *Book) usable(now time.Duration, r Request) (list []*upstream, bad bool) {
-	var well, rest, tried []*upstream
+// The tried ones count for a service that has one upstream left, on which one request in
+// seven fails by itself: with no other upstream for the retry, the caller would get no
+// answer, not even the upstream's error, although a third of the retries are served.
+func (b *Balancer) usable(now time.Duration, r Request) (list []*upstream, lastResort bool) {
+	var healthy, untried, tried []*upstream
 	for _, u := range b.services[r.Service] {
 		switch {
 		case u.entry.State != roster.Ready:
@@ -87,45 +90,45 @@
 			tried = append(tried, u)
 			continue
 		}
-		rest = append(rest, u)
-		if !u.health.isBad(now) {
-			well = append(well, u)
+		untried = append(untried, u)
+		if !u.health.isUnavailable(now) {
+			healthy = append(healthy, u)
 		}
 	}
 	switch {
-	case len(well) > 0:
-		return well, false
-	case len(rest) == 0 && r.Again:
+	case len(healthy) > 0:
+		return healthy, false
+	case len(untried) == 0 && r.AllowTried:
 		return tried, true
 	}
-	return rest, true
+	return untried, true
 }
 
-// roomPart is the part of a service's upstreams, one in roomPart, that have to have
-// room for a request.
-const roomPart = 2
+// capacityDivisor sets the share of a service's upstreams, one in capacityDivisor, that
+// must have capacity for a request.
+const capacityDivisor = 2
 
-// below returns the upstreams whose load is below a limit, none if those are less
+// belowLimit returns the upstreams whose load is below a limit, or none if they are fewer
 // than half.
 //
-// Load: much more than engines can do, on many routers that hear of each other now and
-// then. Harm prevented: the few engines that look less busy than the limit get what all
-// routers send until they hear of each other, beyond the operators' bound on load. Each
-// one's own load is looked at, not the mean: engines that are slower than others have
-// queues though the mean is low.
-func below(limit int, list []*upstream) []*upstream {
+// Under an overload, and with many routers that exchange their loads only now and then,
+// the few engines below the limit would otherwise get the requests of all routers until
+// the next reports, and exceed the operators' load bound. Each upstream's own load is
+// compared, not the mean: engines that are slower than others have queues even if the
+// mean is low.
+func belowLimit(limit int, list []*upstream) []*upstream {
 	if limit <= 0 {
 		return list
 	}
 	found := slices.DeleteFunc(slices.Clone(list), func(u *upstream) bool { return u.load() >= limit })
-	if len(found)*roomPart < len(list) {
+	if len(found)*capacityDivisor < len(list) {
 		return nil
 	}
 	return found
 }
 
-// mean returns the mean load of a service's upstreams that take work.
-func (b *Book) mean(service protocol.Service) float64 {
+// mean returns the mean load of a service's upstreams that accept requests.
+func (b *Balancer) mean(service protocol.Service) float64 {
 	sum, count := 0, 0
 	for _, u := range b.services[service] {
 		if u.entry.State == roster.Ready {
@@ -139,76 +142,75 @@
 	return float64(sum) / float64(count)
 }
 
-// bound returns the load up to which an upstream is chosen while others have less: the
-// operators' bound less one, as other routers' latest requests aren't known yet.
+// loadBound returns the load up to which an upstream is chosen while others have less:
+// the operators' bound minus one, as other routers' latest requests aren't known yet.
 //
-// Load: prompts in demand on engines that have room for many times their work. Harm
-// prevented: passed over at less, engines have their prompts copied elsewhere, and no
-// more callers are answered in time, as an engine with some more requests is as quick.
-// Where work weighs more, operators set a lower multiple.
-func (b *Book) bound(mean float64) float64 {
+// A lower bound is no better where prompts are in demand and engines have capacity for
+// many times their load: engines that exceeded it would have their prompts copied
+// elsewhere, and no more callers would be answered in time, as an engine with a few more
+// requests is as quick. Where each request weighs more, operators set a lower multiple.
+func (b *Balancer) loadBound(mean float64) float64 {
 	return b.settings.Multiple*mean + float64(b.settings.Slack) - 1
 }
 
 // Pick chooses the upstream of a request.
 //
-// Load: prompts whose beginning costs a tenth to half a second to read where it
-// isn't cached, some of them asked for several times a second; plain requests
-// of milliseconds. Harm prevented: a prompt that is read on many engines, and an
-// engine that has a multiple of the others' work because its prompts are in
-// demand. So a prompt goes to an engine that keeps its beginning while that one's
-// load is within a bound, and one that doesn't keep it copies it from one that
-// does, which takes a tenth of the time that reading it again would. Upstreams that
-// lose answers are passed over as far as the others have room; see reliable.
-func (b *Book) Pick(now time.Duration, random *rand.Rand, r Request) Choice {
-	list, bad := b.usable(now, r)
+// Prompts have prefixes that take a tenth to half a second to prefill if they aren't
+// cached, and some are requested several times a second; plain requests take
+// milliseconds. Pick avoids that many engines prefill the same prompt, and that one
+// engine has a multiple of the others' load because its prompts are in demand. A prompt
+// therefore goes to an engine that has its prefix cached while that engine's load is
+// within a bound. An engine that doesn't have the prefix copies it from one that does,
+// which takes a tenth of the time of a prefill. Upstreams that lose answers are excluded
+// as far as the others have spare capacity; see reliable.
+func (b *Balancer) Pick(now time.Duration, random *rand.Rand, r Request) Choice {
+	list, lastResort := b.usable(now, r)
 	if len(list) == 0 {
-		return Choice{Reason: ReasonNone}
+		return Choice{Reason: ReasonNoUpstream}
 	}
 	mean := b.mean(r.Service)
-	if list = below(r.Limit, list); len(list) == 0 {
-		return Choice{Reason: ReasonNoRoom, Limit: r.Limit, Mean: mean}
+	if list = belowLimit(r.LoadLimit, list); len(list) == 0 {
+		return Choice{Reason: ReasonNoCapacity, Limit: r.LoadLimit, Mean: mean}
 	}
-	passedOver := 0
-	if reliable := b.reliable(now, r, list); firstWithin(b.bound(mean), reliable) != nil {
-		passedOver = len(list) - len(reliable)
+	excluded := 0
+	if reliable := b.reliable(now, r, list); firstWithin(b.loadBound(mean), reliable) != nil {
+		excluded = len(list) - len(reliable)
 		list = reliable
 	}
-	var made Choice
+	var choice Choice
 	switch {
 	case r.HasPrompt:
-		made = b.pickForPrompt(now, random, r, list, mean)
-	case bad:
-		made = choice(b.leastLoaded(now, random, list), ReasonLastResort, mean)
+		choice = b.pickForPrompt(now, random, r, list, mean)
+	case lastResort:
+		choice = newChoice(b.leastLoaded(now, random, list), ReasonLastResort, mean)
 	default:
-		made = choice(b.leastLoaded(now, random, list), ReasonLeastLoaded, mean)
+		choice = newChoice(b.leastLoaded(now, random, list), ReasonLeastLoaded, mean)
 	}
-	made.PassedOver = passedOver
-	return made
+	choice.Excluded = excluded
+	return choice
 }
 
-// pickForPrompt chooses the engine of a prompt: of those that keep its beginning
-// the one with the least work, if that is within the bound; else the first
-// within the bound in the prompt's own order. That order is the same on every
-// router and after every restart, so routers that have forgotten everything send
-// most prompts where their beginnings are kept.
-func (b *Book) pickForPrompt(now time.Duration, random *rand.Rand, r Request, list []*upstream, mean float64) Choice {
-	bound := b.bound(mean)
-	chosen, reason := within(bound, b.keepersOf(now, r.Prompt, list)), ReasonKeeper
+// pickForPrompt chooses the engine of a prompt: the cache holder with the least load, if
+// that is within the bound; else the first within the bound by rendezvous hashing. That
+// order is the same on every router and after every restart, so routers that have lost
+// their view of the cache holders still send most prompts to them.
+func (b *Balancer) pickForPrompt(now time.Duration, random *rand.Rand, r Request, list []*upstream, mean float64) Choice {
+	bound := b.loadBound(mean)
+	chosen, reason := leastLoadedWithin(bound, b.holdersOf(now, r.Prompt, list)), ReasonCacheHolder
 	if chosen == nil {
-		chosen, reason = firstWithin(bound, inOrderOf(r.Prompt, list)), ReasonOrder
+		chosen, reason = firstWithin(bound, rendezvousOrder(r.Prompt, list)), ReasonRendezvous
 	}
 	if chosen == nil {
 		chosen, reason = b.leastLoaded(now, random, list), ReasonLeastLoaded
 	}
-	made := choice(chosen, reason, mean)
-	made.CopyFrom = b.sourceFor(now, r, chosen)
-	b.keepers.note(now, r.Prompt, chosen)
-	return made
+	choice := newChoice(chosen, reason, mean)
+	choice.CopyFrom = b.copySourceFor(now, r, chosen)
+	b.cacheHolders.add(now, r.Prompt, chosen)
+	return choice
 }
 
-// firstWithin returns the first upstream whose load is within a bound, nil if
-// there is none.
+// firstWithin returns the first upstream whose load is within a bound, nil if there is
+// none.
 func firstWithin(bound float64, list []*upstream) *upstream {
 	for _, u := range list {
 		if float64(u.load()) <= bound {
@@ -218,9 +220,9 @@
 	return nil
 }
 
-// within returns the upstream with the least work, the earlier one among
+// leastLoadedWithin returns the upstream with the least load, the earlier one among
 // equals, nil if none is within the bound.
-func within(bound float64, list []*upstream) *upstream {
+func leastLoadedWithin(bound float64, list []*upstream) *upstream {
 	var best *upstream
 	for _, u := range list {
 		if float64(u.load()) <= bound && (best == nil || u.load() < best.load()) {
@@ -230,57 +232,58 @@
 	return best
 }
 
-func choice(u *upstream, reason Reason, mean float64) Choice {
+func newChoice(u *upstream, reason Reason, mean float64) Choice {
 	return Choice{ID: u.entry.ID, Address: u.entry.Address, Reason: reason, Load: u.load(), Mean: mean}
 }
 
-// leastLoaded returns an upstream with little work: of those with the least of this
-// router's own, one in the own data centre that has no more than the others; else one
-// drawn by chance, the likelier the less work the other routers have there on average.
+// leastLoaded returns an upstream with a low load. Among those with the fewest requests
+// of this router it prefers one in the router's own data centre whose load from other
+// routers isn't above average; else it draws one at random, weighted by the other
+// routers' average load.
 //
-// Load: many routers send short requests to a few servers. Each hears of the others'
-// work when those requests have long ended. Harm prevented: all routers take the server
-// that looked idle, and then the next one, and requests queue with half of the places
-// free. What a router has there itself it knows exactly, and an average over a few
-// messages tells a slow server from a moment's queue.
-func (b *Book) leastLoaded(now time.Duration, random *rand.Rand, list []*upstream) *upstream {
+// Many routers send short requests to a few servers, and learn of the others' requests
+// when these have long ended. If they chose by that stale load, all routers would send to
+// the server that looked idle, then all to the next one, and requests would queue with
+// half of the capacity unused. A router knows its own load exactly, and an average over a
+// few reports tells a slow server from a momentary queue.
+func (b *Balancer) leastLoaded(now time.Duration, random *rand.Rand, list []*upstream) *upstream {
 	least := list[0].own.InFlight
 	for _, u := range list {
 		least = min(least, u.own.InFlight)
 	}
 	idle := slices.DeleteFunc(slices.Clone(list), func(u *upstream) bool { return u.own.InFlight > least })
-	if near := b.nearAndFree(now, idle); len(near) > 0 {
+	if near := b.localCandidates(now, idle); len(near) > 0 {
 		return near[random.IntN(len(near))]
 	}
-	return b.draw(now, random, idle)
+	return b.drawWeighted(now, random, idle)
 }
 
-// nearMargin is by how much the other routers' average work on an upstream in the own
-// data centre may exceed the mean.
-const nearMargin = 0.5
+// localMargin is how far the other routers' average load on an upstream in the own data
+// centre may exceed the mean.
+const localMargin = 0.5
 
-// nearAndFree returns the upstreams in the own data centre on which the other routers
-// have no more work than on all of them, on average.
-func (b *Book) nearAndFree(now time.Duration, list []*upstream) []*upstream {
+// localCandidates returns the upstreams in the own data centre on which the other
+// routers' average load isn't above the mean of the list by more than localMargin.
+func (b *Balancer) localCandidates(now time.Duration, list []*upstream) []*upstream {
 	sum := 0.0
 	for _, u := range list {
-		sum += b.usual(now, u)
+		sum += b.averageElsewhere(now, u)
 	}
 	mean := sum / float64(len(list))
 	return slices.DeleteFunc(slices.Clone(list), func(u *upstream) bool {
-		return u.entry.DataCentre != b.settings.DataCentre || b.usual(now, u) > mean+nearMargin
+		return u.entry.DataCentre != b.settings.DataCentre || b.averageElsewhere(now, u) > mean+localMargin
 	})
 }
 
-// draw returns one of some upstreams by chance, in inverse proportion to the square of
-// the other routers' average work: with less than the square a slow one gets too much,
-// with more a moment's difference moves everybody.
-func (b *Book) draw(now time.Duration, random *rand.Rand, list []*upstream) *upstream {
+// drawWeighted returns a random upstream, with a weight inversely proportional to the
+// square of the other routers' average load. With a lower power than the square a slow
+// upstream gets too much; with a higher one, a momentary difference shifts all requests.
+func (b *Balancer) drawWeighted(now time.Duration, random *rand.Rand, list []*upstream) *upstream {
 	weights := make([]float64, len(list))
 	sum := 0.0
 	for i, u := range list {
-		work := 1 + b.usual(now, u)
-		weights[i] = 1 / (work * work)
+		load := 1 + b.averageElsewhere(now, u)
+		weights[i] = 1 / (load * load)
 		sum += weights[i]
 	}
 	point := random.Float64() * sum
@@ -292,7 +295,7 @@
 	return list[len(list)-1]
 }
 
-// rank is an upstream's rank in a prompt's order.
+// rank returns an upstream's rank for a prompt in rendezvous hashing.
 func rank(key uint64, id protocol.UpstreamID) uint64 {
 	return mix(xxhash.Sum64String(string(id)) ^ mix(key))
 }
--- a/coordination/balance/record.go
+++ b/coordination/balance/record.go
@@ -7,167 +7,173 @@
 	"time"
 )
 
-// KeeperList tells which engines keep the beginnings of prompts: routers tell a disk VM
-// what is new, and a disk VM tells a router that has just started what it knows.
-type KeeperList struct {
-	// Packed holds the keys of the prompts and the names of the engines, keptBytes
-	// each: less than as a list of structs, as a disk VM tells all routers at once.
+// CacheHolderList says which engines have which prefixes cached. Routers send new ones to
+// a disk VM, and a disk VM sends what it knows to a router that has just started.
+type CacheHolderList struct {
+	// Packed holds the keys of the prefixes and the ShortIDs of the engines, entryBytes
+	// each: smaller than a list of structs, as a disk VM sends it to all routers at once.
 	Packed []byte `msgpack:"k"`
 }
 
-// keptBytes is what one prompt takes in a KeeperList.
-const keptBytes = 8 + 4
+// entryBytes is the size of one prefix in a CacheHolderList.
+const entryBytes = 8 + 4
 
-// NewKeeperList packs a list.
-func NewKeeperList(kept []Kept) KeeperList {
-	packed := make([]byte, 0, len(kept)*keptBytes)
-	for _, k := range kept {
-		packed = binary.BigEndian.AppendUint64(packed, k.Prompt)
+// NewCacheHolderList packs a list.
+func NewCacheHolderList(prefixes []CachedPrefix) CacheHolderList {
+	packed := make([]byte, 0, len(prefixes)*entryBytes)
+	for _, k := range prefixes {
+		packed = binary.BigEndian.AppendUint64(packed, k.Prefix)
 		packed = binary.BigEndian.AppendUint32(packed, uint32(k.ID))
 	}
-	return KeeperList{Packed: packed}
+	return CacheHolderList{Packed: packed}
 }
 
-// Kept returns the list. Bytes that are no whole entry are left out.
-func (k KeeperList) Kept() []Kept {
-	kept := make([]Kept, 0, len(k.Packed)/keptBytes)
-	for rest := k.Packed; len(rest) >= keptBytes; rest = rest[keptBytes:] {
-		kept = append(kept, Kept{Prompt: binary.BigEndian.Uint64(rest), ID: Short(binary.BigEndian.Uint32(rest[8:]))})
+// Unpack returns the list, without an incomplete entry at its end.
+func (k CacheHolderList) Unpack() []CachedPrefix {
+	prefixes := make([]CachedPrefix, 0, len(k.Packed)/entryBytes)
+	for rest := k.Packed; len(rest) >= entryBytes; rest = rest[entryBytes:] {
+		prefixes = append(prefixes, CachedPrefix{Prefix: binary.BigEndian.Uint64(rest), ID: ShortID(binary.BigEndian.Uint32(rest[8:]))})
 	}
-	return kept
+	return prefixes
 }
 
 const (
-	// mostRecalled bounds what a router is told at its start.
-	mostRecalled = 2048
-	// recalledLife is how long ago a disk VM was told what it tells a router. Routers
-	// tell what is in use every tellAgain.
-	recalledLife = tellAgain + tellAgain/2
-	// recalledFor is how long a router that was told of engines it doesn't know yet
-	// waits for the list of upstreams.
-	recalledFor = 5 * time.Second
+	// maxRestored bounds the prefixes that a disk VM sends to a router at its start.
+	maxRestored = 2048
+	// maxRestoredAge is the age up to which a disk VM sends a prefix to a router that
+	// starts. Routers announce the prefixes in use every announceInterval.
+	maxRestoredAge = announceInterval + announceInterval/2
+	// restoredTTL is how long a router keeps cache holders that it doesn't know yet,
+	// while it waits for the roster.
+	restoredTTL = 5 * time.Second
 )
 
-// KeeperRecord is what a disk VM remembers of the engines that keep prompts' beginnings,
-// the last one told for each prompt. It is not safe for concurrent use.
+// CacheHolderRecord is a disk VM's record of the engines that have prompts' prefixes
+// cached, the last one announced for each prefix. It is not safe for concurrent use.
 //
-// Load: all VMs lose power together while the engines run on, or routers are rolled
-// one after the other. Harm prevented: a router that starts knows no keeper and sends
-// each prompt to the first engine in the prompt's order, which has to read what
-// another one still keeps, at the moment when all callers come back: half of the
+// All VMs may lose power while the engines run on, or routers are restarted one after the
+// other. Without the record, a router that starts would know no cache holder and would
+// send each prompt to its first engine by rendezvous hashing, which would have to prefill
+// what another engine still has cached, just when all callers come back: half of the
 // prompts of the first two seconds took ten times as long as usual.
-type KeeperRecord struct {
-	prompts map[uint64]recorded
+type CacheHolderRecord struct {
+	prefixes map[uint64]recordedHolder
 }
 
-type recorded struct {
-	id Short
+type recordedHolder struct {
+	id ShortID
 	at time.Duration
 }
 
-// RememberedKeeper is an entry of a KeeperRecord as it is written down, with its age.
-type RememberedKeeper struct {
-	Kept
+// AgedPrefix is an entry of a CacheHolderRecord as it is stored, with its age.
+type AgedPrefix struct {
+	CachedPrefix
 	Age time.Duration `msgpack:"a"`
 }
 
-// NewKeeperRecord returns an empty record.
-func NewKeeperRecord() *KeeperRecord { return &KeeperRecord{prompts: map[uint64]recorded{}} }
+// NewCacheHolderRecord returns an empty record.
+func NewCacheHolderRecord() *CacheHolderRecord {
+	return &CacheHolderRecord{prefixes: map[uint64]recordedHolder{}}
+}
 
-// Note takes what a router tells.
-func (r *KeeperRecord) Note(now time.Duration, kept []Kept) {
-	for _, k := range kept {
-		if _, known := r.prompts[k.Prompt]; !known && len(r.prompts) >= mostPrompts {
-			r.drop(now)
+// Add records the cache holders that a router announces.
+func (r *CacheHolderRecord) Add(now time.Duration, prefixes []CachedPrefix) {
+	for _, k := range prefixes {
+		if _, known := r.prefixes[k.Prefix]; !known && len(r.prefixes) >= maxPrefixes {
+			r.evict(now)
 		}
-		r.prompts[k.Prompt] = recorded{id: k.ID, at: now}
+		r.prefixes[k.Prefix] = recordedHolder{id: k.ID, at: now}
 	}
 }
 
-// Recall takes what was written down before a start.
-func (r *KeeperRecord) Recall(now time.Duration, all []RememberedKeeper) {
+// Restore adds the entries that were stored before a restart.
+func (r *CacheHolderRecord) Restore(now time.Duration, all []AgedPrefix) {
 	for _, m := range all {
-		r.prompts[m.Prompt] = recorded{id: m.ID, at: now - m.Age}
+		r.prefixes[m.Prefix] = recordedHolder{id: m.ID, at: now - m.Age}
 	}
 }
 
-// Entries returns what is fresh, the newest first.
-func (r *KeeperRecord) Entries(now time.Duration) []RememberedKeeper {
-	var all []RememberedKeeper
-	for prompt, k := range r.prompts {
-		if age := now - k.at; age <= keeperLife {
-			all = append(all, RememberedKeeper{Kept: Kept{Prompt: prompt, ID: k.id}, Age: age})
+// Entries returns the entries that haven't expired, the newest first.
+func (r *CacheHolderRecord) Entries(now time.Duration) []AgedPrefix {
+	var all []AgedPrefix
+	for prefix, k := range r.prefixes {
+		if age := now - k.at; age <= holderTTL {
+			all = append(all, AgedPrefix{CachedPrefix: CachedPrefix{Prefix: prefix, ID: k.id}, Age: age})
 		}
 	}
-	slices.SortFunc(all, func(x, y RememberedKeeper) int {
-		return cmp.Or(cmp.Compare(x.Age, y.Age), cmp.Compare(x.Prompt, y.Prompt))
+	slices.SortFunc(all, func(x, y AgedPrefix) int {
+		return cmp.Or(cmp.Compare(x.Age, y.Age), cmp.Compare(x.Prefix, y.Prefix))
 	})
 	return all
 }
 
-// Newest returns what a router is told that has just started.
-func (r *KeeperRecord) Newest(now time.Duration) []Kept {
-	var kept []Kept
+// Newest returns the entries for a router that has just started.
+func (r *CacheHolderRecord) Newest(now time.Duration) []CachedPrefix {
+	var prefixes []CachedPrefix
 	for _, m := range r.Entries(now) {
-		if m.Age > recalledLife || len(kept) == mostRecalled {
+		if m.Age > maxRestoredAge || len(prefixes) == maxRestored {
 			break
 		}
-		kept = append(kept, m.Kept)
+		prefixes = append(prefixes, m.CachedPrefix)
 	}
-	return kept
+	return prefixes
 }
 
-// drop forgets what is old, and any where that isn't enough.
-func (r *KeeperRecord) drop(now time.Duration) {
-	for prompt, k := range r.prompts {
-		if now-k.at > keeperLife {
-			delete(r.prompts, prompt)
+// evict drops the prefixes that have expired, and arbitrary ones if that isn't enough.
+func (r *CacheHolderRecord) evict(now time.Duration) {
+	for prefix, k := range r.prefixes {
+		if now-k.at > holderTTL {
+			delete(r.prefixes, prefix)
 		}
 	}
-	for prompt := range r.prompts {
-		if len(r.prompts) < mostPrompts {
+	for prefix := range r.prefixes {
+		if len(r.prefixes) < maxPrefixes {
 			return
 		}
-		delete(r.prompts, prompt)
+		delete(r.prefixes, prefix)
 	}
 }
 
-// Unrecorded returns what a disk VM has to be told, some at a time.
-func (b *Book) Unrecorded() []Kept {
-	n := min(len(b.unrecorded), keptPerMessage)
+// TakeUnrecorded removes and returns the next cache holders to send to a disk VM, at most
+// maxPrefixesPerMessage.
+func (b *Balancer) TakeUnrecorded() []CachedPrefix {
+	n := min(len(b.unrecorded), maxPrefixesPerMessage)
 	taken := b.unrecorded[:n]
 	b.unrecorded = slices.Clone(b.unrecorded[n:])
 	return taken
 }
 
-// noteUnrecorded adds to what a disk VM has to be told; the oldest give way.
-func (b *Book) noteUnrecorded(kept Kept) {
-	b.unrecorded = append(b.unrecorded, kept)
-	b.unrecorded = b.unrecorded[max(0, len(b.unrecorded)-mostKept):]
+// addUnrecorded queues a cache holder for a disk VM; if the queue is full, it drops the
+// oldest.
+func (b *Balancer) addUnrecorded(prefix CachedPrefix) {
+	b.unrecorded = append(b.unrecorded, prefix)
+	b.unrecorded = b.unrecorded[max(0, len(b.unrecorded)-maxQueuedPrefixes):]
 }
 
-// RecallKeepers takes what a disk VM remembers. What this router knows by itself or from
-// others is newer. Upstreams that aren't listed here yet are waited for.
-func (b *Book) RecallKeepers(now time.Duration, kept []Kept) {
-	b.recalled = append(b.recalled, kept...)
-	b.recalledAt = max(now, 1)
-	b.takeRecalled()
+// RestoreCacheHolders adds the cache holders that a disk VM recorded. They don't replace
+// what this router knows itself or from other routers, which is newer. Those whose
+// upstreams aren't in the roster yet wait for it.
+func (b *Balancer) RestoreCacheHolders(now time.Duration, prefixes []CachedPrefix) {
+	b.restored = append(b.restored, prefixes...)
+	b.restoredAt = max(now, 1)
+	b.applyRestored()
 }
 
-// takeRecalled notes the keepers among what was recalled that are listed now.
-func (b *Book) takeRecalled() {
-	b.recalled = slices.DeleteFunc(b.recalled, func(k Kept) bool {
-		u := b.byShort[k.ID]
-		if _, known := b.keepers.prompts[k.Prompt]; u != nil && !known {
-			b.keepers.noteTold(b.recalledAt, k.Prompt, u)
+// applyRestored adds the restored cache holders whose upstreams are in the roster by now.
+func (b *Balancer) applyRestored() {
+	b.restored = slices.DeleteFunc(b.restored, func(k CachedPrefix) bool {
+		u := b.byShortID[k.ID]
+		if _, known := b.cacheHolders.byPrefix[k.Prefix]; u != nil && !known {
+			b.cacheHolders.addAnnounced(b.restoredAt, k.Prefix, u)
 		}
 		return u != nil
 	})
 }
 
-// forgetRecalled drops what names upstreams that nobody lists.
-func (b *Book) forgetRecalled(now time.Duration) {
-	if now-b.recalledAt > recalledFor {
-		b.recalled = nil
+// expireRestored drops restored cache holders whose upstreams never appeared in the
+// roster.
+func (b *Balancer) expireRestored(now time.Duration) {
+	if now-b.restoredAt > restoredTTL {
+		b.restored = nil
 	}
 }
--- a/coordination/balance/record_test.go
+++ b/coordination/balance/record_test.go
@@ -10,10 +10,10 @@
 	"endiveplank/protocol/codec"
 )
 
-// warmed returns a router's book after some seconds of prompts, in which a third of
-// the engines have joined, and what a disk VM was told of them.
-func warmed(engines, prompts int) (*Book, *KeeperRecord) {
-	b, record, random := newBook(engines*2/3), NewKeeperRecord(), seeded()
+// warmed returns a router's Balancer after some seconds of prompts, during which a third
+// of the engines have joined, and the record of a disk VM.
+func warmed(engines, prompts int) (*Balancer, *CacheHolderRecord) {
+	b, record, random := newBalancer(engines*2/3), NewCacheHolderRecord(), seeded()
 	var flights []protocol.UpstreamID
 	for i := range 40 * prompts {
 		if i == 20*prompts {
@@ -27,7 +27,7 @@
 			b.Ended(now, flights[at], Served)
 			flights = append(flights[:at], flights[at+1:]...)
 		}
-		record.Note(now, b.Unrecorded())
+		record.Add(now, b.TakeUnrecorded())
 	}
 	for _, id := range flights {
 		b.Ended(now, id, Served)
@@ -35,78 +35,84 @@
 	return b, record
 }
 
-// keptShare returns the share of the prompts that a router sends, one after the
-// other, to an engine that another router's book knows as a keeper.
-func keptShare(b, knows *Book, prompts int) float64 {
-	kept := 0
+// holderShare returns the share of the prompts that a router sends, one after the other, to
+// an engine that another router's Balancer considers a cache holder.
+func holderShare(b, reference *Balancer, prompts int) float64 {
+	cached := 0
 	for i := range prompts {
 		key := uint64(i) * 7919
 		made := pickAnswered(b, now, seeded(), prompt(key))
-		for _, u := range knows.keepersOf(now, key, knows.services["s"]) {
+		for _, u := range reference.holdersOf(now, key, reference.services["s"]) {
 			if u.entry.ID == made.ID {
-				kept++
+				cached++
 			}
 		}
 	}
-	return float64(kept) / float64(prompts)
+	return float64(cached) / float64(prompts)
 }
 
-func TestARouterThatStartsSendsPromptsWhereTheyAreKept(t *testing.T) {
-	// All VMs lose power and the engines run on. The callers come back at once, and
-	// wait while engines read prompts that other engines still keep.
+func TestRestartedRouterSendsPromptsToCacheHolders(t *testing.T) {
+	// Guards: after a restart, engines prefill prompts that other engines still have
+	// cached. All VMs lose power, the engines run on, and the callers come back at once.
 	const engines, prompts = 18, 220
 	before, record := warmed(engines, prompts)
-	blind := newBook(engines)
-	told := newBook(engines)
-	told.RecallKeepers(now, record.Newest(now))
-	without, with := keptShare(blind, before, prompts), keptShare(told, before, prompts)
+	unrestored := newBalancer(engines)
+	restored := newBalancer(engines)
+	restored.RestoreCacheHolders(now, record.Newest(now))
+	without, with := holderShare(unrestored, before, prompts), holderShare(restored, before, prompts)
 	assert.Assert(t, without < 0.8, "%.2f", without)
 	assert.Assert(t, with > 0.97, "%.2f", with)
 }
 
-func TestWhatIsRecollectedWaitsForTheListOfUpstreamsAndGivesWayToNews(t *testing.T) {
-	// A disk VM's word on prompts comes before its list of upstreams, and names an
-	// engine that is gone. Other routers have told of a newer keeper meanwhile.
-	b := NewBook(Settings{Multiple: 2, Slack: 3})
-	b.RecallKeepers(now, []Kept{{Prompt: 1, ID: shortOf("u01")}, {Prompt: 2, ID: shortOf("u01")}, {Prompt: 3, ID: shortOf("gone")}})
+func TestRestoredHoldersWaitForTheRosterAndYieldToUpdates(t *testing.T) {
+	// Guards: a disk VM's cache holders are lost or replace newer ones. They arrive
+	// before its roster, and name an engine that is gone. Meanwhile other routers have
+	// announced a newer holder.
+	b := NewBalancer(Settings{Multiple: 2, Slack: 3})
+	b.RestoreCacheHolders(now, []CachedPrefix{{Prefix: 1, ID: shortIDOf("u01")}, {Prefix: 2, ID: shortIDOf("u01")}, {Prefix: 3, ID: shortIDOf("gone")}})
 	b.SetRoster(entries(3))
 	assert.Equal(t, b.Pick(now, seeded(), prompt(1)).ID, protocol.UpstreamID("u01"))
-	assert.Equal(t, b.Pick(now, seeded(), prompt(1)).Reason, ReasonKeeper)
-	b.takeKept(now, []Kept{{Prompt: 5, ID: shortOf("u02")}})
-	b.RecallKeepers(now, []Kept{{Prompt: 5, ID: shortOf("u00")}})
+	assert.Equal(t, b.Pick(now, seeded(), prompt(1)).Reason, ReasonCacheHolder)
+	b.applyCached(now, []CachedPrefix{{Prefix: 5, ID: shortIDOf("u02")}})
+	b.RestoreCacheHolders(now, []CachedPrefix{{Prefix: 5, ID: shortIDOf("u00")}})
 	assert.Equal(t, b.Pick(now, seeded(), prompt(5)).ID, protocol.UpstreamID("u02"))
-	assert.Equal(t, len(b.recalled), 1)
-	b.Expire(now + 2*recalledFor)
-	assert.Equal(t, len(b.recalled), 0)
+	assert.Equal(t, len(b.restored), 1)
+	b.Expire(now + 2*restoredTTL)
+	assert.Equal(t, len(b.restored), 0)
 }
 
-func TestARecordIsBoundedAndForgets(t *testing.T) {
-	r := NewKeeperRecord()
-	for i := range 3 * mostPrompts {
-		r.Note(now, []Kept{{Prompt: uint64(i), ID: 1}})
+func TestRecordIsBoundedAndExpires(t *testing.T) {
+	// Guards: a disk VM's record grows with every prompt, or gives out expired cache
+	// holders.
+	r := NewCacheHolderRecord()
+	for i := range 3 * maxPrefixes {
+		r.Add(now, []CachedPrefix{{Prefix: uint64(i), ID: 1}})
 	}
-	assert.Assert(t, len(r.prompts) <= mostPrompts)
-	assert.Equal(t, len(r.Newest(now)), mostRecalled)
-	assert.Equal(t, len(r.Newest(now+keeperLife+1)), 0)
+	assert.Assert(t, len(r.prefixes) <= maxPrefixes)
+	assert.Equal(t, len(r.Newest(now)), maxRestored)
+	assert.Equal(t, len(r.Newest(now+holderTTL+1)), 0)
 }
 
-func TestARecordOutlivesItsProcess(t *testing.T) {
-	r := NewKeeperRecord()
-	r.Note(now-10*time.Second, []Kept{{Prompt: 1, ID: 11}})
-	r.Note(now-time.Second, []Kept{{Prompt: 2, ID: 12}})
-	var entries []RememberedKeeper
+func TestRecordSurvivesARestart(t *testing.T) {
+	// Guards: a disk VM's record is lost or loses its ages when the process restarts.
+	r := NewCacheHolderRecord()
+	r.Add(now-10*time.Second, []CachedPrefix{{Prefix: 1, ID: 11}})
+	r.Add(now-time.Second, []CachedPrefix{{Prefix: 2, ID: 12}})
+	var entries []AgedPrefix
 	assert.NilError(t, codec.Unmarshal(codec.MarshalArrays(r.Entries(now)), &entries))
-	again := NewKeeperRecord()
-	again.Recall(time.Second, entries)
-	assert.DeepEqual(t, again.Newest(time.Second), []Kept{{Prompt: 2, ID: 12}, {Prompt: 1, ID: 11}})
-	assert.DeepEqual(t, again.Newest(recalledLife-5*time.Second), []Kept{{Prompt: 2, ID: 12}})
-	assert.Equal(t, len(again.Entries(recalledLife-5*time.Second)), 2)
+	again := NewCacheHolderRecord()
+	again.Restore(time.Second, entries)
+	assert.DeepEqual(t, again.Newest(time.Second), []CachedPrefix{{Prefix: 2, ID: 12}, {Prefix: 1, ID: 11}})
+	assert.DeepEqual(t, again.Newest(maxRestoredAge-5*time.Second), []CachedPrefix{{Prefix: 2, ID: 12}})
+	assert.Equal(t, len(again.Entries(maxRestoredAge-5*time.Second)), 2)
 }
 
-func TestKeepsTravelPacked(t *testing.T) {
-	kept := []Kept{{Prompt: 1 << 63, ID: 1 << 31}, {Prompt: 2, ID: 3}}
-	packed := NewKeeperList(kept)
-	assert.DeepEqual(t, packed.Kept(), kept)
-	packed.Packed = packed.Packed[:keptBytes+5]
-	assert.DeepEqual(t, packed.Kept(), kept[:1])
+func TestCacheHolderListPacksAndUnpacks(t *testing.T) {
+	// Guards: a packed list is read back wrongly, or an incomplete entry at its end is
+	// used.
+	cached := []CachedPrefix{{Prefix: 1 << 63, ID: 1 << 31}, {Prefix: 2, ID: 3}}
+	packed := NewCacheHolderList(cached)
+	assert.DeepEqual(t, packed.Unpack(), cached)
+	packed.Packed = packed.Packed[:entryBytes+5]
+	assert.DeepEqual(t, packed.Unpack(), cached[:1])
 }
--- a/coordination/balance/reliable.go
+++ b/coordination/balance/reliable.go
@@ -10,87 +10,88 @@
 )
 
 const (
-	// mostLoss is by how much an upstream may be likelier to lose a request than the
-	// best ones, before the request goes elsewhere. Elsewhere a prompt is copied or
-	// read again, which takes a tenth of its time; one in twenty lost outweighs that.
-	mostLoss = 0.05
-	// repeatLoss is what a failure costs a request that may be sent again, in lost
-	// requests: its answer comes late, or takes one of the repeats that there are.
-	repeatLoss = 0.25
-	// priorOutcomes is how many outcomes as of the best upstreams are added to an
-	// upstream's own: one failure of the first two says little, two of four more.
+	// maxExcessFailures is how far an upstream's failure rate may exceed that of the best
+	// ones before a request goes elsewhere. Elsewhere a prompt is copied or prefilled
+	// again, which takes a tenth of its time; one request in twenty lost outweighs that.
+	maxExcessFailures = 0.05
+	// retryCost is the cost of a failure for a request that may be retried, in lost
+	// requests: its answer comes late, or uses up one of its retries.
+	retryCost = 0.25
+	// priorOutcomes is how many outcomes with the baseline failure rate are added to an
+	// upstream's own: one failure of the first two says little, two of four say more.
 	priorOutcomes = 8
-	// bestPart is the part of a service's upstreams, one in bestPart, whose failures
-	// are those of the service itself: what most of them fail alike is nobody's
-	// fault, and yet two of three may fail by their own.
-	bestPart = 3
-	// baselineLife is how long the share of the best is used: some requests' time.
-	baselineLife = 50 * time.Millisecond
+	// bestDivisor sets the share of a service's upstreams, one in bestDivisor, whose
+	// failure rate is the baseline of the service. Failures that most upstreams have
+	// alike are no upstream's fault; with a third, two of three upstreams may still have
+	// faults of their own.
+	bestDivisor = 3
+	// baselineTTL is how long a computed baseline is used: the duration of a few
+	// requests.
+	baselineTTL = 50 * time.Millisecond
 )
 
-// baseline is the share of failures of a service's best upstreams.
+// baseline is the failure rate of a service's best upstreams.
 type baseline struct {
-	at    time.Duration
-	share float64
+	at          time.Duration
+	failureRate float64
 }
 
-// reliable returns those of some upstreams that aren't much likelier to lose a
-// request than the best ones, nil if that is none. What may be luck isn't held
-// against them.
+// reliable returns the upstreams of a list that aren't much likelier to lose a request
+// than the best ones of the service, nil if there are none. Differences that may be
+// random don't count.
 //
-// Load: a third of an engine's answers, or a tenth, are lost for some seconds, on
-// one engine or on most of them, while its health check is good. Harm prevented:
-// requests that can't be sent again are lost there though others would answer
-// them; most of all requests that were never answered were such. Those that may
-// be repeated are sent elsewhere only where failures are four times as frequent,
-// and keep telling how the upstream does.
-func (b *Book) reliable(now time.Duration, r Request, list []*upstream) []*upstream {
-	most := mostLoss
-	if !r.Once {
-		most /= repeatLoss
+// It guards against engines, one or most of them, that lose a third or a tenth of their
+// answers for some seconds while their health checks pass. Requests that can't be retried
+// would be lost there although others would answer them; such requests were most of those
+// that were never answered. Requests that may be retried are sent elsewhere only at four
+// times that failure rate, and so keep measuring the upstream.
+func (b *Balancer) reliable(now time.Duration, r Request, list []*upstream) []*upstream {
+	maxExcess := maxExcessFailures
+	if !r.NoRetry {
+		maxExcess /= retryCost
 	}
-	best := b.baselineOf(now, r.Service)
+	bestRate := b.baselineOf(now, r.Service)
 	var found []*upstream
 	for _, u := range list {
-		if u.excess(now, best) <= most {
+		if u.excessFailureRate(now, bestRate) <= maxExcess {
 			found = append(found, u)
 		}
 	}
 	return found
 }
 
-// Suspected reports whether an upstream is likelier to lose a request than the best
-// ones of its service.
-func (b *Book) Suspected(now time.Duration, id protocol.UpstreamID) bool {
+// IsOutlier reports whether an upstream is likelier to lose a request than the best ones
+// of its service.
+func (b *Balancer) IsOutlier(now time.Duration, id protocol.UpstreamID) bool {
 	u := b.upstreams[id]
-	return u != nil && u.excess(now, b.baselineOf(now, u.entry.Service)) > mostLoss
+	return u != nil && u.excessFailureRate(now, b.baselineOf(now, u.entry.Service)) > maxExcessFailures
 }
 
-// excess is by how much an upstream's share of failures exceeds that of the best ones
-// and what may be luck.
-func (u *upstream) excess(now time.Duration, best float64) float64 {
-	return u.health.share(now, best) - best - u.health.chance(best)
+// excessFailureRate returns by how much an upstream's failure rate exceeds that of the
+// best ones plus one standard deviation.
+func (u *upstream) excessFailureRate(now time.Duration, bestRate float64) float64 {
+	return u.health.failureRate(now, bestRate) - bestRate - u.health.standardDeviation(bestRate)
 }
 
-// baselineOf returns the share of failures of a service's best upstreams.
-func (b *Book) baselineOf(now time.Duration, service protocol.Service) float64 {
-	known, any := b.baselines[service]
-	if any && now-known.at < baselineLife {
-		return known.share
+// baselineOf returns the failure rate of a service's best upstreams.
+func (b *Balancer) baselineOf(now time.Duration, service protocol.Service) float64 {
+	cached, found := b.baselines[service]
+	if found && now-cached.at < baselineTTL {
+		return cached.failureRate
 	}
-	share := bestShare(now, b.services[service])
-	b.baselines[service] = baseline{at: now, share: share}
+	share := bestFailureRate(now, b.services[service])
+	b.baselines[service] = baseline{at: now, failureRate: share}
 	return share
 }
 
-// bestShare returns the share of failures of the best upstreams together.
-func bestShare(now time.Duration, list []*upstream) float64 {
+// bestFailureRate returns the failure rate of the best upstreams together.
+func bestFailureRate(now time.Duration, list []*upstream) float64 {
 	ordered := slices.Clone(list)
 	slices.SortStableFunc(ordered, func(x, y *upstream) int {
-		return cmp.Compare(x.health.share(now, 0), y.health.share(now, 0))
+		return cmp.Compare(x.health.failureRate(now, 0), y.health.failureRate(now, 0))
 	})
 	failed, all := 0.0, 0.0
-	for _, u := range ordered[:(len(ordered)+bestPart-1)/bestPart] {
+	for _, u := range ordered[:(len(ordered)+bestDivisor-1)/bestDivisor] {
 		failed += u.health.failed
 		all += u.health.failed + u.health.served
 	}
@@ -100,15 +101,15 @@
 	return failed / all
 }
 
-// share estimates the share of requests that fail, by outcomes of late and what
-// is usual.
-func (h *health) share(now time.Duration, usual float64) float64 {
+// failureRate estimates the share of requests that fail, from recent outcomes and a prior
+// failure rate.
+func (h *health) failureRate(now time.Duration, prior float64) float64 {
 	h.decay(now)
-	return (h.failed + priorOutcomes*usual) / (h.failed + h.served + priorOutcomes)
+	return (h.failed + priorOutcomes*prior) / (h.failed + h.served + priorOutcomes)
 }
 
-// chance is by how much an upstream's share of failures differs from the usual one
-// by luck: the standard deviation for as many outcomes as it is judged by.
-func (h *health) chance(usual float64) float64 {
-	return math.Sqrt(usual * (1 - usual) / (h.failed + h.served + priorOutcomes))
+// standardDeviation is how far a failure rate differs from the prior one by chance, for
+// the number of outcomes that it is estimated from.
+func (h *health) standardDeviation(prior float64) float64 {
+	return math.Sqrt(prior * (1 - prior) / (h.failed + h.served + priorOutcomes))
 }
--- a/coordination/balance/reliable_test.go
+++ b/coordination/balance/reliable_test.go
@@ -10,12 +10,12 @@
 	"endiveplank/protocol"
 )
 
-// faults is how often each upstream loses an answer, by its number.
+// faults returns the share of answers that an upstream loses, by its number.
 type faults func(upstream int) float64
 
-// lossyRun plays ten seconds of a service, some of whose upstreams lose answers,
-// and counts the requests that may not be repeated, those of them lost, and the
-// highest load over the bound of the operators.
+// lossyRun simulates ten seconds of a service, some of whose upstreams lose answers. It
+// counts the requests that may not be retried, those of them lost, and the requests that
+// exceeded the operators' load bound.
 type lossyRun struct {
 	upstreams int
 	perSecond int
@@ -34,7 +34,7 @@
 
 func (run lossyRun) play(t *testing.T) lossyResult {
 	t.Helper()
-	b := newBook(run.upstreams)
+	b := newBalancer(run.upstreams)
 	random := seeded()
 	type flying struct {
 		id   protocol.UpstreamID
@@ -60,25 +60,25 @@
 			}
 			b.Ended(at, f.id, outcome)
 		}
-		r := Request{Service: "s", Once: random.IntN(5) < 2, HasPrompt: run.prompt, Prompt: uint64(random.IntN(200))}
+		r := Request{Service: "s", NoRetry: random.IntN(5) < 2, HasPrompt: run.prompt, Prompt: uint64(random.IntN(200))}
 		made := b.Pick(at, random, r)
 		b.Started(made.ID)
 		if load, _ := b.Load(made.ID); float64(load) > 2*b.mean("s")+3 {
 			result.overBound++
 		}
 		result.byUpstream[made.ID]++
-		if r.Once {
+		if r.NoRetry {
 			result.once++
 		}
-		flights = append(flights, flying{id: made.ID, ends: at + run.last, once: r.Once})
+		flights = append(flights, flying{id: made.ID, ends: at + run.last, once: r.NoRetry})
 	}
 	return result
 }
 
-func TestRequestsThatMayNotBeRepeatedGoPastUpstreamsThatLoseAnswers(t *testing.T) {
-	// Some engines lose part of their answers for seconds and answer their health
-	// checks. Callers whose request may not be sent twice get an error, though other
-	// engines would have answered them. The loads differ by ten in each figure.
+func TestNonRetryableRequestsAvoidLossyUpstreams(t *testing.T) {
+	// Guards: requests that can't be retried are lost on lossy upstreams though others
+	// would answer them. Some engines lose part of their answers for seconds while their
+	// health checks pass. The cases differ by a factor of ten in each figure.
 	some := func(bad int, share float64) faults {
 		return func(n int) float64 {
 			if n < bad {
@@ -105,20 +105,21 @@
 				sum += run.faults(n)
 			}
 			blind := sum / float64(run.upstreams) * float64(result.once)
-			assert.Assert(t, float64(result.lost) <= 0.35*blind, "%d of %d lost, of %.0f without looking", result.lost, result.once, blind)
+			assert.Assert(t, float64(result.lost) <= 0.35*blind, "%d of %d lost, %.0f without outlier detection", result.lost, result.once, blind)
 			assert.Equal(t, result.overBound, 0)
 			toBad := 0
 			for n := range bad {
 				toBad += result.byUpstream[protocol.UpstreamID(fmt.Sprintf("u%02d", n))]
 			}
-			assert.Assert(t, toBad > 0, "those that lose answers still get what may be repeated")
+			assert.Assert(t, toBad > 0, "lossy upstreams still get requests that may be retried")
 		})
 	}
 }
 
-func TestWhatAllUpstreamsFailAlikeMovesNothing(t *testing.T) {
-	// A service answers one request in seven with an error, whichever upstream it is
-	// sent to. Passing over those that had bad luck would only pile work on the others.
+func TestUniformFailuresDoNotShiftLoad(t *testing.T) {
+	// Guards: load moves because of random failures. A service answers one request in
+	// seven with an error on every upstream; excluding the unlucky ones would only
+	// overload the others.
 	desk := func(share float64) map[protocol.UpstreamID]int {
 		run := lossyRun{upstreams: 4, perSecond: 50, last: 30 * time.Millisecond, faults: func(int) float64 { return share }}
 		return run.play(t).byUpstream
@@ -129,8 +130,10 @@
 	}
 }
 
-func TestWhereAllLoseAnswersTheRequestsStillGoSomewhere(t *testing.T) {
-	b := newBook(3)
+func TestRequestsAreSentWhenAllUpstreamsFail(t *testing.T) {
+	// Guards: requests that can't be retried get no upstream when all upstreams lose
+	// answers.
+	b := newBalancer(3)
 	for i := range 3 {
 		id := protocol.UpstreamID(fmt.Sprintf("u%02d", i))
 		for range 20 {
@@ -138,23 +141,25 @@
 			b.Ended(now, id, Failed)
 		}
 	}
-	assert.Assert(t, b.Pick(now, seeded(), Request{Service: "s", Once: true}).ID != "")
+	assert.Assert(t, b.Pick(now, seeded(), Request{Service: "s", NoRetry: true}).ID != "")
 }
 
-func TestAnUpstreamThatLosesAnswersIsSuspected(t *testing.T) {
-	b := newBook(3)
+func TestLossyUpstreamIsAnOutlier(t *testing.T) {
+	// Guards: a lossy upstream isn't detected, or stays an outlier after it has
+	// recovered.
+	b := newBalancer(3)
 	for range 20 {
 		for _, id := range []protocol.UpstreamID{"u00", "u01", "u02"} {
 			b.Started(id)
 			b.Ended(now, id, Served)
 		}
 	}
-	assert.Assert(t, !b.Suspected(now, "u00"))
+	assert.Assert(t, !b.IsOutlier(now, "u00"))
 	for range 3 {
 		b.Started("u00")
 		b.Ended(now, "u00", Failed)
 	}
-	assert.Assert(t, b.Suspected(now, "u00"))
-	assert.Assert(t, !b.Suspected(now, "u01"))
-	assert.Assert(t, !b.Suspected(now+3*healthMemory, "u00"), "it is trusted again")
+	assert.Assert(t, b.IsOutlier(now, "u00"))
+	assert.Assert(t, !b.IsOutlier(now, "u01"))
+	assert.Assert(t, !b.IsOutlier(now+3*healthTimeConstant, "u00"), "it is trusted again")
 }
--- a/coordination/control/keepers.go
+++ b/coordination/control/keepers.go
@@ -36,14 +36,14 @@
 
 // sharedKeepers are those that the other disk VMs have to be told.
 type sharedKeepers struct {
-	kept []balance.Kept
+	kept []balance.CachedPrefix
 	at   time.Duration
 }
 
 // NoteKeepers takes what a router or another disk VM tells.
-func (p *Publisher) NoteKeepers(now time.Duration, from protocol.RouterID, list balance.KeeperList) {
-	kept := list.Kept()
-	p.keepers.Note(now, kept)
+func (p *Publisher) NoteKeepers(now time.Duration, from protocol.RouterID, list balance.CacheHolderList) {
+	kept := list.Unpack()
+	p.keepers.Add(now, kept)
 	if !slices.Contains(p.diskVMs, from) {
 		p.shared.kept = append(p.shared.kept, kept...)
 		p.shared.kept = p.shared.kept[max(0, len(p.shared.kept)-mostShared):]
@@ -55,7 +55,7 @@
 	if len(p.shared.kept) == 0 || now-p.shared.at < shareKeepersInterval {
 		return nil
 	}
-	list := balance.NewKeeperList(p.shared.kept)
+	list := balance.NewCacheHolderList(p.shared.kept)
 	p.shared = sharedKeepers{at: now}
 	var sends []Send
 	for _, id := range p.diskVMs {
@@ -68,9 +68,9 @@
 
 // keeperList returns what engines keep, packed at most packedLife ago: thousands of
 // prompts are sorted for it, and hundreds of routers start at once.
-func (p *Publisher) keeperList(now time.Duration) balance.KeeperList {
+func (p *Publisher) keeperList(now time.Duration) balance.CacheHolderList {
 	if !p.everPacked || now-p.packedKeepersAt >= packedLife {
-		p.packedKeepers = balance.NewKeeperList(p.keepers.Newest(now))
+		p.packedKeepers = balance.NewCacheHolderList(p.keepers.Newest(now))
 		p.packedKeepersAt = now
 		p.everPacked = true
 	}
@@ -81,7 +81,7 @@
 // beginnings.
 type toldKeepers struct {
 	// list is what it was told, for other routers that start, and at when, if ever.
-	list balance.KeeperList
+	list balance.CacheHolderList
 	at   time.Duration
 	any  bool
 	// askedAt is when it last asked for that, for the tries-th time.
@@ -101,7 +101,7 @@
 
 // TakeKeepers notes that a disk VM or another router has told which engines keep
 // prompts' beginnings. It reports false for what was told before.
-func (f *Follower) TakeKeepers(now time.Duration, list balance.KeeperList) bool {
+func (f *Follower) TakeKeepers(now time.Duration, list balance.CacheHolderList) bool {
 	if f.keepers.any {
 		return false
 	}
@@ -112,6 +112,6 @@
 
 // passableKeepers returns what this router was told, if that is fresh enough to tell
 // another one that starts.
-func (f *Follower) passableKeepers(now time.Duration) (balance.KeeperList, bool) {
+func (f *Follower) passableKeepers(now time.Duration) (balance.CacheHolderList, bool) {
 	return f.keepers.list, f.keepers.any && now-f.keepers.at < passKeepersFor
 }
--- a/coordination/control/publisher.go
+++ b/coordination/control/publisher.go
@@ -99,10 +99,10 @@
 	// pushes bounds what changes of upstreams take of it.
 	pushes bucket
 	// keepers are the engines that keep prompts' beginnings, for routers that start.
-	keepers *balance.KeeperRecord
+	keepers *balance.CacheHolderRecord
 	shared  sharedKeepers
 	// packedKeepers are those of packedKeepersAt, for all who ask at about that time.
-	packedKeepers   balance.KeeperList
+	packedKeepers   balance.CacheHolderList
 	packedKeepersAt time.Duration
 	everPacked      bool
 }
@@ -115,7 +115,7 @@
 		link:         newBucket(usedShare*rate, linkBurst.Seconds()*rate),
 		bulk:         newBucket(bulkShare*rate, bulkBurst),
 		pushes:       newBucket(pushShare*rate, pushShare*rate),
-		keepers:      balance.NewKeeperRecord(),
+		keepers:      balance.NewCacheHolderRecord(),
 		roster:       r,
 		followers:    map[protocol.RouterID]*follower{},
 		takers:       map[protocol.DataCentre]*takers{},
@@ -124,7 +124,7 @@
 }
 
 // Keepers returns the record of the engines that keep prompts' beginnings.
-func (p *Publisher) Keepers() *balance.KeeperRecord { return p.keepers }
+func (p *Publisher) Keepers() *balance.CacheHolderRecord { return p.keepers }
 
 // SetDiskVMs tells which disk VMs there are. Followers are told anew at once: a
 // router that has just started may know one that has nothing to give.
--- a/coordination/control/recalled_test.go
+++ b/coordination/control/recalled_test.go
@@ -107,7 +107,7 @@
 	w := newWorld(4)
 	w.put(1)
 	for i, id := range inOrder(w.vms)[:3] {
-		list := balance.NewKeeperList([]balance.Kept{{Prompt: uint64(i), ID: 7}})
+		list := balance.NewCacheHolderList([]balance.CachedPrefix{{Prefix: uint64(i), ID: 7}})
 		w.vms[id].publisher.NoteKeepers(w.now, "r0", list)
 	}
 	w.run(2 * time.Second)
@@ -135,7 +135,7 @@
 		w.recall(id, 8)
 		for i := range 600 {
 			for _, v := range w.vms {
-				v.publisher.Keepers().Note(w.now, []balance.Kept{{Prompt: uint64(600*at + i), ID: 7}})
+				v.publisher.Keepers().Add(w.now, []balance.CachedPrefix{{Prefix: uint64(600*at + i), ID: 7}})
 			}
 		}
 		for i := range 100 {
--- a/coordination/control/relay.go
+++ b/coordination/control/relay.go
@@ -126,7 +126,7 @@
 
 // Neighbours returns with whom this router exchanges its work.
 func (r *Relay) Neighbours() balance.Neighbours {
-	if len(r.others)+1 < balance.GroupsFrom {
+	if len(r.others)+1 < balance.GroupingThreshold {
 		return balance.Neighbours{Mesh: idsOf(r.others)}
 	}
 	if r.waits {
--- a/coordination/control/returning_test.go
+++ b/coordination/control/returning_test.go
@@ -109,9 +109,9 @@
 	}
 	table := document.New(131, tableBody(random, s.routes))
 	entries := s.entries(random)
-	var kept []balance.Kept
+	var kept []balance.CachedPrefix
 	for range s.prompts {
-		kept = append(kept, balance.Kept{Prompt: random.Uint64(), ID: balance.Short(random.Uint32())})
+		kept = append(kept, balance.CachedPrefix{Prefix: random.Uint64(), ID: balance.ShortID(random.Uint32())})
 	}
 	for i, id := range vms {
 		r := roster.New(roster.DefaultSettings())
@@ -121,7 +121,7 @@
 		v := &vm{roster: r, publisher: NewPublisher(r, int(s.diskVMRate))}
 		v.publisher.Recall(table)
 		v.publisher.SetDiskVMs(vms)
-		v.publisher.Keepers().Note(0, kept)
+		v.publisher.Keepers().Add(0, kept)
 		w.nodes[id] = &node{id: id, startAt: starts[i], rate: s.diskVMRate, vm: v}
 	}
 	for i := range s.routers {
@@ -235,9 +235,9 @@
 		w.send(n, more)
 	case Watch:
 		f.Asked(w.now, a.from, body)
-	case balance.KeeperList:
+	case balance.CacheHolderList:
 		f.TakeKeepers(w.now, body)
-		n.kept += len(body.Kept())
+		n.kept += len(body.Unpack())
 	}
 	w.send(n, f.relay.Due(w.now))
 }
--- a/coordination/control/world_test.go
+++ b/coordination/control/world_test.go
@@ -22,7 +22,7 @@
 	lists     int
 	listBytes int
 	// keeps are the prompts' keepers that each router was told.
-	keeps map[protocol.RouterID][]balance.Kept
+	keeps map[protocol.RouterID][]balance.CachedPrefix
 }
 
 type vm struct {
@@ -36,7 +36,7 @@
 }
 
 func newWorld(vms int) *world {
-	w := &world{vms: map[protocol.RouterID]*vm{}, routers: map[protocol.RouterID]*follow{}, deaf: map[protocol.RouterID]bool{}, keeps: map[protocol.RouterID][]balance.Kept{}}
+	w := &world{vms: map[protocol.RouterID]*vm{}, routers: map[protocol.RouterID]*follow{}, deaf: map[protocol.RouterID]bool{}, keeps: map[protocol.RouterID][]balance.CachedPrefix{}}
 	for i := range vms {
 		w.startVM(protocol.RouterID(fmt.Sprintf("vm%d", i+1)))
 	}
@@ -100,11 +100,11 @@
 			w.lists++
 			w.listBytes += len(body.Packed)
 			w.routers[send.To].TakeList(w.now, from, body)
-		case balance.KeeperList:
+		case balance.CacheHolderList:
 			if v := w.vms[send.To]; v != nil {
 				v.publisher.NoteKeepers(w.now, from, body)
 			} else if w.routers[send.To].TakeKeepers(w.now, body) {
-				w.keeps[send.To] = append(w.keeps[send.To], body.Kept()...)
+				w.keeps[send.To] = append(w.keeps[send.To], body.Unpack()...)
 			}
 		case Document:
 			w.documents++
--- a/daemon/diskvm/diskvm_test.go
+++ b/daemon/diskvm/diskvm_test.go
@@ -314,8 +314,8 @@
 	for i := 1; i <= 3; i++ {
 		f.eventually("all know the upstream", func() bool { return known(i) })
 	}
-	kept := []balance.Kept{{Prompt: 1, ID: 5}}
-	f.vms[3].Receive("r1", balance.NewKeeperList(kept))
+	kept := []balance.CachedPrefix{{Prefix: 1, ID: 5}}
+	f.vms[3].Receive("r1", balance.NewCacheHolderList(kept))
 	for i := 1; i <= 3; i++ {
 		f.eventually("the list is on disk", func() bool {
 			_, err := os.Stat(f.folders[i] + "/" + rosterFolder + "/cache")
--- a/daemon/diskvm/remembered.go
+++ b/daemon/diskvm/remembered.go
@@ -163,12 +163,12 @@
 }
 
 func (vm *VM) recallKeepers(content []byte) {
-	var entries []balance.RememberedKeeper
+	var entries []balance.AgedPrefix
 	if err := codec.Unmarshal(content, &entries); err != nil {
 		vm.logNotRecalled(vm.remembered.keepers, err)
 		return
 	}
-	vm.publisher.Keepers().Recall(vm.now(), entries)
+	vm.publisher.Keepers().Restore(vm.now(), entries)
 	vm.log.Info().Str("event", "keepers-recalled").Int("prompts", len(entries)).Send()
 }
 
--- a/daemon/diskvm/vm.go
+++ b/daemon/diskvm/vm.go
@@ -235,7 +235,7 @@
 			vm.logUpstream(id)
 		}
 		vm.fabric.Send(ack.To, ack.Body)
-	case balance.KeeperList:
+	case balance.CacheHolderList:
 		vm.publisher.NoteKeepers(now, from, m)
 	case control.ChangesAck:
 		vm.publisher.Acknowledged(from, m)
--- a/daemon/fabric/fabric.go
+++ b/daemon/fabric/fabric.go
@@ -93,11 +93,11 @@
 	}
 }
 
-// encode returns the bytes of a message. Loads go to every router several times
+// encode returns the bytes of a message. Load reports go to every router several times
 // a second, so they do without the names of their fields.
 func encode(body any) []byte {
-	if loads, often := body.(balance.Loads); often {
-		return codec.MarshalArrays(loads)
+	if report, often := body.(balance.LoadReport); often {
+		return codec.MarshalArrays(report)
 	}
 	return wire.Encode(body)
 }
@@ -153,9 +153,9 @@
 		return wire.KindRead
 	case control.ReadReply:
 		return wire.KindReadReply
-	case balance.Loads:
+	case balance.LoadReport:
 		return wire.KindLoads
-	case balance.KeeperList:
+	case balance.CacheHolderList:
 		return wire.KindKeepers
 	case crashes.Crash:
 		return wire.KindBlame
@@ -195,9 +195,9 @@
 	case wire.KindReadReply:
 		return decodeAs[control.ReadReply](frame)
 	case wire.KindLoads:
-		return decodeAs[balance.Loads](frame)
+		return decodeAs[balance.LoadReport](frame)
 	case wire.KindKeepers:
-		return decodeAs[balance.KeeperList](frame)
+		return decodeAs[balance.CacheHolderList](frame)
 	case wire.KindBlame:
 		return decodeAs[crashes.Crash](frame)
 	}
--- a/daemon/fabric/fabric_test.go
+++ b/daemon/fabric/fabric_test.go
@@ -35,8 +35,8 @@
 	control.PutReply{Call: 1},
 	control.Read{Call: 2},
 	control.ReadReply{Call: 2},
-	balance.Loads{Whole: true, Works: []balance.Work{{ID: 4, InFlight: 3, Served: 2, Failed: 1}}},
-	balance.NewKeeperList([]balance.Kept{{Prompt: 1 << 63, ID: 4}}),
+	balance.LoadReport{Full: true, Upstreams: []balance.UpstreamLoad{{ID: 4, InFlight: 3, Served: 2, Failed: 1}}},
+	balance.NewCacheHolderList([]balance.CachedPrefix{{Prefix: 1 << 63, ID: 4}}),
 	crashes.Crash{Digest: 1 << 63, Upstream: "u1", Attempt: 6},
 }
 
--- a/daemon/router/fleet.go
+++ b/daemon/router/fleet.go
@@ -34,7 +34,7 @@
 
 // knowsEnough reports whether callers can be served well. The lock is held.
 func (r *Router) knowsEnough() bool {
-	return r.table.Load() != nil && r.book.AnyReady() && r.follower.KnowsMost(r.now())
+	return r.table.Load() != nil && r.balancer.AnyReady() && r.follower.KnowsMost(r.now())
 }
 
 // Choose implements forward.Fleet.
@@ -42,16 +42,16 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
-	request := balance.Request{Service: job.Service, Tried: job.Tried, Once: job.Once(), Again: job.Erred != ""}
+	request := balance.Request{Service: job.Service, Tried: job.Tried, NoRetry: job.Once(), AllowTried: job.Erred != ""}
 	request.Prompt, request.HasPrompt = job.PromptKey()
-	request.Beginnings = job.Beginnings()
+	request.SharedPrefixes = job.Beginnings()
 	known, first := r.room(job.Service), len(job.Tried) == 0
 	if first {
-		request.Limit = known.Asked(now, job.Customer)
+		request.LoadLimit = known.Asked(now, job.Customer)
 	}
-	choice := r.book.Pick(now, r.random, request)
+	choice := r.balancer.Pick(now, r.random, request)
 	if choice.ID != "" {
-		r.book.Started(choice.ID)
+		r.balancer.Started(choice.ID)
 	}
 	if first && choice.ID != "" {
 		known.Served(now)
@@ -64,22 +64,22 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if prompt, any := job.PromptKey(); any {
-		r.book.NotKept(upstream, prompt)
+		r.balancer.ForgetUnconfirmed(upstream, prompt)
 	}
-	r.book.Ended(r.now(), upstream, result)
+	r.balancer.Ended(r.now(), upstream, result)
 }
 
 // Judged implements forward.Fleet.
 func (r *Router) Judged(upstream protocol.UpstreamID, result balance.Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.book.Judged(r.now(), upstream, result)
+	r.balancer.RecordResult(r.now(), upstream, result)
 }
 
 // kindOf returns the kind of an attempt's answer.
 func kindOf(job forward.Job, choice balance.Choice) answertime.Kind {
 	_, prompt := job.PromptKey()
-	return answertime.Kind{Route: job.Route.Name, Cold: prompt && choice.Reason != balance.ReasonKeeper && choice.CopyFrom == ""}
+	return answertime.Kind{Route: job.Route.Name, Cold: prompt && choice.Reason != balance.ReasonCacheHolder && choice.CopyFrom == ""}
 }
 
 // Overdue implements forward.Fleet. An upstream that hasn't lost requests lately is
@@ -88,7 +88,7 @@
 func (r *Router) Overdue(job forward.Job, choice balance.Choice, most time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.book.Suspected(r.now(), choice.ID) {
+	if !r.balancer.IsOutlier(r.now(), choice.ID) {
 		return most
 	}
 	return r.times.Overdue(kindOf(job, choice), most)
@@ -99,7 +99,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.times.Note(kindOf(job, choice), after)
-	r.book.Overdue(r.now(), choice.ID)
+	r.balancer.Overdue(r.now(), choice.ID)
 }
 
 // Began implements forward.Fleet.
@@ -108,7 +108,7 @@
 	defer r.mu.Unlock()
 	r.times.Note(kindOf(job, choice), took)
 	if prompt, any := job.PromptKey(); any {
-		r.book.Keeps(r.now(), choice.ID, prompt, job.Beginnings())
+		r.balancer.ConfirmCached(r.now(), choice.ID, prompt, job.Beginnings())
 	}
 }
 
--- a/daemon/router/metrics.go
+++ b/daemon/router/metrics.go
@@ -98,7 +98,7 @@
 	r.metrics.set("table_version", int64(r.tableVersion()))
 	r.metrics.set("upstreams_usable", int64(r.roster.Usable()))
 	r.metrics.set("disk_vms_in_touch", int64(r.follower.InTouch(r.now())))
-	r.metrics.set("routers_in_touch", int64(r.book.Routers()))
+	r.metrics.set("routers_in_touch", int64(r.balancer.Routers()))
 	r.metrics.set("requests_in_flight", int64(r.handler.Active()))
 	r.metrics.set("upstream_connections_made_total", int64(dialed))
 	r.metrics.set("upstream_connections_reused_total", int64(reused))
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -78,7 +78,7 @@
 	roster   *roster.Roster
 	follower *control.Follower
 	relay    *control.Relay
-	book     *balance.Book
+	balancer *balance.Balancer
 	crashes  *crashes.Record
 	times    *answertime.Times
 	windows  map[protocol.Service]*retry.Window
@@ -121,7 +121,7 @@
 	r.relay = control.NewRelay(control.Router{ID: self, DataCentre: options.Settings.DataCentre}, options.Settings.LinkRate())
 	r.follower.SetRelay(r.relay)
 	r.follower.SetAnnouncements(options.Settings.Listen.Announcements)
-	r.book = balance.NewBook(balance.Settings{
+	r.balancer = balance.NewBalancer(balance.Settings{
 		Multiple: options.Settings.Load.Multiple, Slack: options.Settings.Load.Slack,
 		DataCentre: options.Settings.DataCentre,
 	})
@@ -175,7 +175,7 @@
 	r.noteRouters(now)
 	r.fabric.SendAll(r.relay.Due(now))
 	r.tellLoads(now)
-	for _, id := range r.book.Expire(now) {
+	for _, id := range r.balancer.Expire(now) {
 		r.log.Info().Str("event", "router-silent").Str("router", string(id)).Msg("its work no longer counts")
 	}
 	r.takeRoster()
@@ -214,7 +214,7 @@
 	self := r.settings.Self()
 	r.routers = slices.DeleteFunc(r.follower.Routers(now), func(other control.Router) bool { return other.ID == self })
 	r.relay.SetRouters(r.routers)
-	r.book.SetNeighbours(r.relay.Neighbours())
+	r.balancer.SetNeighbours(r.relay.Neighbours())
 	size := len(r.routers) + 1
 	if size >= r.fleetSize || now-r.sizedAt > 3*r.settings.Retries.Window() {
 		r.fleetSize = size
@@ -224,16 +224,16 @@
 
 // tellLoads sends this router's work to the others, or to those that pass it on.
 func (r *Router) tellLoads(now time.Duration) {
-	if now-r.told < r.book.TellInterval() {
+	if now-r.told < r.balancer.ReportInterval() {
 		return
 	}
 	r.told = now
-	whole := now-r.toldWhole >= balance.WholeInterval
+	whole := now-r.toldWhole >= balance.FullReportInterval
 	if whole {
 		r.toldWhole = now
 	}
-	for _, tell := range r.book.Tell(whole) {
-		r.fabric.Send(tell.To, tell.Loads)
+	for _, out := range r.balancer.PendingReports(whole) {
+		r.fabric.Send(out.To, out.Report)
 	}
 	if whole {
 		r.tellKeepers(now)
@@ -246,8 +246,8 @@
 	if to == "" {
 		return
 	}
-	if kept := r.book.Unrecorded(); len(kept) > 0 {
-		r.fabric.Send(to, balance.NewKeeperList(kept))
+	if kept := r.balancer.TakeUnrecorded(); len(kept) > 0 {
+		r.fabric.Send(to, balance.NewCacheHolderList(kept))
 	}
 }
 
@@ -255,13 +255,13 @@
 // starts learns all of them at once.
 const linesPerRoster = 8
 
-// takeRoster hands a changed list of upstreams to the book.
+// takeRoster hands a changed list of upstreams to the balancer.
 func (r *Router) takeRoster() {
 	if r.roster.Revision() == r.revision {
 		return
 	}
 	r.revision = r.roster.Revision()
-	changed := r.book.SetRoster(r.roster.Entries())
+	changed := r.balancer.SetRoster(r.roster.Entries())
 	for _, e := range changed {
 		if e.State != roster.Ready {
 			r.pool.Forget(e.Address)
@@ -300,13 +300,13 @@
 		r.fabric.SendAll(r.relay.Due(now))
 	case control.AnnouncedAck:
 		r.announcements.acknowledged(m.Number)
-	case balance.Loads:
-		r.book.TakeLoads(now, from, m)
-	case balance.KeeperList:
+	case balance.LoadReport:
+		r.balancer.ApplyLoadReport(now, from, m)
+	case balance.CacheHolderList:
 		if r.follower.TakeKeepers(now, m) {
-			kept := m.Kept()
+			kept := m.Unpack()
 			r.log.Info().Str("event", "keepers-told").Str("from", string(from)).Int("prompts", len(kept)).Send()
-			r.book.RecallKeepers(now, kept)
+			r.balancer.RestoreCacheHolders(now, kept)
 		}
 		r.fabric.SendAll(r.relay.Due(now))
 	case crashes.Crash:
@@ -371,13 +371,13 @@
 // logJudgements writes a line for each upstream that is avoided for its outcomes
 // from now on, or no longer.
 func (r *Router) logJudgements(now time.Duration) {
-	for _, j := range r.book.Judgements(now) {
+	for _, j := range r.balancer.HealthChanges(now) {
 		line, event := r.log.Info(), "upstream-trusted"
-		if j.Avoided {
+		if j.Ejected {
 			line, event = r.log.Warn(), "upstream-avoided"
 		}
 		line.Str("event", event).Str("upstream", string(j.ID)).Float64("failed", j.Failed).Float64("served", j.Served).
-			Int64("alone_ms", j.Alone.Milliseconds()).Send()
+			Int64("alone_ms", j.Backoff.Milliseconds()).Send()
 	}
 }
 
--- a/daemon/router/router_test.go
+++ b/daemon/router/router_test.go
@@ -336,7 +336,7 @@
 			break
 		}
 	}
-	assert.Equal(t, made.Reason, balance.ReasonNoRoom)
+	assert.Equal(t, made.Reason, balance.ReasonNoCapacity)
 	assert.Assert(t, made.Limit > 10 && made.Limit <= 40, "%d", made.Limit)
 	job.Tried = []protocol.UpstreamID{"u0"}
 	assert.Equal(t, r.router.Choose(t.Context(), job).ID, protocol.UpstreamID("u1"))
--- a/transport/forward/outcome.go
+++ b/transport/forward/outcome.go
@@ -71,8 +71,8 @@
 	if a.Late {
 		e.Bool("late", true)
 	}
-	if a.Choice.PassedOver > 0 {
-		e.Int("passed_over", a.Choice.PassedOver)
+	if a.Choice.Excluded > 0 {
+		e.Int("passed_over", a.Choice.Excluded)
 	}
 	if a.Choice.CopyFrom != "" {
 		e.Str("copy_from", a.Choice.CopyFrom)
--- a/transport/forward/refuse.go
+++ b/transport/forward/refuse.go
@@ -74,12 +74,12 @@
 // that they can't be answered in time. After half of the objective a request that
 // finds room then is still in time.
 func (f *flight) refuseUnchosen(choice balance.Choice) {
-	if choice.Reason == balance.ReasonNoRoom {
+	if choice.Reason == balance.ReasonNoCapacity {
 		f.outcome.Limit, f.outcome.Mean = choice.Limit, choice.Mean
-		f.giveUp(string(balance.ReasonNoRoom), f.job.Route.Objective/2)
+		f.giveUp(string(balance.ReasonNoCapacity), f.job.Route.Objective/2)
 		return
 	}
-	f.giveUp(string(balance.ReasonNone), retryWithoutUpstream)
+	f.giveUp(string(balance.ReasonNoUpstream), retryWithoutUpstream)
 }
 
 // timeUp answers a request whose time has run out.
--- a/transport/forward/rig_test.go
+++ b/transport/forward/rig_test.go
@@ -155,7 +155,7 @@
 		},
 	}
 	assert.Assert(t, routing.Check(table) == nil)
-	r := &rig{fakeFleet: &fakeFleet{index: routing.NewIndex(table), retries: 10, unchosen: balance.ReasonNone}, t: t, pool: exchange.NewPool()}
+	r := &rig{fakeFleet: &fakeFleet{index: routing.NewIndex(table), retries: 10, unchosen: balance.ReasonNoUpstream}, t: t, pool: exchange.NewPool()}
 	for _, script := range upstreams {
 		r.addresses = append(r.addresses, startScript(t, script))
 	}
--- a/transport/forward/timing_test.go
+++ b/transport/forward/timing_test.go
@@ -14,7 +14,7 @@
 	// Engines have twice the work that they can do. A caller that is told so at once,
 	// and comes back within its objective, may still be answered in time.
 	r := newRig(t)
-	r.unchosen = balance.ReasonNoRoom
+	r.unchosen = balance.ReasonNoCapacity
 	began := time.Now()
 	got := r.call("/idem/x")
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
