--- /dev/null
+++ b/coordination/room/limiter.go
@@ -0,0 +1,33 @@
+package room
+
+import (
+	"time"
+
+	"endiveplank/protocol"
+)
+
+// Limiter limits the load of one service's upstreams. It is not safe for concurrent use.
+type Limiter struct {
+	curve  LatencyCurve
+	shares *FairShares
+}
+
+// NewLimiter returns a Limiter that knows no limit.
+func NewLimiter() *Limiter { return &Limiter{shares: NewFairShares()} }
+
+// Arrived records a customer's request, and returns the load from which on upstreams
+// don't get it.
+func (l *Limiter) Arrived(now time.Duration, customer protocol.CustomerID) int {
+	l.shares.Arrived(now, customer)
+	return l.shares.Limit(now, customer, l.curve.Limit(now))
+}
+
+// Admitted records that a request got an upstream.
+func (l *Limiter) Admitted(now time.Duration) { l.shares.Admitted(now) }
+
+// Record counts an answer of an upstream that had a given load; timely says whether
+// it began in time.
+func (l *Limiter) Record(now time.Duration, load int, timely bool) { l.curve.Record(now, load, timely) }
+
+// Limit returns the load from which on answers begin late, Unlimited if there is none.
+func (l *Limiter) Limit(now time.Duration) int { return l.curve.Limit(now) }
--- a/coordination/room/room_test.go
+++ b/coordination/room/room_test.go
@@ -10,79 +10,79 @@
 	"gotest.tools/v3/assert"
 )
 
-// upstreams is a service as it is served: places for requests that run, a queue for
-// the others, first in first out.
+// upstreams describes a simulated service: slots for running requests, and a FIFO queue
+// for the others.
 type upstreams struct {
 	name   string
 	places int
-	// takes is how long a request runs on average, and spread the standard deviation
-	// as a part of it.
+	// takes is the mean duration of a request, and spread its standard deviation as a
+	// share of the mean.
 	takes  time.Duration
 	spread float64
-	// objective is within what the answer has to begin; begins is after what it does
-	// where it hasn't waited.
+	// objective is the time within which the answer must begin; begins is when it begins
+	// if the request hasn't waited.
 	objective, begins time.Duration
-	// lag is how old the load is that a router knows.
+	// lag is the age of the load that a router knows.
 	lag time.Duration
 }
 
-// services differ by a factor of ten and more from each other.
+// services differ from each other by a factor of ten or more.
 var services = []upstreams{
 	{"a desk of six places", 6, 30 * time.Millisecond, 0.5, 150 * time.Millisecond, 20 * time.Millisecond, 4 * time.Millisecond},
 	{"an engine of 64 places", 64, 1500 * time.Millisecond, 0.6, time.Second, 40 * time.Millisecond, 100 * time.Millisecond},
 	{"an engine of 400 places and long answers", 400, 6 * time.Second, 0.4, 4 * time.Second, 300 * time.Millisecond, 400 * time.Millisecond},
 }
 
-// capacity is how many requests a second can run.
+// capacity is the number of requests that can run per second.
 func (u upstreams) capacity() float64 { return float64(u.places) / u.takes.Seconds() }
 
-// surge is how long a surge is played.
+// surge is the duration of a surge.
 func (u upstreams) surge() time.Duration { return max(30*u.takes, 30*time.Second) }
 
-// request is one on its way: the load that was known when it arrived, and when its
-// answer begins.
+// request is a request that was sent: the load known when it arrived, and when its answer
+// begins.
 type request struct {
 	load            int
 	arrived, begins time.Duration
 }
 
-// world is an upstream with its requests.
-type world struct {
+// simulation is the state of a simulated upstream.
+type simulation struct {
 	upstreams
-	curve  *Curve
+	curve  *LatencyCurve
 	random *rand.Rand
 	now    time.Duration
-	// free is when each place is free, waiting the requests whose answers haven't
-	// begun, ends when each request under way ends, in order.
+	// free is when each slot is free, waiting the requests whose answers haven't begun,
+	// and ends the sorted ends of the requests in flight.
 	free    []time.Duration
 	waiting []request
 	ends    []time.Duration
-	// slower is by how much answers begin later, whatever the load.
+	// slower is added to the time at which answers begin, at any load.
 	slower time.Duration
-	// limited says that the curve's limit is kept.
+	// limited says whether the curve's limit is enforced.
 	limited bool
-	// admit returns the limit of the next request, and sets whether it is counted;
-	// nil for the curve's limit.
+	// admit returns the limit of the next request, and sets whether it is counted; nil
+	// means the curve's limit.
 	admit   func(load, limit int) int
 	counted bool
 }
 
-func (u upstreams) open() *world {
-	return &world{upstreams: u, curve: &Curve{}, random: rand.New(rand.NewPCG(3, 4)), free: make([]time.Duration, u.places), limited: true}
+func (u upstreams) simulate() *simulation {
+	return &simulation{upstreams: u, curve: &LatencyCurve{}, random: rand.New(rand.NewPCG(3, 4)), free: make([]time.Duration, u.places), limited: true}
 }
 
-// tally is what became of requests.
+// tally counts requests by outcome.
 type tally struct{ arrived, refused, timely, late int }
 
-// play sends a multiple of what can be done for some time, and counts the requests of
-// its second half.
-func (w *world) play(times float64, length time.Duration) tally {
+// play sends a multiple of the capacity for some time, and counts the requests of the
+// second half.
+func (w *simulation) play(times float64, length time.Duration) tally {
 	var got tally
 	from := w.now
 	step := float64(time.Second) / (times * w.capacity())
 	load, known := 0, from-w.lag
 	for ; w.now < from+length; w.now += time.Duration(w.random.ExpFloat64() * step) {
-		w.pass()
+		w.advance()
 		if w.now-known >= w.lag {
 			load, known = len(w.ends), w.now
 		}
@@ -106,21 +106,21 @@
 	return got
 }
 
-// pass notes what has happened by now.
-func (w *world) pass() {
+// advance processes what has happened up to now.
+func (w *simulation) advance() {
 	for len(w.waiting) > 0 && w.waiting[0].begins <= w.now {
 		r := w.waiting[0]
 		w.waiting = w.waiting[1:]
-		w.curve.Note(w.now, r.load, r.begins-r.arrived <= w.objective/2)
+		w.curve.Record(w.now, r.load, r.begins-r.arrived <= w.objective/2)
 	}
 	for len(w.ends) > 0 && w.ends[0] <= w.now {
 		w.ends = w.ends[1:]
 	}
 }
 
-// send puts a request on the place that is free first, and returns after what time
-// its answer begins.
-func (w *world) send(load int) time.Duration {
+// send assigns a request to the slot that is free first, and returns the time until its
+// answer begins.
+func (w *simulation) send(load int) time.Duration {
 	first := 0
 	for i := range w.free {
 		if w.free[i] < w.free[first] {
@@ -137,46 +137,46 @@
 	return begins - w.now
 }
 
-func TestASurgeIsServedInTimeAsFarAsThereIsRoom(t *testing.T) {
-	// Callers send twice or six times what a service can do. Without a limit its
-	// queue grows until every caller waits too long, those who would have been
-	// served at once too; with one, most of what can be done is done in time and the
-	// others know at once.
+func TestSurgeIsServedInTimeUpToCapacity(t *testing.T) {
+	// Guards: overload makes all answers late. Callers send two or six times what a
+	// service can do. Without a limit its queue grows until every caller waits too long;
+	// with one, most of the capacity produces timely answers and the other requests are
+	// refused at once.
 	for _, u := range services {
 		for _, times := range []float64{2, 6} {
 			t.Run(fmt.Sprintf("%s, %.0f times", u.name, times), func(t *testing.T) {
-				blind := u.open()
-				blind.limited = false
-				without := blind.play(times, u.surge())
+				unlimited := u.simulate()
+				unlimited.limited = false
+				without := unlimited.play(times, u.surge())
 				assert.Assert(t, without.timely < without.arrived/20, "%+v", without)
-				w := u.open()
+				w := u.simulate()
 				w.play(0.5, u.surge()/3)
 				with := w.play(times, u.surge())
-				can := u.capacity() * (u.surge() / 2).Seconds()
-				assert.Assert(t, float64(with.timely) > 0.9*can, "%+v of %.0f that could be", with, can)
+				capacity := u.capacity() * (u.surge() / 2).Seconds()
+				assert.Assert(t, float64(with.timely) > 0.9*capacity, "%+v with a capacity of %.0f", with, capacity)
 				assert.Assert(t, with.late < with.timely/50, "%+v", with)
 			})
 		}
 	}
 }
 
-func TestNobodyIsRefusedWhileThereIsRoom(t *testing.T) {
-	// Seven in ten of the places are taken on average. A router that took a few late
-	// answers for a lack of room would refuse callers for nothing.
+func TestNothingIsRefusedBelowCapacity(t *testing.T) {
+	// Guards: requests are refused although there is capacity. Seven in ten slots are in
+	// use on average, and a few answers are late.
 	for _, u := range services {
 		t.Run(u.name, func(t *testing.T) {
-			got := u.open().play(0.7, u.surge())
+			got := u.simulate().play(0.7, u.surge())
 			assert.Assert(t, got.refused <= got.arrived/200, "%+v", got)
 		})
 	}
 }
 
-func TestUpstreamsThatAreSlowByThemselvesAreNotLimited(t *testing.T) {
-	// All upstreams answer too late whatever they have to do. A late answer is better
-	// than none, and refusing some makes the others no quicker.
+func TestUpstreamsSlowAtAnyLoadAreNotLimited(t *testing.T) {
+	// Guards: requests are refused because of upstreams that are slow at any load. A late
+	// answer is better than none, and refusing some makes the others no quicker.
 	for _, u := range services {
 		t.Run(u.name, func(t *testing.T) {
-			w := u.open()
+			w := u.simulate()
 			w.slower = 2 * u.objective
 			got := w.play(0.6, u.surge())
 			assert.Equal(t, got.refused, 0, "%+v", got)
@@ -184,12 +184,13 @@
 	}
 }
 
-func TestALimitGoesWhenThereIsMoreRoom(t *testing.T) {
-	// After a surge the operators put four times the room in its place: within a
-	// minute, or some requests' time, nobody is refused any more.
+func TestLimitIsLiftedWhenCapacityGrows(t *testing.T) {
+	// Guards: a limit stays although the capacity has grown. After a surge the capacity
+	// is quadrupled; within a minute, or the duration of some requests, nothing is
+	// refused any more.
 	for _, u := range services {
 		t.Run(u.name, func(t *testing.T) {
-			w := u.open()
+			w := u.simulate()
 			surge := w.play(3, u.surge())
 			assert.Assert(t, surge.refused > 0, "%+v", surge)
 			w.places *= 4
@@ -200,14 +201,15 @@
 	}
 }
 
-func TestFewLateAnswersMakeNoLimit(t *testing.T) {
-	// A prompt that is read anew takes longer than the others, at any load.
-	c := &Curve{}
+func TestFewLateAnswersSetNoLimit(t *testing.T) {
+	// Guards: a few late answers set a limit. A prompt that isn't cached takes longer
+	// than the others at any load.
+	c := &LatencyCurve{}
 	for load := range 100 {
-		c.Note(0, load, load%20 != 19)
+		c.Record(0, load, load%20 != 19)
 	}
 	assert.Equal(t, c.Limit(0), Unlimited)
-	assert.Equal(t, (&Curve{}).Limit(0), Unlimited, "nothing is known")
-	c.Note(0, 1<<40, false)
-	assert.Equal(t, c.Limit(0), Unlimited, "a load beyond all classes")
+	assert.Equal(t, (&LatencyCurve{}).Limit(0), Unlimited, "nothing is recorded")
+	c.Record(0, 1<<40, false)
+	assert.Equal(t, c.Limit(0), Unlimited, "a load above the last class")
 }
--- a/coordination/room/shares.go
+++ b/coordination/room/shares.go
@@ -10,74 +10,75 @@
 )
 
 const (
-	// demandMemory is the time constant with which what customers ask for is
-	// forgotten: a surge shows within a second, and passes within a few.
-	demandMemory = 2 * time.Second
-	// levelLife is how long a computed level is used: some requests' time.
-	levelLife = 50 * time.Millisecond
-	// leastDemand is the demand, in requests weighed by age, below which a customer
-	// is forgotten.
-	leastDemand = 0.01
-	// reservePart and reserveRoots are how far above a limit customers within their
-	// share may go: a part of it, for what the others send until routers hear of each
-	// other, and no less than some roots of it, by which a load differs from its mean
-	// by chance.
-	reservePart  = 0.25
-	reserveRoots = 1.5
+	// demandTimeConstant is the time constant with which customers' demand decays: a
+	// surge shows within a second, and passes within a few.
+	demandTimeConstant = 2 * time.Second
+	// levelTTL is how long a computed level is used: the duration of a few requests.
+	levelTTL = 50 * time.Millisecond
+	// minDemand is the demand, in requests weighted by age, below which a customer is
+	// dropped.
+	minDemand = 0.01
+	// headroomShare and headroomRoots are how far customers within their share may exceed
+	// a limit. The share of the limit covers what other routers send until the next load
+	// reports; the multiple of the limit's square root, a minimum, covers the random
+	// variation of a load around its mean.
+	headroomShare = 0.25
+	headroomRoots = 1.5
 )
 
-// Shares tells which customers ask for more than their share of what is served. It
-// is not safe for concurrent use.
+// FairShares finds the customers that send more than their share of the requests that are
+// admitted. It is not safe for concurrent use.
 //
-// Load: one customer sends many times its usual, and more than all upstreams can do.
-// Harm prevented: each request meets the same limit, so who sends most is served most,
-// and most requests of all the others are refused for a surge that isn't theirs.
-// A customer's share is what it asks for, up to a level that is the same for all:
-// nobody gets more by asking for more while somebody gets less than asked for.
-type Shares struct {
-	at     time.Duration
-	demand map[protocol.CustomerID]float64
-	served float64
-	// level is the share, as computed at levelAt.
+// One customer may send many times its usual rate, and more than all upstreams can do.
+// With the same limit for every request, the customer that sends most would be served
+// most, and most requests of all others would be refused for a surge that isn't theirs. A
+// customer's share is its demand, up to a level that is the same for all (max-min
+// fairness): no customer gets more by sending more while another gets less than its
+// demand.
+type FairShares struct {
+	updatedAt time.Duration
+	demand    map[protocol.CustomerID]float64
+	admitted  float64
+	// level is the level of the shares, as computed at levelAt.
 	level   float64
 	levelAt time.Duration
 }
 
-// NewShares returns Shares that know of no customer.
-func NewShares() *Shares {
-	return &Shares{demand: map[protocol.CustomerID]float64{}, level: math.Inf(1)}
+// NewFairShares returns FairShares without customers.
+func NewFairShares() *FairShares {
+	return &FairShares{demand: map[protocol.CustomerID]float64{}, level: math.Inf(1)}
 }
 
-// Asked notes a request of a customer.
-func (s *Shares) Asked(now time.Duration, customer protocol.CustomerID) {
-	s.forget(now)
+// Arrived records a customer's request.
+func (s *FairShares) Arrived(now time.Duration, customer protocol.CustomerID) {
+	s.decay(now)
 	s.demand[customer]++
 }
 
-// Served notes that a request found room.
-func (s *Shares) Served(now time.Duration) {
-	s.forget(now)
-	s.served++
+// Admitted records that a request got an upstream.
+func (s *FairShares) Admitted(now time.Duration) {
+	s.decay(now)
+	s.admitted++
 }
 
-// Limit returns the limit of load that holds for a customer's next request: some more
-// than the service's for customers within their share.
-func (s *Shares) Limit(now time.Duration, customer protocol.CustomerID, limit int) int {
-	s.forget(now)
-	if now-s.levelAt >= levelLife {
-		s.level, s.levelAt = s.share(), now
+// Limit returns the load limit of a customer's next request. It is higher than the
+// service's limit for customers within their share.
+func (s *FairShares) Limit(now time.Duration, customer protocol.CustomerID, limit int) int {
+	s.decay(now)
+	if now-s.levelAt >= levelTTL {
+		s.level, s.levelAt = s.computeLevel(), now
 	}
 	if limit == Unlimited || s.demand[customer] > s.level {
 		return limit
 	}
-	reserve := max(reservePart*float64(limit), reserveRoots*math.Sqrt(float64(limit)))
+	reserve := max(headroomShare*float64(limit), headroomRoots*math.Sqrt(float64(limit)))
 	return limit + int(reserve)
 }
 
-// share returns the level at which all customers together, each with what it asks for
-// up to the level, have what is served.
-func (s *Shares) share() float64 {
-	left := s.served
+// computeLevel returns the level at which the shares of all customers, each its demand up
+// to the level, add up to what is admitted.
+func (s *FairShares) computeLevel() float64 {
+	left := s.admitted
 	demands := slices.Sorted(maps.Values(s.demand))
 	for i, demand := range demands {
 		others := float64(len(demands) - i)
@@ -89,16 +90,16 @@
 	return math.Inf(1)
 }
 
-// forget weighs what is known by its age.
-func (s *Shares) forget(now time.Duration) {
-	if now-s.at < levelLife {
+// decay reduces the weight of demand and admissions by their age.
+func (s *FairShares) decay(now time.Duration) {
+	if now-s.updatedAt < levelTTL {
 		return
 	}
-	keep := math.Exp(-float64(now-s.at) / float64(demandMemory))
-	s.at = now
-	s.served *= keep
+	keep := math.Exp(-float64(now-s.updatedAt) / float64(demandTimeConstant))
+	s.updatedAt = now
+	s.admitted *= keep
 	for customer, demand := range s.demand {
 		s.demand[customer] = demand * keep
 	}
-	maps.DeleteFunc(s.demand, func(_ protocol.CustomerID, demand float64) bool { return demand < leastDemand })
+	maps.DeleteFunc(s.demand, func(_ protocol.CustomerID, demand float64) bool { return demand < minDemand })
 }
--- a/daemon/router/fleet.go
+++ b/daemon/router/fleet.go
@@ -45,16 +45,16 @@
 	request := balance.Request{Service: job.Service, Tried: job.Tried, NoRetry: job.Once(), AllowTried: job.Erred != ""}
 	request.Prompt, request.HasPrompt = job.PromptKey()
 	request.SharedPrefixes = job.Beginnings()
-	known, first := r.room(job.Service), len(job.Tried) == 0
+	known, first := r.limiter(job.Service), len(job.Tried) == 0
 	if first {
-		request.LoadLimit = known.Asked(now, job.Customer)
+		request.LoadLimit = known.Arrived(now, job.Customer)
 	}
 	choice := r.balancer.Pick(now, r.random, request)
 	if choice.ID != "" {
 		r.balancer.Started(choice.ID)
 	}
 	if first && choice.ID != "" {
-		known.Served(now)
+		known.Admitted(now)
 	}
 	return choice
 }
@@ -112,12 +112,12 @@
 	}
 }
 
-// room returns what is known of the room of a service. The lock is held.
-func (r *Router) room(service protocol.Service) *room.Service {
-	c := r.rooms[service]
+// limiter returns the load limiter of a service. The lock is held.
+func (r *Router) limiter(service protocol.Service) *room.Limiter {
+	c := r.limiters[service]
 	if c == nil {
-		c = room.NewService()
-		r.rooms[service] = c
+		c = room.NewLimiter()
+		r.limiters[service] = c
 	}
 	return c
 }
@@ -126,7 +126,7 @@
 func (r *Router) Timed(job forward.Job, choice balance.Choice, inTime bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.room(job.Service).Note(r.now(), choice.Load, inTime)
+	r.limiter(job.Service).Record(r.now(), choice.Load, inTime)
 }
 
 // window returns the retries of a service. The lock is held.
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -82,8 +82,8 @@
 	crashes  *crashes.Record
 	times    *answertime.Times
 	windows  map[protocol.Service]*retry.Window
-	rooms    map[protocol.Service]*room.Service
-	// limited says of which services logRooms has told that they have a limit.
+	limiters map[protocol.Service]*room.Limiter
+	// limited says for which services logLimits has logged a limit.
 	limited map[protocol.Service]bool
 	routers []control.Router
 	// fleetSize is the largest number of routers known lately, this one
@@ -108,13 +108,13 @@
 	r := &Router{
 		options: options, settings: options.Settings, log: options.Log, started: time.Now(),
 		pool: exchange.NewPool(), random: options.Random, metrics: newInstruments(),
-		roster:  roster.New(roster.DefaultSettings()),
-		crashes: crashes.New(crashes.DefaultSettings()),
-		times:   answertime.New(),
-		windows: map[protocol.Service]*retry.Window{},
-		rooms:   map[protocol.Service]*room.Service{},
-		limited: map[protocol.Service]bool{},
-		quit:    make(chan struct{}),
+		roster:   roster.New(roster.DefaultSettings()),
+		crashes:  crashes.New(crashes.DefaultSettings()),
+		times:    answertime.New(),
+		windows:  map[protocol.Service]*retry.Window{},
+		limiters: map[protocol.Service]*room.Limiter{},
+		limited:  map[protocol.Service]bool{},
+		quit:     make(chan struct{}),
 	}
 	self := options.Settings.Self()
 	r.follower = control.NewFollower(self, true, options.Settings.SeedPeers(), r.roster)
@@ -180,7 +180,7 @@
 	}
 	r.takeRoster()
 	r.logJudgements(now)
-	r.logRooms(now)
+	r.logLimits(now)
 	if now-r.swept >= sweepInterval {
 		r.swept = now
 		r.forgetUnlisted(now)
@@ -328,7 +328,7 @@
 	r.times.Keep(func(route string) bool {
 		return slices.ContainsFunc(table.Routes, func(known routing.Route) bool { return known.Name == route })
 	})
-	maps.DeleteFunc(r.rooms, func(service protocol.Service, _ *room.Service) bool {
+	maps.DeleteFunc(r.limiters, func(service protocol.Service, _ *room.Limiter) bool {
 		return !slices.ContainsFunc(table.Services, func(known routing.Service) bool { return known.Name == service })
 	})
 	return nil
@@ -350,10 +350,10 @@
 	}
 }
 
-// logRooms writes a line for each service whose upstreams have come to have a limit
+// logLimits writes a line for each service whose upstreams have come to have a limit
 // of load, or no longer have one.
-func (r *Router) logRooms(now time.Duration) {
-	for service, known := range r.rooms {
+func (r *Router) logLimits(now time.Duration) {
+	for service, known := range r.limiters {
 		limit := known.Limit(now)
 		limited := limit != room.Unlimited
 		if limited == r.limited[service] {
