--- a/coordination/answertime/answertime.go
+++ b/coordination/answertime/answertime.go
@@ -1,18 +1,18 @@
-// Package answertime learns how long upstreams take to begin an answer, and says
-// after how much silence an attempt is overdue.
+// Package answertime learns how long upstreams take to begin an answer, and derives the
+// timeout after which an attempt is overdue. Times holds the latest answers of each Kind
+// of request.
 //
-// Load: engines that answer most prompts within some tens of milliseconds, some
-// within half a second as they have to read the prompt first, and plain services
-// of a few milliseconds; now and then an upstream that hangs, or loses a part of
-// its answers without a word. Harm prevented: with one limit for all of them, long
-// enough for the slowest, callers wait thirty times as long as usual before a
-// request that may be repeated is sent elsewhere, and nobody learns of an upstream
-// that loses answers until then.
+// Engines answer most prompts within some tens of milliseconds, some within half a second
+// as they have to prefill the prompt first, and plain services within a few milliseconds.
+// Now and then an upstream hangs or silently loses part of its answers. With one timeout
+// for all of them, long enough for the slowest, callers would wait thirty times as long
+// as usual before a request that may be retried is sent elsewhere, and until then no
+// router would detect an upstream that loses answers.
 //
-// The limit is a multiple of the median of the latest answers of the same kind. A
-// third of them may be lost, and it stays; when all are slow, by too much work or by
-// a cold start, it grows with them after a dozen or so, so that slowness by itself
-// isn't answered by repeats.
+// The timeout is a multiple of the median of the latest answers of the same kind. It
+// stays the same if a third of them are lost. If all are slow, because of overload or a
+// cold start, it grows with them after about a dozen answers, so that slowness by itself
+// doesn't cause retries.
 package answertime
 
 import (
@@ -21,69 +21,70 @@
 )
 
 const (
-	// remembered is how many of the latest answers of a kind count: some seconds' on
-	// a router with few requests of it.
-	remembered = 32
-	// leastKnown is how many are needed for a limit.
-	leastKnown = 8
-	// multiple is by how much a silence exceeds the median. Nearly all answers of a kind
-	// begin within half of that.
-	multiple = 6
-	// leastSilence is what a busy VM, or one that waits for its share of a processor,
-	// adds on either side.
-	leastSilence = 100 * time.Millisecond
+	// maxSamples is how many of the latest answers of a kind count: those of some seconds
+	// on a router with few requests of that kind.
+	maxSamples = 32
+	// minSamples is how many answers it takes to derive a timeout.
+	minSamples = 8
+	// medianMultiple is the timeout as a multiple of the median. Nearly all answers of a
+	// kind begin within half of that.
+	medianMultiple = 6
+	// minTimeout allows for the delay that a busy VM, or one that waits for its share of
+	// a processor, adds on either side.
+	minTimeout = 100 * time.Millisecond
 )
 
 // Kind is a kind of request whose answers take about the same time.
 type Kind struct {
 	// Route names the route.
 	Route string
-	// Cold says that the upstream has to read the prompt from its beginning.
+	// Cold says that the upstream has to prefill the whole prompt.
 	Cold bool
 }
 
-// Times holds what was learned. It is not safe for concurrent use.
+// Times holds the latest answers of each kind. It is not safe for concurrent use.
 type Times struct {
-	kinds map[Kind]*latest
+	kinds map[Kind]*samples
 }
 
-// latest are the latest answers of a kind.
-type latest struct {
-	took [remembered]time.Duration
-	// count is how many there were; the next one goes to count modulo remembered.
+// samples are the latest answers of a kind.
+type samples struct {
+	durations [maxSamples]time.Duration
+	// count is the number of answers so far; the next one is stored at count modulo
+	// maxSamples.
 	count int
 }
 
-// New returns Times that know nothing.
-func New() *Times { return &Times{kinds: map[Kind]*latest{}} }
+// New returns empty Times.
+func New() *Times { return &Times{kinds: map[Kind]*samples{}} }
 
-// Note takes how long an answer took to begin, or for how long it had not begun when
-// it was given up.
-func (t *Times) Note(kind Kind, took time.Duration) {
-	l := t.kinds[kind]
-	if l == nil {
-		l = &latest{}
-		t.kinds[kind] = l
+// Record adds the time that an answer took to begin, or the time for which it hadn't
+// begun when the attempt was abandoned.
+func (t *Times) Record(kind Kind, took time.Duration) {
+	s := t.kinds[kind]
+	if s == nil {
+		s = &samples{}
+		t.kinds[kind] = s
 	}
-	l.took[l.count%remembered] = took
-	l.count++
+	s.durations[s.count%maxSamples] = took
+	s.count++
 }
 
-// Overdue returns after how much silence an attempt is overdue, no more than most,
-// which also holds while little is known.
-func (t *Times) Overdue(kind Kind, most time.Duration) time.Duration {
-	l := t.kinds[kind]
-	if l == nil || l.count < leastKnown {
-		return most
+// Timeout returns after how much silence an attempt is overdue, at most maxTimeout, which
+// also applies while there are too few samples.
+func (t *Times) Timeout(kind Kind, maxTimeout time.Duration) time.Duration {
+	s := t.kinds[kind]
+	if s == nil || s.count < minSamples {
+		return maxTimeout
 	}
-	sorted := slices.Clone(l.took[:min(l.count, remembered)])
+	sorted := slices.Clone(s.durations[:min(s.count, maxSamples)])
 	slices.Sort(sorted)
 	median := sorted[len(sorted)/2]
-	return min(max(multiple*median, leastSilence), most)
+	return min(max(medianMultiple*median, minTimeout), maxTimeout)
 }
 
-// Keep forgets the routes that a table doesn't name.
-func (t *Times) Keep(named func(route string) bool) {
+// Retain drops the routes for which named returns false.
+func (t *Times) Retain(named func(route string) bool) {
 	for kind := range t.kinds {
 		if !named(kind.Route) {
 			delete(t.kinds, kind)
--- a/daemon/router/fleet.go
+++ b/daemon/router/fleet.go
@@ -91,14 +91,14 @@
 	if !r.balancer.IsOutlier(r.now(), choice.ID) {
 		return most
 	}
-	return r.times.Overdue(kindOf(job, choice), most)
+	return r.times.Timeout(kindOf(job, choice), most)
 }
 
 // Silent implements forward.Fleet.
 func (r *Router) Silent(job forward.Job, choice balance.Choice, after time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.times.Note(kindOf(job, choice), after)
+	r.times.Record(kindOf(job, choice), after)
 	r.balancer.Overdue(r.now(), choice.ID)
 }
 
@@ -106,7 +106,7 @@
 func (r *Router) Began(job forward.Job, choice balance.Choice, took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.times.Note(kindOf(job, choice), took)
+	r.times.Record(kindOf(job, choice), took)
 	if prompt, any := job.PromptKey(); any {
 		r.balancer.ConfirmCached(r.now(), choice.ID, prompt, job.Beginnings())
 	}
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -325,7 +325,7 @@
 		return err
 	}
 	r.table.Store(routing.NewIndex(table))
-	r.times.Keep(func(route string) bool {
+	r.times.Retain(func(route string) bool {
 		return slices.ContainsFunc(table.Routes, func(known routing.Route) bool { return known.Name == route })
 	})
 	maps.DeleteFunc(r.limiters, func(service protocol.Service, _ *room.Limiter) bool {
