--- a/coordination/crashes/crashes.go
+++ b/coordination/crashes/crashes.go
@@ -1,15 +1,18 @@
-// Package crashes finds requests that crash the upstreams which run them, on
-// routers that send to upstreams themselves.
+// Package crashes detects requests that crash the upstreams which run them, on routers
+// that send requests to upstreams themselves.
 //
-// Every router notes which requests were under way when an upstream broke off,
-// and tells the others. A request of the same content that did so several times
-// is refused for a while. Package quarantine does more, trying suspects alone,
-// for owners that hold all of an upstream's work; here nobody does.
+// Every router records which requests were in flight when an upstream's connection broke,
+// and sends that to the others. A Record counts these crashes; a request whose content
+// was in flight at several of them is quarantined, that is refused for a while. Package
+// quarantine does more, as it retries suspects in isolation, but needs an owner that
+// handles all requests of an upstream; here there is none.
 //
-// Failures guarded: a request takes the fleet down upstream by upstream, while
-// its caller sends it again under other names, through other routers (it is
-// known by its content); a neighbour that was under way at one crash is refused
-// for it (it takes several, and each neighbour's content is its own).
+// The package guards against these failures:
+//
+//   - A request crashes the fleet's upstreams one by one, while its caller sends it again
+//     with other IDs or keys and through other routers. It is recognised by its content.
+//   - A request that was only in flight at a crash that another one caused is refused. It
+//     takes several crashes, and each such request has different content.
 package crashes
 
 import (
@@ -22,38 +25,38 @@
 
 // Settings of a Record.
 type Settings struct {
-	// Condemn is how many crashes condemn a request.
-	Condemn int
-	// Memory is how long a crash counts, and how long after its last crash a
-	// request stays condemned.
-	Memory time.Duration
-	// Most bounds the requests remembered.
-	Most int
+	// QuarantineAfter is how many crashes quarantine a request.
+	QuarantineAfter int
+	// Window is how long the crashes of a request count after the last one, and so how
+	// long it stays quarantined.
+	Window time.Duration
+	// MaxRequests bounds the requests remembered.
+	MaxRequests int
 }
 
-// DefaultSettings returns the defaults: a caller's one retry, with two upstreams
-// for each attempt, breaks off four times at the worst when the network does it
-// and not the request, and by then its caller is done with it. An upstream is
-// back seconds after a crash, so a minute sees the request come again.
+// DefaultSettings returns the defaults. A caller that retries once, with two upstreams
+// for each attempt, has at most four broken connections if the network and not the
+// request causes them, and by then the caller is done with it. An upstream is back
+// seconds after a crash, so the request is sent again well within a Window of a minute.
 func DefaultSettings() Settings {
-	return Settings{Condemn: 3, Memory: 60 * time.Second, Most: 4096}
+	return Settings{QuarantineAfter: 3, Window: 60 * time.Second, MaxRequests: 4096}
 }
 
-// Crash says that an upstream broke off while it had a request.
+// Crash says that an upstream's connection broke while it had a request.
 type Crash struct {
 	Digest   uint64              `msgpack:"d"`
 	Upstream protocol.UpstreamID `msgpack:"u"`
-	// Attempt tells two crashes apart, and one that is told twice.
+	// Attempt distinguishes two crashes, and identifies one that is reported twice.
 	Attempt uint64 `msgpack:"a"`
 }
 
-// suspect is a request that was under way at crashes.
+// suspect is a request that was in flight at crashes.
 type suspect struct {
 	attempts []uint64
 	last     time.Duration
 }
 
-// Record holds what is known of requests. It is not safe for concurrent use.
+// Record counts the crashes of each request. It is not safe for concurrent use.
 type Record struct {
 	settings Settings
 	suspects map[uint64]*suspect
@@ -64,52 +67,53 @@
 	return &Record{settings: settings, suspects: map[uint64]*suspect{}}
 }
 
-// Note takes a crash, of this router's or told by another. It reports whether
-// the request is condemned by it.
+// Note counts a crash that this router saw or another one reported. It reports whether
+// the crash quarantines the request.
 func (r *Record) Note(now time.Duration, c Crash) bool {
 	s := r.suspects[c.Digest]
 	if s == nil {
-		r.makeRoom(now)
+		r.evict(now)
 		s = &suspect{}
 		r.suspects[c.Digest] = s
 	}
-	if now-s.last > r.settings.Memory {
+	if now-s.last > r.settings.Window {
 		s.attempts = nil
 	}
 	if slices.Contains(s.attempts, c.Attempt) {
 		return false
 	}
 	s.last = now
-	if len(s.attempts) >= r.settings.Condemn {
+	if len(s.attempts) >= r.settings.QuarantineAfter {
 		return false
 	}
 	s.attempts = append(s.attempts, c.Attempt)
-	return len(s.attempts) == r.settings.Condemn
+	return len(s.attempts) == r.settings.QuarantineAfter
 }
 
-// Condemned reports whether a request is refused.
-func (r *Record) Condemned(now time.Duration, digest uint64) bool {
+// Quarantined reports whether a request is refused.
+func (r *Record) Quarantined(now time.Duration, digest uint64) bool {
 	s := r.suspects[digest]
-	return s != nil && len(s.attempts) >= r.settings.Condemn && now-s.last <= r.settings.Memory
+	return s != nil && len(s.attempts) >= r.settings.QuarantineAfter && now-s.last <= r.settings.Window
 }
 
-// makeRoom drops what is forgotten, and the oldest if that isn't enough.
-func (r *Record) makeRoom(now time.Duration) {
-	if len(r.suspects) < r.settings.Most {
+// evict drops expired requests if the record is full, and the oldest if that isn't
+// enough.
+func (r *Record) evict(now time.Duration) {
+	if len(r.suspects) < r.settings.MaxRequests {
 		return
 	}
 	for digest, s := range r.suspects {
-		if now-s.last > r.settings.Memory {
+		if now-s.last > r.settings.Window {
 			delete(r.suspects, digest)
 		}
 	}
-	if len(r.suspects) < r.settings.Most {
+	if len(r.suspects) < r.settings.MaxRequests {
 		return
 	}
 	r.dropOldest()
 }
 
-// dropOldest drops an eighth, so that the search for the oldest is rare.
+// dropOldest drops an eighth of the requests, so that the search for the oldest is rare.
 func (r *Record) dropOldest() {
 	type aged struct {
 		digest uint64
--- a/daemon/router/fleet.go
+++ b/daemon/router/fleet.go
@@ -159,7 +159,7 @@
 func (r *Router) Condemned(digest uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.crashes.Condemned(r.now(), digest)
+	return r.crashes.Quarantined(r.now(), digest)
 }
 
 // Crashed implements forward.Fleet.
