--- a/coordination/control/cacheholders.go
+++ b/coordination/control/cacheholders.go
@@ -38,15 +38,15 @@
 // A disk VM that has lost its disk has no entries. It doesn't answer, and the router
 // asks another one.
 type unsharedHolders struct {
-	kept []balance.Kept
+	kept []balance.CachedPrefix
 	at   time.Duration
 }
 
 // HandleCacheHolders stores what a router or another disk VM reports. What a router
 // reports is sent on to the other disk VMs.
-func (p *Publisher) HandleCacheHolders(now time.Duration, from protocol.RouterID, list balance.KeeperList) {
-	kept := list.Kept()
-	p.holders.Note(now, kept)
+func (p *Publisher) HandleCacheHolders(now time.Duration, from protocol.RouterID, list balance.CacheHolderList) {
+	kept := list.Unpack()
+	p.holders.Add(now, kept)
 	if !slices.Contains(p.diskVMs, from) {
 		p.unshared.kept = append(p.unshared.kept, kept...)
 		p.unshared.kept = p.unshared.kept[max(0, len(p.unshared.kept)-maxShared):]
@@ -59,7 +59,7 @@
 	if len(p.unshared.kept) == 0 || now-p.unshared.at < shareHoldersInterval {
 		return nil
 	}
-	list := balance.NewKeeperList(p.unshared.kept)
+	list := balance.NewCacheHolderList(p.unshared.kept)
 	p.unshared = unsharedHolders{at: now}
 	var messages []Message
 	for _, id := range p.diskVMs {
@@ -72,9 +72,9 @@
 
 // holderList returns all cache holders, packed at most packedLifetime ago: thousands of
 // prompts are sorted for the list, and hundreds of routers start at once.
-func (p *Publisher) holderList(now time.Duration) balance.KeeperList {
+func (p *Publisher) holderList(now time.Duration) balance.CacheHolderList {
 	if !p.everPacked || now-p.packedHoldersAt >= packedLifetime {
-		p.packedHolders = balance.NewKeeperList(p.holders.Newest(now))
+		p.packedHolders = balance.NewCacheHolderList(p.holders.Newest(now))
 		p.packedHoldersAt = now
 		p.everPacked = true
 	}
@@ -85,7 +85,7 @@
 type knownHolders struct {
 	// list is the list that it received, for other routers that start. at is when it
 	// came, if any did.
-	list balance.KeeperList
+	list balance.CacheHolderList
 	at   time.Duration
 	any  bool
 	// askedAt is when it last asked for the list, and tries how many times it did.
@@ -105,7 +105,7 @@
 
 // HandleCacheHolders stores the list of cache holders from a disk VM or another router.
 // It returns false if the follower has one already.
-func (f *Follower) HandleCacheHolders(now time.Duration, list balance.KeeperList) bool {
+func (f *Follower) HandleCacheHolders(now time.Duration, list balance.CacheHolderList) bool {
 	if f.holders.any {
 		return false
 	}
@@ -116,6 +116,6 @@
 
 // relayableHolders returns the list of cache holders that this router received, and
 // whether it is recent enough to send to another router that starts.
-func (f *Follower) relayableHolders(now time.Duration) (balance.KeeperList, bool) {
+func (f *Follower) relayableHolders(now time.Duration) (balance.CacheHolderList, bool) {
 	return f.holders.list, f.holders.any && now-f.holders.at < passHoldersPeriod
 }
--- a/coordination/control/powerloss_test.go
+++ b/coordination/control/powerloss_test.go
@@ -110,9 +110,9 @@
 	}
 	table := document.New(131, tableBody(random, s.routes))
 	entries := s.entries(random)
-	var kept []balance.Kept
+	var kept []balance.CachedPrefix
 	for range s.prompts {
-		kept = append(kept, balance.Kept{Prompt: random.Uint64(), ID: balance.Short(random.Uint32())})
+		kept = append(kept, balance.CachedPrefix{Prefix: random.Uint64(), ID: balance.ShortID(random.Uint32())})
 	}
 	for i, id := range vms {
 		r := roster.New(roster.DefaultSettings())
@@ -122,7 +122,7 @@
 		v := &vm{roster: r, publisher: NewPublisher(r, int(s.diskVMRate))}
 		v.publisher.Restore(table)
 		v.publisher.SetDiskVMs(vms)
-		v.publisher.CacheHolders().Note(0, kept)
+		v.publisher.CacheHolders().Add(0, kept)
 		w.members[id] = &member{id: id, startAt: starts[i], rate: s.diskVMRate, vm: v}
 	}
 	for i := range s.routers {
@@ -236,9 +236,9 @@
 		w.send(n, more)
 	case Watch:
 		f.HandleWatch(w.now, a.from, body)
-	case balance.KeeperList:
+	case balance.CacheHolderList:
 		f.HandleCacheHolders(w.now, body)
-		n.kept += len(body.Kept())
+		n.kept += len(body.Unpack())
 	}
 	w.send(n, f.relay.Due(w.now))
 }
--- a/coordination/control/publisher.go
+++ b/coordination/control/publisher.go
@@ -46,7 +46,7 @@
 // Message is a message to another process.
 type Message struct {
 	To protocol.RouterID
-	// Body is one of the message types of this package, or a balance.KeeperList.
+	// Body is one of the message types of this package, or a balance.CacheHolderList.
 	Body any
 }
 
@@ -101,11 +101,11 @@
 	pushes tokenBucket
 	// holders records the engines that hold prompt prefixes in their caches, for routers
 	// that start.
-	holders  *balance.KeeperRecord
+	holders  *balance.CacheHolderRecord
 	unshared unsharedHolders
 	// packedHolders is the list as of packedHoldersAt, for all routers that ask at about
 	// that time.
-	packedHolders   balance.KeeperList
+	packedHolders   balance.CacheHolderList
 	packedHoldersAt time.Duration
 	everPacked      bool
 }
@@ -118,7 +118,7 @@
 		link:         newTokenBucket(linkShare*rate, linkBurst.Seconds()*rate),
 		bulk:         newTokenBucket(bulkShare*rate, bulkBurst),
 		pushes:       newTokenBucket(pushShare*rate, pushShare*rate),
-		holders:      balance.NewKeeperRecord(),
+		holders:      balance.NewCacheHolderRecord(),
 		roster:       r,
 		followers:    map[protocol.RouterID]*follower{},
 		listeners:    map[protocol.DataCentre]*listeners{},
@@ -128,7 +128,7 @@
 
 // CacheHolders returns the record of the engines that hold prompt prefixes in their
 // caches.
-func (p *Publisher) CacheHolders() *balance.KeeperRecord { return p.holders }
+func (p *Publisher) CacheHolders() *balance.CacheHolderRecord { return p.holders }
 
 // SetDiskVMs sets the list of disk VMs. If it changed, all followers get it again with
 // the next answer: a router that has just started may know only a disk VM that has no
--- a/coordination/control/relay.go
+++ b/coordination/control/relay.go
@@ -129,7 +129,7 @@
 
 // Neighbours returns the routers with which this one exchanges its load.
 func (r *Relay) Neighbours() balance.Neighbours {
-	if len(r.others)+1 < balance.GroupsFrom {
+	if len(r.others)+1 < balance.GroupingThreshold {
 		return balance.Neighbours{Mesh: idsOf(r.others)}
 	}
 	if r.hasParent {
--- a/coordination/control/world_test.go
+++ b/coordination/control/world_test.go
@@ -22,7 +22,7 @@
 	lists     int
 	listBytes int
 	// cacheHolders are the entries that each router received.
-	cacheHolders map[protocol.RouterID][]balance.Kept
+	cacheHolders map[protocol.RouterID][]balance.CachedPrefix
 }
 
 type vm struct {
@@ -36,7 +36,7 @@
 }
 
 func newWorld(vms int) *world {
-	w := &world{vms: map[protocol.RouterID]*vm{}, routers: map[protocol.RouterID]*testRouter{}, cutOff: map[protocol.RouterID]bool{}, cacheHolders: map[protocol.RouterID][]balance.Kept{}}
+	w := &world{vms: map[protocol.RouterID]*vm{}, routers: map[protocol.RouterID]*testRouter{}, cutOff: map[protocol.RouterID]bool{}, cacheHolders: map[protocol.RouterID][]balance.CachedPrefix{}}
 	for i := range vms {
 		w.startVM(protocol.RouterID(fmt.Sprintf("vm%d", i+1)))
 	}
@@ -100,11 +100,11 @@
 			w.lists++
 			w.listBytes += len(body.Packed)
 			w.routers[message.To].HandleList(w.now, from, body)
-		case balance.KeeperList:
+		case balance.CacheHolderList:
 			if v := w.vms[message.To]; v != nil {
 				v.publisher.HandleCacheHolders(w.now, from, body)
 			} else if w.routers[message.To].HandleCacheHolders(w.now, body) {
-				w.cacheHolders[message.To] = append(w.cacheHolders[message.To], body.Kept()...)
+				w.cacheHolders[message.To] = append(w.cacheHolders[message.To], body.Unpack()...)
 			}
 		case Document:
 			w.documents++
