--- a/coordination/consensus/bench_test.go
+++ b/coordination/consensus/bench_test.go
@@ -8,19 +8,20 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// BenchmarkControlBytes measures what an idle cluster of three voters and two
-// spares sends, in encoded bytes a second, for the leader and for the mean.
+// BenchmarkControlBytes measures the encoded bytes per second that an idle
+// cluster of three voters and two spares sends: the leader's, and the average
+// per member.
 func BenchmarkControlBytes(b *testing.B) {
 	for b.Loop() {
-		w := newWorld(1, 5, 3)
-		w.run(5 * time.Second)
-		leader := w.leader()
-		for _, h := range w.hosts {
-			_ = leader.core.ChangeMembership(w.clock(leader), Change{Kind: AddLearner, Member: h.self()})
-			w.run(time.Second)
+		sim := newSimulation(1, 5, 3)
+		sim.run(5 * time.Second)
+		leader := sim.leader()
+		for _, h := range sim.hosts {
+			_ = leader.core.ChangeMembership(sim.clock(leader), Change{Kind: AddLearner, Member: h.self()})
+			sim.run(time.Second)
 		}
 		all, fromLeader := 0, 0
-		w.sent = func(m Message) {
+		sim.onSend = func(m Message) {
 			data, _ := msgpack.Marshal(m)
 			all += len(data)
 			if m.From == leader.self() {
@@ -28,62 +29,62 @@
 			}
 		}
 		const seconds = 60
-		w.run(seconds * time.Second)
+		sim.run(seconds * time.Second)
 		b.ReportMetric(float64(fromLeader)/seconds, "leader-B/s")
 		b.ReportMetric(float64(all)/seconds/5, "ctl-B/s/node")
 	}
 }
 
-// BenchmarkElection measures how long a cluster is without a leader when the
-// leader is lost, in its own time.
+// BenchmarkElection measures, in simulated time, how long a cluster has no
+// leader with a lease after the leader is lost.
 func BenchmarkElection(b *testing.B) {
 	const losses = 200
 	for b.Loop() {
-		w := newWorld(1, 3, 3)
-		w.run(5 * time.Second)
+		sim := newSimulation(1, 3, 3)
+		sim.run(5 * time.Second)
 		var longest, sum time.Duration
 		for range losses {
-			lost := w.leader()
-			w.isolate(lost, true)
-			start := w.now
-			for w.leader() == nil || w.leader() == lost || !w.leader().core.HoldsLease(w.clock(w.leader())) {
-				w.run(10 * time.Millisecond)
+			lost := sim.leader()
+			sim.isolate(lost, true)
+			start := sim.now
+			for sim.leader() == nil || sim.leader() == lost || !sim.leader().core.HoldsLease(sim.clock(sim.leader())) {
+				sim.run(10 * time.Millisecond)
 			}
-			gap := w.now - start
+			gap := sim.now - start
 			sum += gap
 			longest = max(longest, gap)
-			w.isolate(lost, false)
-			w.run(3 * time.Second)
+			sim.isolate(lost, false)
+			sim.run(3 * time.Second)
 		}
 		b.ReportMetric(float64(sum.Milliseconds())/losses, "mean-gap-ms")
 		b.ReportMetric(float64(longest.Milliseconds()), "longest-gap-ms")
 	}
 }
 
-// BenchmarkCommit measures the decision cost of one entry over three cores,
-// against the number of entries a batch.
+// BenchmarkCommit measures the processing cost of one entry over three cores,
+// for several numbers of entries per batch.
 func BenchmarkCommit(b *testing.B) {
 	for _, batch := range []int{1, 16, 256} {
 		b.Run(fmt.Sprintf("batch=%d", batch), func(b *testing.B) {
-			w := newWorld(1, 3, 3)
-			w.settings = Settings{Peers: w.settings.Peers, InitialVoters: w.settings.InitialVoters}
-			for _, h := range w.hosts {
-				w.format(h)
-				w.start(h)
+			sim := newSimulation(1, 3, 3)
+			sim.settings = Settings{Peers: sim.settings.Peers, InitialVoters: sim.settings.InitialVoters}
+			for _, h := range sim.hosts {
+				sim.format(h)
+				sim.start(h)
 			}
-			w.run(5 * time.Second)
-			leader := w.leader()
+			sim.run(5 * time.Second)
+			leader := sim.leader()
 			b.ReportAllocs()
 			for i := 0; i < b.N; i += batch {
 				for range batch {
-					_, _, _ = leader.core.Propose(w.clock(leader), make([]byte, 200))
+					_, _, _ = leader.core.Propose(sim.clock(leader), make([]byte, 200))
 				}
-				w.take(leader)
-				for w.drain() {
+				sim.take(leader)
+				for sim.drain() {
 				}
 				if leader.core.log.last()-leader.core.log.base > 5000 {
-					for _, h := range w.hosts {
-						w.compact(h)
+					for _, h := range sim.hosts {
+						sim.compact(h)
 					}
 				}
 			}
--- a/coordination/consensus/bootstrap.go
+++ b/coordination/consensus/bootstrap.go
@@ -7,29 +7,30 @@
 	"endiveplank/protocol"
 )
 
-// A cluster forms once. Every blank router with a disk says hello to the
-// others. When all of them, spares included, have said that they are blank, and
-// that they know the disk of the first initial voter by name, that first one
+// A cluster forms once. Every blank router with a disk sends a hello to the
+// others. The first initial voter waits until all other routers, spares
+// included, have said that they are blank and that they know its disk. Then it
 // writes the configuration as entry 1 and sends it to the other initial voters.
 //
-// Failure: a voter with a wiped disk starts a second cluster beside the first,
-// and two histories of orders run. It shows when the first voters have been
-// replaced, later lose their disks, and the one that now holds the log is cut
-// off. The guard: whoever holds the log is among the peers and never says that
-// it is blank, and one hello of a member with a log stops the forming for good.
+// Failure: voters with wiped disks form a second cluster beside the first, and
+// both accept orders. This can happen after the initial voters were replaced:
+// later they lose their disks and restart while the VM that now holds the log
+// is partitioned away. The guard is that the member that holds the log is among
+// the peers and never reports that it is blank, and that a member which has
+// received one hello from a member with a log forms no cluster.
 //
-// In an open cluster nobody knows all peers, and the initial voters alone are
-// asked. There the guard is that a VM is told initial voters only at the very
-// first start of the whole fleet.
+// In an open cluster no member knows all peers, so only the initial voters have
+// to be blank. There the guard is that a VM is given initial voters only at the
+// very first start of the whole fleet.
 
-// Limit: a disk that is lost in the seconds before entry 1 is on a quorum of
-// disks may leave voters that hold different first configurations, and no
-// leader. Nothing has been accepted by then: wipe all and start again.
+// Limit: if a disk is lost in the seconds before entry 1 is on a quorum of
+// disks, the voters may hold different first configurations and elect no
+// leader. Nothing has been accepted by then: wipe all disks and start again.
 
-// genesisTerm is the term of entry 1.
-const genesisTerm = 1
+// bootstrapTerm is the term of entry 1.
+const bootstrapTerm = 1
 
-// tickBlank says hello, and forms the cluster when it may.
+// tickBlank sends hellos, and forms the cluster once that is allowed.
 func (c *Core) tickBlank(now time.Duration) {
 	c.sendHellos(now)
 	if c.mayFormCluster() {
@@ -37,51 +38,53 @@
 	}
 }
 
-// sendHellos tells all other routers of this member, once in an election
+// sendHellos sends a hello to all other known routers, twice per election
 // timeout.
 func (c *Core) sendHellos(now time.Duration) {
 	if now < c.helloAt {
 		return
 	}
 	c.helloAt = now + c.settings.ElectionTimeout/2
-	for _, router := range c.contacts() {
+	for _, router := range c.helloTargets() {
 		if router != c.settings.Self.Router {
 			c.sendHello(Member{Router: router, Disk: c.diskOf(router)})
 		}
 	}
 }
 
-// contacts returns the routers that hellos go to: those that were listed, and
-// in an open cluster also those of the newest configuration and the leader
-// that an answer named.
+// helloTargets returns the routers that receive hellos: the configured peers
+// and, in an open cluster, also the members of the newest configuration and the
+// leader that another member named.
 //
-// Failure: the listed routers are replaced by others while this one is down;
-// it returns, asks only them and stays outside for good.
-func (c *Core) contacts() []protocol.RouterID {
-	contacts := slices.Clone(c.settings.Peers)
+// Failure: while this member is down, all of its configured peers are replaced
+// by other VMs. When it returns it asks only the old ones and never joins
+// again.
+func (c *Core) helloTargets() []protocol.RouterID {
+	targets := slices.Clone(c.settings.Peers)
 	if !c.settings.Open {
-		return contacts
+		return targets
 	}
 	configuration, _ := c.log.configuration()
 	for _, m := range configuration.Members() {
-		contacts = append(contacts, m.Router)
+		targets = append(targets, m.Router)
 	}
-	if c.namedLeader != "" {
-		contacts = append(contacts, c.namedLeader)
+	if c.leaderHint != "" {
+		targets = append(targets, c.leaderHint)
 	}
-	slices.Sort(contacts)
-	return slices.Compact(contacts)
+	slices.Sort(targets)
+	return slices.Compact(targets)
 }
 
-// SetContacts replaces the routers to ask first in an open cluster.
-func (c *Core) SetContacts(routers []protocol.RouterID) {
+// SetPeers replaces the routers to ask first. It is meant for members of an
+// open cluster.
+func (c *Core) SetPeers(routers []protocol.RouterID) {
 	c.settings.Peers = slices.Clone(routers)
 }
 
-// sendHello tells one router of this member. To carries the disk this member
-// knows there.
-// A member of an open cluster names the leader that it follows: only the
-// leader takes newcomers in, and they can't know where it is.
+// sendHello sends a hello to one router. The field To carries the disk that
+// this member last saw there. A member of an open cluster also names the leader
+// that it follows: only the leader admits new members, and they cannot know
+// where it is.
 func (c *Core) sendHello(to Member) {
 	m := Message{Kind: MessageHello, To: to, Blank: c.log.blank()}
 	if c.settings.Open {
@@ -90,9 +93,9 @@
 	c.send(m)
 }
 
-// diskOf returns the disk last heard of at a router, or zero.
+// diskOf returns the disk that a router last reported, or zero.
 func (c *Core) diskOf(router protocol.RouterID) DiskID {
-	for _, s := range c.sightings {
+	for _, s := range c.discovered {
 		if s.member.Router == router {
 			return s.member.Disk
 		}
@@ -100,32 +103,32 @@
 	return 0
 }
 
-// sight remembers the member that now speaks for a router.
-func (c *Core) sight(now time.Duration, m Message) {
+// recordDiscovered remembers the sender as the current member of its router.
+func (c *Core) recordDiscovered(now time.Duration, m Message) {
 	if !c.settings.Open && !slices.Contains(c.settings.Peers, m.From.Router) {
 		return
 	}
-	seen := sighting{member: m.From, at: now, blank: m.Blank, knows: m.To}
-	for i := range c.sightings {
-		if c.sightings[i].member.Router == m.From.Router {
-			c.sightings[i] = seen
+	found := discoveredMember{member: m.From, at: now, blank: m.Blank, knownAs: m.To}
+	for i := range c.discovered {
+		if c.discovered[i].member.Router == m.From.Router {
+			c.discovered[i] = found
 			return
 		}
 	}
-	if len(c.sightings) >= maxSightings {
-		c.sightings = c.sightings[1:]
+	if len(c.discovered) >= maxDiscovered {
+		c.discovered = c.discovered[1:]
 	}
-	c.sightings = append(c.sightings, seen)
+	c.discovered = append(c.discovered, found)
 }
 
-// maxSightings bounds the routers remembered outside the configuration: far
-// more than the disk VMs of any fleet, so that addresses which came and went
-// for months take no memory.
-const maxSightings = 64
+// maxDiscovered bounds the routers that are remembered. It is far more than the
+// disk VMs of any fleet, and it keeps the memory small when addresses come and
+// go for months.
+const maxDiscovered = 64
 
-// receiveHello remembers the sender. A member with a log answers a blank one:
-// with the first configuration if the sender is in it, else with a hello that
-// keeps it from forming a cluster.
+// receiveHello remembers the sender. A member with a log replies to a blank
+// sender: with the first configuration if that one contains the sender, else
+// with a hello that keeps it from forming a cluster.
 func (c *Core) receiveHello(now time.Duration, m Message) {
 	if m.To.Router != c.settings.Self.Router || m.From.Router == c.settings.Self.Router {
 		return
@@ -134,65 +137,66 @@
 		c.sendHello(m.From)
 		return
 	}
-	c.sight(now, m)
+	c.recordDiscovered(now, m)
 	if !m.Blank {
 		c.clusterExists = true
 		c.checkSuperseded(now, m)
 	}
-	if m.Leader != "" && m.Leader != c.namedLeader {
-		c.namedLeader = m.Leader
+	if m.Leader != "" && m.Leader != c.leaderHint {
+		c.leaderHint = m.Leader
 		c.helloAt = now
 	}
 	if c.log.blank() {
 		return
 	}
 	if !m.Blank {
-		c.directNewcomer(m)
+		c.sendLeaderHint(m)
 		return
 	}
-	if first, ok := c.genesis(); ok && first.IsVoter(m.From) {
-		c.sendAfterSync(Message{Kind: MessageGenesis, To: m.From, Configuration: &first})
+	if first, ok := c.initialConfiguration(); ok && first.IsVoter(m.From) {
+		c.sendAfterSync(Message{Kind: MessageBootstrap, To: m.From, Configuration: &first})
 		return
 	}
 	c.sendHello(m.From)
 }
 
-// directNewcomer tells a router that was removed, and has come back with its
-// log, who leads an open cluster. The answer is marked, so that it is not
-// answered in its turn.
-func (c *Core) directNewcomer(m Message) {
+// sendLeaderHint names the leader of an open cluster to a router that was
+// removed and has come back with its log. The hello is marked as a reply, so
+// that the receiver does not reply to it.
+func (c *Core) sendLeaderHint(m Message) {
 	configuration, _ := c.log.configuration()
 	known := c.settings.Open && !c.leader.IsZero()
-	if known && !m.Answer && !configuration.Contains(m.From) {
-		c.send(Message{Kind: MessageHello, To: m.From, Leader: c.leader.Router, Answer: true})
+	if known && !m.Reply && !configuration.Contains(m.From) {
+		c.send(Message{Kind: MessageHello, To: m.From, Leader: c.leader.Router, Reply: true})
 	}
 }
 
-// genesis returns the configuration of entry 1 if the log still holds it.
-func (c *Core) genesis() (Configuration, bool) {
+// initialConfiguration returns the configuration of entry 1 if the log still
+// holds it.
+func (c *Core) initialConfiguration() (Configuration, bool) {
 	if c.log.base > 0 || len(c.log.configurations) == 0 || c.log.configurations[0].index != 1 {
 		return Configuration{}, false
 	}
 	return c.log.configurations[0].configuration, true
 }
 
-// mayFormCluster reports whether this member is the first initial voter and
-// all other routers with a disk are blank and ready to take its word.
+// mayFormCluster reports whether this member is the first initial voter and all
+// routers that must be blank have said so and know this member's disk.
 func (c *Core) mayFormCluster() bool {
 	voters := slices.Sorted(slices.Values(c.settings.InitialVoters))
 	if c.clusterExists || len(voters) == 0 || voters[0] != c.settings.Self.Router {
 		return false
 	}
-	blankNeeded := c.settings.Peers
+	mustBeBlank := c.settings.Peers
 	if c.settings.Open {
-		blankNeeded = voters
+		mustBeBlank = voters
 	}
-	for _, router := range blankNeeded {
+	for _, router := range mustBeBlank {
 		if router == c.settings.Self.Router {
 			continue
 		}
-		ready := slices.ContainsFunc(c.sightings, func(s sighting) bool {
-			return s.member.Router == router && s.blank && s.knows == c.settings.Self
+		ready := slices.ContainsFunc(c.discovered, func(s discoveredMember) bool {
+			return s.member.Router == router && s.blank && s.knownAs == c.settings.Self
 		})
 		if !ready {
 			return false
@@ -208,27 +212,28 @@
 	for _, router := range voters[1:] {
 		configuration.Voters = append(configuration.Voters, Member{Router: router, Disk: c.diskOf(router)})
 	}
-	c.startFrom(now, configuration)
+	c.appendInitialConfiguration(now, configuration)
 	for _, voter := range configuration.Voters[1:] {
-		c.sendAfterSync(Message{Kind: MessageGenesis, To: voter, Configuration: &configuration})
+		c.sendAfterSync(Message{Kind: MessageBootstrap, To: voter, Configuration: &configuration})
 	}
 }
 
-// receiveGenesis takes entry 1 if this member is blank and named in it.
-func (c *Core) receiveGenesis(now time.Duration, m Message) {
+// receiveBootstrap appends entry 1 if this member is blank and a voter in it.
+func (c *Core) receiveBootstrap(now time.Duration, m Message) {
 	if c.log.blank() && m.Configuration != nil && m.Configuration.IsVoter(c.settings.Self) {
-		c.startFrom(now, *m.Configuration)
+		c.appendInitialConfiguration(now, *m.Configuration)
 	}
 }
 
-// startFrom writes the first entry. Nobody can hold a lease yet.
-func (c *Core) startFrom(now time.Duration, configuration Configuration) {
-	c.term = max(c.term, genesisTerm)
-	c.log.append([]Entry{{Index: 1, Term: genesisTerm, Kind: EntryConfiguration, Data: encodeConfiguration(configuration)}})
-	c.contact = now - c.settings.ElectionTimeout
+// appendInitialConfiguration writes entry 1. This member may vote and campaign
+// at once, because nobody can hold a lease yet.
+func (c *Core) appendInitialConfiguration(now time.Duration, configuration Configuration) {
+	c.term = max(c.term, bootstrapTerm)
+	c.log.append([]Entry{{Index: 1, Term: bootstrapTerm, Kind: EntryConfiguration, Data: encodeConfiguration(configuration)}})
+	c.leaderHeardAt = now - c.settings.ElectionTimeout
 	c.electionAt = now + time.Duration(c.random.Int64N(int64(c.settings.ElectionSpread)))
 	if c.isSoleVoter() {
 		c.electionAt = now
 	}
-	c.event(EventGenesis, Member{}, "%d initial voters", len(configuration.Voters))
+	c.event(EventClusterFormed, Member{}, "%d initial voters", len(configuration.Voters))
 }
--- a/coordination/consensus/core.go
+++ b/coordination/consensus/core.go
@@ -8,61 +8,64 @@
 	"endiveplank/protocol"
 )
 
-// Role is what a member does at the moment.
+// Role is the part that a member plays in its term.
 type Role uint8
 
 const (
-	// Follower takes entries from a leader, or waits for one.
+	// Follower appends entries from a leader, or waits for a leader.
 	Follower Role = iota
-	// PreCandidate asks whether it would be elected, without a new term.
+	// PreCandidate asks whether it would be elected, without starting a new
+	// term.
 	PreCandidate
 	// Candidate asks for votes in a new term.
 	Candidate
-	// Leader takes proposals and replicates them.
+	// Leader accepts proposals and replicates them.
 	Leader
 )
 
-// String returns the role in words.
+// String returns the name of the role.
 func (r Role) String() string {
 	return [...]string{"follower", "pre-candidate", "candidate", "leader"}[r]
 }
 
-// rules switches safety rules off, for tests that show each rule needed. All
-// are on outside tests.
-type rules struct {
+// Each field of unsafeOptions switches off one safety rule, for tests which
+// show that the rule is needed. All fields are false outside tests.
+type unsafeOptions struct {
 	answerVoteUnsynced  bool
-	ignoreLogOfVoter    bool
+	ignoreCandidateLog  bool
 	commitOlderTerms    bool
 	ackUnsynced         bool
 	countLearners       bool
 	ignoreLease         bool
-	manyChangesAtOnce   bool
-	blankVotes          bool
+	concurrentChanges   bool
+	blankMayVote        bool
 	serveAfterLeaseEnds bool
-	leadAfterHandOver   bool
+	leadAfterTransfer   bool
 }
 
-// persistPoint remembers what one output persists.
-type persistPoint struct {
+// unpersistedOutput is an output whose sync has not completed: the end of the
+// log and the term at that time.
+type unpersistedOutput struct {
 	sequence, lastIndex, lastTerm, term uint64
 }
 
-// sighting is a member that was heard of outside the configuration.
-type sighting struct {
+// discoveredMember is a member from which this one received a hello or a
+// pre-vote.
+type discoveredMember struct {
 	member Member
 	at     time.Duration
 	blank  bool
-	// knows is the member that the sender had heard of at this router.
-	knows Member
+	// knownAs is the member that the sender knows at this router.
+	knownAs Member
 }
 
-// Core is one member's consensus state. It is a pure step machine: inputs go
-// in by methods that take the monotonic time, and Take returns what follows
-// from them. It is not safe for concurrent use.
+// Core is the consensus state of one member. It is a pure step machine: its
+// methods take inputs and the monotonic time, and Take returns the resulting
+// work. It is not safe for concurrent use.
 type Core struct {
 	settings Settings
 	random   *rand.Rand
-	off      rules
+	unsafe   unsafeOptions
 
 	now    time.Duration
 	role   Role
@@ -70,43 +73,47 @@
 	vote   Member
 	epoch  uint64
 	leader Member
-	// superseded says that the cluster was recovered without this member.
+	// superseded means that the cluster was recovered without this member.
 	superseded bool
-	// handOverUntil is set while this leader looks for a successor.
-	handOverUntil time.Duration
-	// forced marks a campaign after a hand-over.
+	// transferUntil is when a running leadership transfer is given up; zero
+	// means that none runs.
+	transferUntil time.Duration
+	// forced marks a campaign that the former leader asked for.
 	forced bool
 	log    memoryLog
 
-	// contact is when a leader was last heard, or when this member started:
-	// it may have acknowledged a lease just before it was restarted.
-	contact     time.Duration
-	electionAt  time.Duration
-	heartbeatAt time.Duration
-	helloAt     time.Duration
-	electedAt   time.Duration
-	// ownStart is the index of the entry a leader wrote at its start.
-	ownStart uint64
-	// uncommitted counts the bytes this leader has taken and not committed.
-	uncommitted int
-	votes       []Member
-	progress    map[Member]*progress
-	reads       []pendingRead
-	budget      bucket
-	incoming    incomingSnapshot
-
-	sightings     []sighting
+	// leaderHeardAt is when the last message from a leader arrived, or when
+	// this member started: it may have acknowledged a lease just before it
+	// restarted.
+	leaderHeardAt time.Duration
+	electionAt    time.Duration
+	heartbeatAt   time.Duration
+	helloAt       time.Duration
+	electedAt     time.Duration
+	// termStart is the index of the no-op that a leader appends when it is
+	// elected.
+	termStart uint64
+	// uncommittedBytes is the size of the entries that this leader has appended
+	// and that are not yet committed.
+	uncommittedBytes int
+	votes            []Member
+	progress         map[Member]*progress
+	reads            []pendingRead
+	snapshotBudget   tokenBucket
+	incoming         incomingSnapshot
+
+	discovered    []discoveredMember
 	clusterExists bool
-	// namedLeader is the leader that a hello named, "" if none did.
-	namedLeader protocol.RouterID
+	// leaderHint is the leader that the last hello named, or "".
+	leaderHint protocol.RouterID
 
 	savedHardState HardState
 	sequence       uint64
-	points         []persistPoint
+	unpersisted    []unpersistedOutput
 	out            Output
 }
 
-// New returns a member that continues from what its disk holds.
+// New returns a member that continues from the content of its disk.
 func New(settings Settings, stored Stored, now time.Duration, random *rand.Rand) *Core {
 	settings = settings.withDefaults()
 	c := &Core{
@@ -118,12 +125,12 @@
 		epoch:          stored.HardState.Epoch,
 		savedHardState: stored.HardState,
 		log:            newMemoryLog(stored),
-		contact:        now,
-		budget:         newBucket(settings, now),
+		leaderHeardAt:  now,
+		snapshotBudget: newTokenBucket(settings, now),
 	}
 	c.term = max(c.term, c.log.lastTerm())
-	c.resetElection(now)
-	if c.wasAlwaysAlone() {
+	c.resetElectionTimer(now)
+	if c.neverHadOtherVoters() {
 		c.electionAt = now
 	}
 	if settings.Leaseless {
@@ -132,41 +139,41 @@
 	return c
 }
 
-// startLeaseless lets a member vote and campaign from its start on. It has
-// promised nobody not to. The pre-vote keeps it from disturbing a leader: the
-// others refuse while they hear one.
+// startLeaseless lets a member vote and campaign as soon as it starts. Without
+// leases it has made no promise to a leader. It disturbs no leader, because the
+// others refuse its pre-vote while they receive messages from one.
 func (c *Core) startLeaseless(now time.Duration) {
-	c.contact = now - c.settings.ElectionTimeout
+	c.leaderHeardAt = now - c.settings.ElectionTimeout
 	c.electionAt = now + time.Duration(c.random.Int64N(int64(c.settings.ElectionSpread)))
 }
 
-// resetElection draws the next time to campaign. The draw spreads candidates,
-// so that they rarely split the votes.
-func (c *Core) resetElection(now time.Duration) {
+// resetElectionTimer draws the next time to campaign. The random part separates
+// the candidates, so that they rarely split the votes.
+func (c *Core) resetElectionTimer(now time.Duration) {
 	spread := time.Duration(c.random.Int64N(int64(c.settings.ElectionSpread)))
 	c.electionAt = now + c.settings.ElectionTimeout + spread
 }
 
-// isSoleVoter reports whether this member alone is the quorum.
+// isSoleVoter reports whether this member is the only voter.
 func (c *Core) isSoleVoter() bool {
 	configuration, _ := c.log.configuration()
 	return len(configuration.Voters) == 1 && configuration.IsVoter(c.settings.Self)
 }
 
-// wasAlwaysAlone reports whether no configuration in the log has another voter,
-// so that nobody else can hold a lease and there is nothing to wait for. The
-// newest one alone does not show it: the leader that wrote its own removal may
-// still lead.
-func (c *Core) wasAlwaysAlone() bool {
-	for _, placed := range c.log.configurations {
-		if len(placed.configuration.Voters) > 1 {
+// neverHadOtherVoters reports whether this member is the only voter in every
+// configuration of the log. Then nobody else can hold a lease, and there is
+// nothing to wait for. The newest configuration alone does not show it: a
+// leader that appended its own removal may still lead.
+func (c *Core) neverHadOtherVoters() bool {
+	for _, indexed := range c.log.configurations {
+		if len(indexed.configuration.Voters) > 1 {
 			return false
 		}
 	}
 	return c.isSoleVoter()
 }
 
-// Tick lets time pass. Call it several times in a heartbeat interval.
+// Tick passes the current time. Call it several times per heartbeat interval.
 func (c *Core) Tick(now time.Duration) {
 	c.now = now
 	switch {
@@ -179,8 +186,8 @@
 	}
 }
 
-// tickFollower campaigns when no leader was heard for long enough, or tells
-// the others of this member if it is no voter.
+// tickFollower campaigns when the election timer has expired. A member that may
+// not campaign sends hellos instead.
 func (c *Core) tickFollower(now time.Duration) {
 	if now < c.electionAt {
 		return
@@ -192,48 +199,48 @@
 	c.sendHellos(now)
 }
 
-// mayCampaign reports whether this member is a voter, or one whose removal is
-// not known to be committed.
+// mayCampaign reports whether this member is a voter, or was one and its
+// removal is not known to be committed.
 //
-// Failure: a leader writes its own removal, cannot commit it and steps down.
-// The voters that are left lack the entry, so they need its vote, which their
-// shorter logs do not get; the cluster stands still for good. The removed one
-// campaigns without counting itself, wins, commits its removal and retires.
-// After a restart the commit index is unknown, so that every configuration in
-// the log may be the one in force.
+// Failure: a leader appends its own removal, cannot commit it and steps down.
+// The remaining voters lack the entry. They need the vote of this member, but
+// it refuses because their logs are shorter, so the cluster never has a leader
+// again. To prevent that, the removed member campaigns without counting its own
+// vote, wins, commits its removal and steps down. After a restart the commit
+// index is unknown, so any configuration in the log may be the one in force.
 func (c *Core) mayCampaign() bool {
 	if c.superseded {
 		return false
 	}
-	placed := c.log.configurations
-	for i, p := range placed {
-		superseded := i+1 < len(placed) && placed[i+1].index <= c.log.commit
-		if !superseded && p.configuration.IsVoter(c.settings.Self) {
+	configurations := c.log.configurations
+	for i, p := range configurations {
+		replaced := i+1 < len(configurations) && configurations[i+1].index <= c.log.commit
+		if !replaced && p.configuration.IsVoter(c.settings.Self) {
 			return true
 		}
 	}
 	return false
 }
 
-// Receive takes a message. A message for another member, as one meant for a
-// wiped disk of this router, is dropped.
+// Receive handles a message. It drops a message for another member, such as one
+// meant for a former disk of this router.
 func (c *Core) Receive(now time.Duration, m Message) {
 	c.now = now
 	if m.Kind == MessageHello {
 		c.receiveHello(now, m)
 		return
 	}
-	if m.To != c.settings.Self || !wellFormed(m) {
+	if m.To != c.settings.Self || !isWellFormed(m) {
 		return
 	}
-	if !c.sameEpoch(now, m) {
+	if !c.acceptEpoch(now, m) {
 		return
 	}
 	switch m.Kind {
-	case MessageHandOver:
-		c.receiveHandOver(now, m)
-	case MessageGenesis:
-		c.receiveGenesis(now, m)
+	case MessageTimeoutNow:
+		c.receiveTimeoutNow(now, m)
+	case MessageBootstrap:
+		c.receiveBootstrap(now, m)
 	case MessagePreVote:
 		c.receivePreVote(now, m)
 	case MessageVote:
@@ -249,9 +256,9 @@
 	}
 }
 
-// wellFormed checks what later steps rely on, so that a damaged message is
-// dropped and does not break an invariant.
-func wellFormed(m Message) bool {
+// isWellFormed checks what later steps rely on, so that a damaged message is
+// dropped instead of breaking an invariant.
+func isWellFormed(m Message) bool {
 	if m.Kind == MessageSnapshot && m.Chunk == nil {
 		return false
 	}
@@ -269,45 +276,45 @@
 	return true
 }
 
-// Propose appends a command and returns the place it will have if it is
+// Propose appends a command and returns the index and term that it has if it is
 // committed. Errors: ErrNotLeader, ErrBusy.
 func (c *Core) Propose(now time.Duration, command []byte) (index, term uint64, err error) {
 	c.now = now
-	if c.role != Leader || c.handOverUntil > 0 {
+	if c.role != Leader || c.transferUntil > 0 {
 		return 0, 0, ErrNotLeader{Leader: c.Leader()}
 	}
-	if c.uncommitted >= c.settings.MaxUncommittedBytes {
-		return 0, 0, ErrBusy{UncommittedBytes: c.uncommitted}
+	if c.uncommittedBytes >= c.settings.MaxUncommittedBytes {
+		return 0, 0, ErrBusy{UncommittedBytes: c.uncommittedBytes}
 	}
-	return c.appendOwn(EntryCommand, command), c.term, nil
+	return c.appendAsLeader(EntryCommand, command), c.term, nil
 }
 
-// appendOwn adds an entry of the leader's term and returns its index.
-func (c *Core) appendOwn(kind EntryKind, data []byte) uint64 {
+// appendAsLeader appends an entry in the leader's term and returns its index.
+func (c *Core) appendAsLeader(kind EntryKind, data []byte) uint64 {
 	e := Entry{Index: c.log.last() + 1, Term: c.term, Kind: kind, Data: data}
 	c.log.append([]Entry{e})
-	c.uncommitted += e.size()
+	c.uncommittedBytes += e.size()
 	return e.Index
 }
 
-// Persisted tells that everything up to the output of that sequence number is
-// synced.
+// Persisted reports that all outputs up to a sequence number are synced.
 func (c *Core) Persisted(now time.Duration, sequence uint64) {
 	c.now = now
-	for len(c.points) > 0 && c.points[0].sequence <= sequence {
-		point := c.points[0]
-		c.points = c.points[1:]
-		c.persisted(now, point)
+	for len(c.unpersisted) > 0 && c.unpersisted[0].sequence <= sequence {
+		output := c.unpersisted[0]
+		c.unpersisted = c.unpersisted[1:]
+		c.persisted(now, output)
 	}
 }
 
-// persisted counts what one output made durable. Entries that were replaced
-// since then do not count, which their term shows.
-func (c *Core) persisted(now time.Duration, point persistPoint) {
-	if c.log.matches(point.lastIndex, point.lastTerm) {
-		c.log.durable = max(c.log.durable, point.lastIndex)
+// persisted records what one output made durable. The entries count only if the
+// log still holds the last of them in the same term; otherwise they were
+// replaced meanwhile.
+func (c *Core) persisted(now time.Duration, output unpersistedOutput) {
+	if c.log.matches(output.lastIndex, output.lastTerm) {
+		c.log.durable = max(c.log.durable, output.lastIndex)
 	}
-	if c.role == Candidate && point.term == c.term {
+	if c.role == Candidate && output.term == c.term {
 		c.countVote(now, c.settings.Self)
 	}
 	if c.role == Leader {
@@ -315,46 +322,48 @@
 	}
 }
 
-// Take returns what follows from the inputs since the last Take.
+// Take returns the work that results from the inputs since the last Take.
 func (c *Core) Take() Output {
 	if c.role == Leader {
 		c.replicateAll()
 		c.confirmReads()
-		c.tryHandOver()
+		c.tryTransferLeadership()
 	}
 	out := c.out
 	c.out = Output{}
-	out.Committed = c.log.unapplied()
-	c.countCommitted(out.Committed)
-	out.Entries = c.log.unhanded()
+	out.Committed = c.log.takeCommitted()
+	c.releaseCommitted(out.Committed)
+	out.Entries = c.log.takeUnpersisted()
 	if state := (HardState{Term: c.term, Vote: c.vote, Epoch: c.epoch}); state != c.savedHardState {
 		c.savedHardState = state
 		out.HardState = &state
 	}
 	if out.MustSync() {
 		c.sequence++
-		c.points = append(c.points, persistPoint{c.sequence, c.log.last(), c.log.lastTerm(), c.term})
+		c.unpersisted = append(c.unpersisted, unpersistedOutput{c.sequence, c.log.last(), c.log.lastTerm(), c.term})
 	}
 	out.Sequence = c.sequence
-	c.retireIfRemoved()
+	c.stepDownIfRemoved()
 	return out
 }
 
-// countCommitted makes room for new proposals.
-func (c *Core) countCommitted(entries []Entry) {
+// releaseCommitted subtracts committed entries from uncommittedBytes, so that
+// Propose accepts more.
+func (c *Core) releaseCommitted(entries []Entry) {
 	for _, e := range entries {
-		c.uncommitted = max(0, c.uncommitted-e.size())
+		c.uncommittedBytes = max(0, c.uncommittedBytes-e.size())
 	}
 }
 
-// becomeFollower enters a term without knowing its leader.
+// becomeFollower makes this member a follower in a term whose leader it does
+// not know.
 func (c *Core) becomeFollower(now time.Duration, term uint64, reason string) {
 	if c.role == Leader {
 		c.event(EventSteppedDown, Member{}, "%s", reason)
-		c.loseReads()
+		c.failReads()
 	}
 	if c.role != Follower {
-		c.resetElection(now)
+		c.resetElectionTimer(now)
 	}
 	if term > c.term {
 		c.term = term
@@ -362,13 +371,13 @@
 	}
 	c.role = Follower
 	c.forced = false
-	c.handOverUntil = 0
+	c.transferUntil = 0
 	c.leader = Member{}
 	c.progress = nil
 	c.votes = nil
 }
 
-// send queues a message that may go at once.
+// send queues a message that may be sent before the sync.
 func (c *Core) send(m Message) {
 	m.From = c.settings.Self
 	m.Term = c.term
@@ -376,7 +385,8 @@
 	c.out.Messages = append(c.out.Messages, m)
 }
 
-// sendAfterSync queues a message that promises something on disk.
+// sendAfterSync queues a message that may be sent only after the sync, because
+// it promises something that must be on disk.
 func (c *Core) sendAfterSync(m Message) {
 	m.From = c.settings.Self
 	m.Term = c.term
@@ -384,17 +394,17 @@
 	c.out.AfterSync = append(c.out.AfterSync, m)
 }
 
-// event records an explained decision.
+// event records a decision and its reason.
 func (c *Core) event(kind EventKind, member Member, format string, args ...any) {
 	c.out.Events = append(c.out.Events, Event{Kind: kind, Term: c.term, Member: member, Reason: fmt.Sprintf(format, args...)})
 }
 
-// Role returns what this member does at the moment.
+// Role returns the current role.
 func (c *Core) Role() Role {
 	return c.role
 }
 
-// Term returns the highest term seen.
+// Term returns the highest term that this member knows.
 func (c *Core) Term() uint64 {
 	return c.term
 }
@@ -404,9 +414,9 @@
 	return c.leader.Router
 }
 
-// Compact tells that the state machine has written data at index. It returns
-// the snapshot to save, and false if index is not newer than the last one or
-// not applied.
+// Compact reports that the state machine has encoded its state at index as
+// data. It returns the snapshot to save, and false if index is not newer than
+// the last snapshot or not applied.
 func (c *Core) Compact(index uint64, data []byte) (Snapshot, bool) {
 	term, held := c.log.term(index)
 	if !held || index > c.log.applied || index <= c.log.snapshot.Index {
@@ -417,13 +427,14 @@
 	return s, true
 }
 
-// keepFrom returns the last index that may go from memory. Entries behind a
-// snapshot under transfer stay, or its receiver would need another one.
+// keepFrom returns the last index that may be dropped from memory. Entries
+// after a snapshot that is being sent stay, or its receiver would need another
+// snapshot.
 func (c *Core) keepFrom(index uint64) uint64 {
 	from := index - min(index, c.settings.KeepEntries)
 	for _, p := range c.progress {
-		if p.transfer != nil {
-			from = min(from, p.transfer.index)
+		if p.snapshotTransfer != nil {
+			from = min(from, p.snapshotTransfer.index)
 		}
 	}
 	return from
--- a/coordination/consensus/election.go
+++ b/coordination/consensus/election.go
@@ -5,52 +5,54 @@
 	"time"
 )
 
-// campaign starts a pre-vote. A member that was cut off asks here first and
-// gets no, so it never raises the term of a cluster that has a leader.
+// campaign starts a pre-vote. The voters refuse it while they hear a leader, so
+// a member that was partitioned away never raises the term of a cluster that
+// has one.
 func (c *Core) campaign(now time.Duration) {
 	c.role = PreCandidate
 	c.forced = false
 	c.leader = Member{}
 	c.votes = nil
-	c.resetElection(now)
-	c.event(EventBecameCandidate, Member{}, "no leader heard for %s", now-c.contact)
-	c.askVotes(MessagePreVote, c.term+1)
+	c.resetElectionTimer(now)
+	c.event(EventBecameCandidate, Member{}, "no message from a leader for %s", now-c.leaderHeardAt)
+	c.requestVotes(MessagePreVote, c.term+1)
 	c.countVote(now, c.settings.Self)
 }
 
-// askVotes sends a vote request for a term to the other voters.
-func (c *Core) askVotes(kind MessageKind, term uint64) {
+// requestVotes sends a vote request for a term to the other voters.
+func (c *Core) requestVotes(kind MessageKind, term uint64) {
 	configuration, _ := c.log.configuration()
 	targets := configuration.Voters
-	if c.off.countLearners {
+	if c.unsafe.countLearners {
 		targets = configuration.Members()
 	}
 	for _, voter := range targets {
 		if voter == c.settings.Self {
 			continue
 		}
-		// The term asked for travels in Hint: in a pre-vote it is not yet
-		// the sender's own.
+		// Hint carries the term of the election: in a pre-vote the sender has
+		// not entered that term yet.
 		m := Message{Kind: kind, To: voter, Index: c.log.last(), LogTerm: c.log.lastTerm(), Hint: term, Forced: c.forced}
 		c.sendAfterSync(m)
 	}
 }
 
-// runForLeader starts a real election after a won pre-vote. The own vote
-// counts only when it is on disk; see persisted.
-func (c *Core) runForLeader(now time.Duration) {
+// startElection asks for votes after a won pre-vote or a leadership transfer.
+// The member's own vote counts only once it is on disk; see persisted.
+func (c *Core) startElection(now time.Duration) {
 	c.role = Candidate
 	c.term++
 	c.vote = c.settings.Self
 	c.votes = nil
-	c.resetElection(now)
-	c.askVotes(MessageVote, c.term)
+	c.resetElectionTimer(now)
+	c.requestVotes(MessageVote, c.term)
 }
 
-// countVote adds a vote and moves on when a quorum is reached.
+// countVote adds a vote. With a quorum, a pre-candidate starts the election and
+// a candidate becomes the leader.
 func (c *Core) countVote(now time.Duration, from Member) {
 	configuration, _ := c.log.configuration()
-	if !configuration.IsVoter(from) && !c.off.countLearners {
+	if !configuration.IsVoter(from) && !c.unsafe.countLearners {
 		return
 	}
 	c.votes = addVote(c.votes, from)
@@ -58,89 +60,91 @@
 		return
 	}
 	if c.role == PreCandidate {
-		c.runForLeader(now)
+		c.startElection(now)
 		return
 	}
 	c.becomeLeader(now)
 }
 
-// becomeLeader starts a leader's term with an entry of its own.
+// becomeLeader makes this member the leader and appends a no-op in its term.
 func (c *Core) becomeLeader(now time.Duration) {
 	c.role = Leader
 	c.leader = c.settings.Self
 	c.electedAt = now
 	c.heartbeatAt = now
 	c.progress = map[Member]*progress{}
-	c.uncommitted = 0
-	c.ownStart = c.appendOwn(EntryNoop, nil)
+	c.uncommittedBytes = 0
+	c.termStart = c.appendAsLeader(EntryNoop, nil)
 	c.syncProgress()
 	c.event(EventBecameLeader, Member{}, "elected by %d voters", len(c.votes))
 	c.votes = nil
 }
 
-// heardLeaderLately reports whether a leader may still hold a lease that this
-// member's answer supports.
-func (c *Core) heardLeaderLately(now time.Duration) bool {
-	if c.off.ignoreLease {
+// inLease reports whether a leader may still hold a lease that rests on an
+// acknowledgement of this member.
+func (c *Core) inLease(now time.Duration) bool {
+	if c.unsafe.ignoreLease {
 		return false
 	}
 	if c.role == Leader {
-		return now < c.leaseUntil(now)
+		return now < c.quorumLeaseEnd(now)
 	}
-	return now-c.contact < c.settings.ElectionTimeout
+	return now-c.leaderHeardAt < c.settings.ElectionTimeout
 }
 
 // Reasons to refuse a vote.
 const (
-	refusedBlank  = "this disk is blank and never votes"
-	refusedOld    = "the term asked for is old"
-	refusedLease  = "a leader was heard within the election timeout"
-	refusedBehind = "its log is behind"
-	refusedVoted  = "voted for another candidate in this term"
+	refusedBlank        = "the disk of this voter is blank"
+	refusedOldTerm      = "the term of the candidate is old"
+	refusedLease        = "a leader sent a message within the election timeout"
+	refusedLogBehind    = "the log of the candidate is behind"
+	refusedAlreadyVoted = "already voted for another candidate in this term"
 )
 
-// refusal says why a candidate gets no vote, or "".
+// voteRefusalReason returns why a candidate gets no vote, or "".
 //
-// Failure: a voter elects a second leader while the first one still serves
-// reads; a wiped voter helps to elect a leader that lacks committed entries;
-// a candidate without committed entries wins. Each shows as a lost or stale
-// answer long after. The three checks hold because a quorum contains a voter
-// that has the committed entry and refuses, and whose promise to the former
-// leader has run out.
-func (c *Core) refusal(now time.Duration, m Message) string {
+// It guards against three failures: a voter elects a second leader while the
+// first one still serves reads; a voter with a wiped disk helps to elect a
+// leader that lacks committed entries; and a candidate without committed
+// entries wins. Each shows as a lost or stale answer long after. The checks
+// suffice because every quorum contains a voter that holds the committed entry
+// and refuses such a candidate, and whose promise to the former leader must
+// have expired before it votes.
+func (c *Core) voteRefusalReason(now time.Duration, m Message) string {
 	switch {
-	case c.log.blank() && !c.off.blankVotes:
+	case c.log.blank() && !c.unsafe.blankMayVote:
 		return refusedBlank
 	case m.Hint < c.term:
-		return refusedOld
-	case c.heardLeaderLately(now) && !m.Forced:
+		return refusedOldTerm
+	case c.inLease(now) && !m.Forced:
 		return refusedLease
-	case !c.log.isUpToDate(m.Index, m.LogTerm) && !c.off.ignoreLogOfVoter:
-		return refusedBehind
+	case !c.log.isUpToDate(m.Index, m.LogTerm) && !c.unsafe.ignoreCandidateLog:
+		return refusedLogBehind
 	}
 	return ""
 }
 
-// receivePreVote answers whether a vote would be granted. It changes nothing.
+// receivePreVote replies whether this member would grant a vote. It changes
+// neither term nor vote.
 func (c *Core) receivePreVote(now time.Duration, m Message) {
-	c.sight(now, m)
-	reason := c.refusal(now, m)
+	c.recordDiscovered(now, m)
+	reason := c.voteRefusalReason(now, m)
 	if reason != "" {
 		c.event(EventVoteRefused, m.From, "%s", reason)
 	}
 	c.send(Message{Kind: MessagePreVoteReply, To: m.From, Hint: m.Hint, Reject: reason != ""})
 }
 
-// receiveVote grants at most one vote a term. The vote is on disk before the
-// answer leaves: a restarted voter would else vote twice in one term.
+// receiveVote grants at most one vote per term. The vote is on disk before the
+// reply is sent; otherwise a voter could restart and vote twice in one term.
 func (c *Core) receiveVote(now time.Duration, m Message) {
-	reason := c.refusal(now, m)
-	mayRaise := reason == "" || reason == refusedBehind
+	reason := c.voteRefusalReason(now, m)
+	mayRaise := reason == "" || reason == refusedLogBehind
 	if mayRaise && m.Hint > c.term {
 		c.becomeFollower(now, m.Hint, "a candidate asked for a vote in a newer term")
 	}
 	if reason == "" && !c.vote.IsZero() && c.vote != m.From {
-		reason = refusedVoted
+		reason = refusedAlreadyVoted
 	}
 	reply := Message{Kind: MessageVoteReply, To: m.From, Hint: m.Hint, Reject: reason != ""}
 	if reason != "" {
@@ -149,19 +153,19 @@
 		return
 	}
 	c.vote = m.From
-	c.resetElection(now)
-	c.event(EventVoteGranted, m.From, "its log is complete and no leader was heard")
-	if c.off.answerVoteUnsynced {
+	c.resetElectionTimer(now)
+	c.event(EventVoteGranted, m.From, "its log is up to date and no lease forbids the vote")
+	if c.unsafe.answerVoteUnsynced {
 		c.send(reply)
 		return
 	}
 	c.sendAfterSync(reply)
 }
 
-// receiveVoteReply counts an answer to the election that is running.
+// receiveVoteReply counts a granted vote or pre-vote of the current election.
 func (c *Core) receiveVoteReply(now time.Duration, m Message) {
 	if m.Term > c.term && m.Reject {
-		c.becomeFollower(now, m.Term, "a voter knows a newer term")
+		c.becomeFollower(now, m.Term, "a voter reported a newer term")
 		return
 	}
 	if m.Reject {
--- a/coordination/consensus/entry.go
+++ b/coordination/consensus/entry.go
@@ -1,21 +1,21 @@
 package consensus
 
-// EntryKind says how an entry of the log is to be read.
+// EntryKind is the type of a log entry.
 type EntryKind uint8
 
 const (
-	// EntryNoop carries nothing. A leader writes one at its start, because
-	// only an entry of its own term proves which older entries are committed.
+	// EntryNoop has no data. A leader appends one when it is elected, because
+	// older entries are committed only together with an entry of its own term.
 	EntryNoop EntryKind = iota
 	// EntryCommand carries a command for the state machine.
 	EntryCommand
-	// EntryConfiguration carries an encoded Configuration. It is in use from
-	// the moment it is in the log, committed or not.
+	// EntryConfiguration carries an encoded Configuration, which takes effect
+	// as soon as the entry is in the log, committed or not.
 	EntryConfiguration
 )
 
-// Entry is one entry of the replicated log. Indexes start at 1 and have no
-// holes.
+// Entry is one entry of the replicated log. Indexes start at 1 and are
+// contiguous.
 type Entry struct {
 	Index uint64    `msgpack:"i"`
 	Term  uint64    `msgpack:"t"`
@@ -23,7 +23,7 @@
 	Data  []byte    `msgpack:"d,omitempty"`
 }
 
-// entryOverhead estimates the encoded size of an entry without its data, in
+// entryOverhead is the estimated encoded size of an entry without its data, in
 // bytes.
 const entryOverhead = 24
 
@@ -32,31 +32,31 @@
 	return entryOverhead + len(e.Data)
 }
 
-// HardState is what a member must not forget besides its log.
+// HardState is what a member must keep on disk besides its log.
 type HardState struct {
-	// Term is the highest term the member has seen.
+	// Term is the highest term that the member knows.
 	Term uint64
 	// Vote is the member it voted for in Term, or zero.
 	Vote Member
-	// Epoch counts the recoveries from a lost quorum. Members of an older
-	// epoch have no say; see superseded.
+	// Epoch counts the recoveries from a lost quorum. Messages from an older
+	// epoch are rejected; see acceptEpoch.
 	Epoch uint64
 }
 
-// Snapshot stands for the log up to Index.
+// Snapshot replaces the log up to and including Index.
 type Snapshot struct {
 	Index         uint64        `msgpack:"i"`
 	Term          uint64        `msgpack:"t"`
 	Configuration Configuration `msgpack:"c"`
-	// Data is the state machine's own encoding.
+	// Data is the encoded state of the state machine.
 	Data []byte `msgpack:"d"`
 }
 
-// Stored is what a member reads back from its disk when it starts.
+// Stored is what a member reads from its disk when it starts.
 type Stored struct {
 	HardState HardState
 	// Snapshot has Index 0 when there is none.
 	Snapshot Snapshot
-	// Entries follow the snapshot without a hole.
+	// Entries follow the snapshot without a gap.
 	Entries []Entry
 }
--- a/coordination/consensus/log.go
+++ b/coordination/consensus/log.go
@@ -5,54 +5,54 @@
 	"slices"
 )
 
-// placedConfiguration is a configuration and the index of its entry.
-type placedConfiguration struct {
+// indexedConfiguration is a configuration and the index of its entry.
+type indexedConfiguration struct {
 	index         uint64
 	configuration Configuration
 }
 
-// memoryLog is the log as the member sees it, synced or not.
+// memoryLog is the log in memory, synced or not.
 type memoryLog struct {
 	// snapshot is the newest snapshot, Index 0 if none.
 	snapshot Snapshot
-	// base and baseTerm name the entry before entries[0].
+	// base and baseTerm are the index and term of the entry before entries[0].
 	base, baseTerm uint64
 	entries        []Entry
 	// commit is the highest index known to be committed.
 	commit uint64
-	// applied is the highest index handed out as committed.
+	// applied is the highest index that Take has returned as committed.
 	applied uint64
-	// handed is the highest index handed out to be persisted.
-	handed uint64
+	// taken is the highest index that Take has returned to be persisted.
+	taken uint64
 	// durable is the highest index known to be synced.
 	durable uint64
-	// configurations holds the one in force at base, if any, and every later
-	// one, in order of index.
-	configurations []placedConfiguration
+	// configurations holds the one in force at base, if any, and all later
+	// ones, ordered by index.
+	configurations []indexedConfiguration
 }
 
-// newMemoryLog rebuilds the log from disk.
+// newMemoryLog rebuilds the log from the content of a disk.
 func newMemoryLog(stored Stored) memoryLog {
 	l := memoryLog{}
 	l.restore(stored.Snapshot)
 	l.append(stored.Entries)
-	l.handed = l.last()
+	l.taken = l.last()
 	l.durable = l.last()
 	return l
 }
 
-// restore replaces everything by a snapshot.
+// restore replaces the whole log by a snapshot.
 func (l *memoryLog) restore(s Snapshot) {
 	*l = memoryLog{
 		snapshot: s, base: s.Index, baseTerm: s.Term,
-		commit: s.Index, applied: s.Index, handed: s.Index,
+		commit: s.Index, applied: s.Index, taken: s.Index,
 	}
 	if s.Index > 0 {
-		l.configurations = []placedConfiguration{{s.Index, s.Configuration}}
+		l.configurations = []indexedConfiguration{{s.Index, s.Configuration}}
 	}
 }
 
-// blank reports whether there is neither entry nor snapshot.
+// blank reports whether there is neither an entry nor a snapshot.
 func (l *memoryLog) blank() bool {
 	return l.last() == 0
 }
@@ -79,32 +79,32 @@
 	return l.entries[index-l.base-1].Term, true
 }
 
-// matches reports whether the log holds that entry.
+// matches reports whether the log holds the entry with that index and term.
 func (l *memoryLog) matches(index, term uint64) bool {
 	own, ok := l.term(index)
 	return ok && own == term
 }
 
-// isUpToDate reports whether a log that ends so is at least as complete as
-// this one.
+// isUpToDate reports whether a log that ends with the given entry is at least
+// as complete as this one.
 func (l *memoryLog) isUpToDate(index, term uint64) bool {
 	return term > l.lastTerm() || term == l.lastTerm() && index >= l.last()
 }
 
-// append adds entries that follow the last one, and puts configurations in
-// use.
+// append adds entries that follow the last one. Configurations among them take
+// effect.
 func (l *memoryLog) append(entries []Entry) {
 	for _, e := range entries {
 		if e.Index != l.last()+1 {
-			panic(fmt.Sprintf("consensus: invariant broken: the log has no holes: entry %d after %d", e.Index, l.last()))
+			panic(fmt.Sprintf("consensus: invariant broken: log entries are contiguous: entry %d after %d", e.Index, l.last()))
 		}
 		l.entries = append(l.entries, e)
-		l.place(e)
+		l.trackConfiguration(e)
 	}
 }
 
-// place puts the configuration of an entry in use.
-func (l *memoryLog) place(e Entry) {
+// trackConfiguration makes a configuration entry the one in use.
+func (l *memoryLog) trackConfiguration(e Entry) {
 	if e.Kind != EntryConfiguration {
 		return
 	}
@@ -112,7 +112,7 @@
 	if err != nil {
 		panic("consensus: invariant broken: configuration entries are checked before they are appended: " + err.Error())
 	}
-	l.configurations = append(l.configurations, placedConfiguration{e.Index, c})
+	l.configurations = append(l.configurations, indexedConfiguration{e.Index, c})
 }
 
 // truncate drops the entries from index on.
@@ -121,14 +121,14 @@
 		panic(fmt.Sprintf("consensus: invariant broken: a committed entry is never replaced: entry %d, committed %d", index, l.commit))
 	}
 	l.entries = slices.Clone(l.entries[:index-l.base-1])
-	l.handed = min(l.handed, index-1)
+	l.taken = min(l.taken, index-1)
 	l.durable = min(l.durable, index-1)
-	l.configurations = slices.DeleteFunc(l.configurations, func(p placedConfiguration) bool { return p.index >= index })
+	l.configurations = slices.DeleteFunc(l.configurations, func(p indexedConfiguration) bool { return p.index >= index })
 }
 
-// merge appends entries from a leader and returns the index of the first one
-// that replaced another, or 0. Entries already held are skipped, so that a
-// late copy of an old message drops nothing.
+// merge appends entries from a leader and returns the index of the first entry
+// that it replaced, or 0. It skips entries that the log already holds, so that
+// a late copy of an old message drops nothing.
 func (l *memoryLog) merge(entries []Entry) uint64 {
 	for i, e := range entries {
 		if l.matches(e.Index, e.Term) || e.Index <= l.base {
@@ -145,8 +145,8 @@
 	return 0
 }
 
-// slice returns entries from index on, at least one if there is one, up to
-// limit bytes.
+// slice returns entries from index on, up to limit bytes but at least one if
+// there is one.
 func (l *memoryLog) slice(index uint64, limit int) []Entry {
 	if index > l.last() {
 		return nil
@@ -162,15 +162,16 @@
 	return tail[:len(tail):len(tail)]
 }
 
-// unhanded returns the entries not yet handed out to be persisted.
-func (l *memoryLog) unhanded() []Entry {
-	entries := slices.Clone(l.entries[l.handed-l.base:])
-	l.handed = l.last()
+// takeUnpersisted returns the entries that Take has not yet returned to be
+// persisted.
+func (l *memoryLog) takeUnpersisted() []Entry {
+	entries := slices.Clone(l.entries[l.taken-l.base:])
+	l.taken = l.last()
 	return entries
 }
 
-// unapplied returns the committed entries not yet handed out.
-func (l *memoryLog) unapplied() []Entry {
+// takeCommitted returns the committed entries that Take has not yet returned.
+func (l *memoryLog) takeCommitted() []Entry {
 	entries := slices.Clone(l.entries[l.applied-l.base : l.commit-l.base])
 	l.applied = l.commit
 	return entries
@@ -185,7 +186,7 @@
 	return p.configuration, p.index
 }
 
-// configurationAt returns the configuration in use at an index.
+// configurationAt returns the configuration in use at index.
 func (l *memoryLog) configurationAt(index uint64) Configuration {
 	found := Configuration{}
 	for _, p := range l.configurations {
@@ -196,9 +197,9 @@
 	return found
 }
 
-// agreement returns the last entry at or before index whose term is at most
-// term: the latest point at which two logs may agree.
-func (l *memoryLog) agreement(index, term uint64) (uint64, uint64) {
+// latestPossibleMatch returns the last entry at or before index whose term is
+// at most term: the latest point at which two logs may agree.
+func (l *memoryLog) latestPossibleMatch(index, term uint64) (uint64, uint64) {
 	index = min(index, l.last())
 	for index > l.base {
 		own, _ := l.term(index)
@@ -210,18 +211,17 @@
 	return l.base, l.baseTerm
 }
 
-// compact makes a snapshot of the state at index the newest one and drops
-// entries up to keepFrom.
+// compact makes s the newest snapshot and drops the entries up to keepFrom.
 func (l *memoryLog) compact(s Snapshot, keepFrom uint64) {
 	l.snapshot = s
-	keepFrom = min(keepFrom, s.Index, l.handed)
+	keepFrom = min(keepFrom, s.Index, l.taken)
 	if keepFrom <= l.base {
 		return
 	}
 	term, _ := l.term(keepFrom)
-	inForce := placedConfiguration{keepFrom, l.configurationAt(keepFrom)}
-	later := slices.DeleteFunc(slices.Clone(l.configurations), func(p placedConfiguration) bool { return p.index <= keepFrom })
-	l.configurations = append([]placedConfiguration{inForce}, later...)
+	inForce := indexedConfiguration{keepFrom, l.configurationAt(keepFrom)}
+	later := slices.DeleteFunc(slices.Clone(l.configurations), func(p indexedConfiguration) bool { return p.index <= keepFrom })
+	l.configurations = append([]indexedConfiguration{inForce}, later...)
 	l.entries = slices.Clone(l.entries[keepFrom-l.base:])
 	l.base, l.baseTerm = keepFrom, term
 }
--- a/coordination/consensus/member.go
+++ b/coordination/consensus/member.go
@@ -9,9 +9,9 @@
 	"endiveplank/protocol"
 )
 
-// DiskID names one formatted data folder. It is drawn at random when the
-// folder is first used, so a wiped or exchanged disk has another one. Zero
-// means unknown.
+// DiskID identifies one formatted data folder. It is drawn at random when the
+// folder is first used, so a wiped or exchanged disk has a new one. Zero means
+// unknown.
 type DiskID uint64
 
 // String returns the identifier as 16 hexadecimal digits.
@@ -20,8 +20,8 @@
 }
 
 // Member is one holder of a copy of the log: a router together with the disk
-// it writes to. A router that comes back with another disk is another member
-// and inherits neither vote nor acknowledgements.
+// that it writes to. A router that comes back with another disk is another
+// member and inherits neither votes nor acknowledgements.
 type Member struct {
 	Router protocol.RouterID `msgpack:"r"`
 	Disk   DiskID            `msgpack:"d"`
@@ -32,13 +32,13 @@
 	return string(m.Router) + "/" + m.Disk.String()
 }
 
-// IsZero reports whether m names nobody.
+// IsZero reports whether m is the zero Member.
 func (m Member) IsZero() bool {
 	return m == Member{}
 }
 
-// Configuration is the set of members. Voters elect and commit; learners only
-// receive the log.
+// Configuration is the set of members. Voters elect leaders and commit entries;
+// learners only receive the log.
 type Configuration struct {
 	Voters   []Member `msgpack:"v"`
 	Learners []Member `msgpack:"l,omitempty"`
@@ -59,7 +59,7 @@
 	return c.IsVoter(m) || c.IsLearner(m)
 }
 
-// Quorum returns the number of voters that must agree.
+// Quorum returns the number of voters that form a majority.
 func (c Configuration) Quorum() int {
 	return len(c.Voters)/2 + 1
 }
@@ -69,19 +69,19 @@
 	return slices.Concat(c.Voters, c.Learners)
 }
 
-// ChangeKind says what a membership change does.
+// ChangeKind is the type of a membership change.
 type ChangeKind uint8
 
 const (
-	// AddLearner lets a member receive the log.
+	// AddLearner adds a member that receives the log without voting.
 	AddLearner ChangeKind = iota + 1
-	// Promote makes a caught-up learner a voter.
+	// Promote makes a learner that has caught up a voter.
 	Promote
-	// Remove takes a voter or learner out.
+	// Remove removes a voter or learner.
 	Remove
 )
 
-// String returns the change in words.
+// String returns the name of the change.
 func (k ChangeKind) String() string {
 	switch k {
 	case AddLearner:
@@ -94,16 +94,16 @@
 	return "no change"
 }
 
-// Change is one membership step: it adds or removes at most one voter.
+// Change is one membership change. It adds or removes at most one voter.
 type Change struct {
 	Kind   ChangeKind
 	Member Member
-	// Reason is told in the event.
+	// Reason appears in the event of the change.
 	Reason string
 }
 
-// Apply returns the configuration after one change. The receiver is left as
-// it is. A change that does not fit returns ErrUnsafeChange.
+// Apply returns the configuration after a change and leaves the receiver as it
+// is. It returns ErrUnsafeChange if the change does not fit the configuration.
 func (c Configuration) Apply(change Change) (Configuration, error) {
 	next := Configuration{Voters: slices.Clone(c.Voters), Learners: slices.Clone(c.Learners)}
 	is := func(m Member) bool { return m == change.Member }
@@ -132,7 +132,7 @@
 	return data
 }
 
-// decodeConfiguration reads the data of a configuration entry.
+// decodeConfiguration decodes the data of a configuration entry.
 func decodeConfiguration(data []byte) (Configuration, error) {
 	var c Configuration
 	err := msgpack.Unmarshal(data, &c)
--- a/coordination/consensus/membership.go
+++ b/coordination/consensus/membership.go
@@ -2,25 +2,27 @@
 
 import "time"
 
-// changePending reports whether a membership change must wait.
+// changePending reports whether a new membership change has to wait.
 //
-// Failure: with two changes in flight, or one started before the leader
-// committed in its own term, two sets of voters without a common member can
-// each elect a leader; both commit and the table splits. One committed step
-// at a time keeps a member common to any two quorums that can decide.
+// Failure: two changes are in flight, or one starts before the leader has
+// committed an entry in its own term. Then two sets of voters without a common
+// member can each elect a leader, both leaders commit, and the table splits.
+// With one committed change at a time, any two quorums that can decide have a
+// member in common.
 func (c *Core) changePending() bool {
 	_, index := c.log.configuration()
-	return index > c.log.commit || c.log.commit < c.ownStart
+	return index > c.log.commit || c.log.commit < c.termStart
 }
 
-// ChangeMembership starts one membership step. It is done when an entry with
-// it is committed. Errors: ErrNotLeader, ErrChangePending, ErrUnsafeChange.
+// ChangeMembership starts one membership change. The change is complete when
+// its entry is committed. Errors: ErrNotLeader, ErrChangePending,
+// ErrUnsafeChange.
 func (c *Core) ChangeMembership(now time.Duration, change Change) error {
 	c.now = now
 	if c.role != Leader {
 		return ErrNotLeader{Leader: c.Leader()}
 	}
-	if c.changePending() && !c.off.manyChangesAtOnce {
+	if c.changePending() && !c.unsafe.concurrentChanges {
 		return ErrChangePending{}
 	}
 	configuration, _ := c.log.configuration()
@@ -28,19 +30,20 @@
 	if err != nil {
 		return err
 	}
-	if reason := c.endangers(change, next); reason != "" {
+	if reason := c.unsafeChangeReason(change, next); reason != "" {
 		return ErrUnsafeChange{Change: change, Reason: reason}
 	}
-	c.appendOwn(EntryConfiguration, encodeConfiguration(next))
+	c.appendAsLeader(EntryConfiguration, encodeConfiguration(next))
 	c.syncProgress()
-	c.event(EventConfiguration, change.Member, "%s, as %s: %d voters, %d learners", change.Kind, change.Reason, len(next.Voters), len(next.Learners))
+	c.event(EventConfigurationChanged, change.Member, "%s (%s): now %d voters, %d learners", change.Kind, change.Reason, len(next.Voters), len(next.Learners))
 	return nil
 }
 
-// endangers says why a change would leave no working quorum, or "". A promoted
-// learner must hold the log: else every commit would wait for its catch-up.
-func (c *Core) endangers(change Change, next Configuration) string {
-	if c.off.manyChangesAtOnce {
+// unsafeChangeReason returns why a change would leave no working quorum, or "".
+// A learner must hold the log before it is promoted; otherwise every commit
+// could wait until it has caught up.
+func (c *Core) unsafeChangeReason(change Change, next Configuration) string {
+	if c.unsafe.concurrentChanges {
 		return ""
 	}
 	if change.Kind == Promote && !c.isCaughtUp(c.progress[change.Member]) {
@@ -49,16 +52,17 @@
 	if change.Kind == AddLearner || len(next.Voters) == 0 {
 		return ""
 	}
-	if c.ready(next) < next.Quorum() {
-		return "too few of the voters left answer and hold the log"
+	if c.countReadyVoters(next) < next.Quorum() {
+		return "too few of the remaining voters answer and hold the log"
 	}
 	return ""
 }
 
-// ready counts the voters of a configuration that answered lately and hold
-// the log. Answering alone is not enough: a voter that lost power before its
-// first sync is blank, refuses votes, and may be the one that is needed.
-func (c *Core) ready(configuration Configuration) int {
+// countReadyVoters counts the voters of a configuration that answered recently
+// and hold the log. An answer alone is not enough: a voter that lost power
+// before its first sync answers, but it is blank and refuses votes, and its
+// vote may be the one that is needed.
+func (c *Core) countReadyVoters(configuration Configuration) int {
 	count := 0
 	for _, voter := range configuration.Voters {
 		p := c.progress[voter]
@@ -69,9 +73,9 @@
 	return count
 }
 
-// retireIfRemoved ends leadership once the removal of this leader is
+// stepDownIfRemoved ends leadership once the removal of this leader is
 // committed.
-func (c *Core) retireIfRemoved() {
+func (c *Core) stepDownIfRemoved() {
 	configuration, index := c.log.configuration()
 	if c.role == Leader && index <= c.log.commit && !configuration.IsVoter(c.settings.Self) {
 		c.becomeFollower(c.now, c.term, "this voter was removed")
--- a/coordination/consensus/message.go
+++ b/coordination/consensus/message.go
@@ -6,59 +6,62 @@
 	"endiveplank/protocol"
 )
 
-// MessageKind says what a message asks or answers.
+// MessageKind is the type of a message.
 type MessageKind uint8
 
 const (
-	// MessageHello tells of a member that no leader serves yet.
+	// MessageHello announces a member that receives no messages from a leader,
+	// or replies to such a hello.
 	MessageHello MessageKind = iota + 1
-	// MessageGenesis carries the first configuration to a blank member.
-	MessageGenesis
+	// MessageBootstrap carries the first configuration to a blank member.
+	MessageBootstrap
 	// MessagePreVote asks whether a vote would be granted.
 	MessagePreVote
-	// MessagePreVoteReply answers MessagePreVote.
+	// MessagePreVoteReply replies to MessagePreVote.
 	MessagePreVoteReply
 	// MessageVote asks for a vote.
 	MessageVote
-	// MessageVoteReply answers MessageVote.
+	// MessageVoteReply replies to MessageVote.
 	MessageVoteReply
-	// MessageAppend carries entries; without entries it is a heartbeat.
+	// MessageAppend carries entries; a heartbeat has none.
 	MessageAppend
-	// MessageAppendReply acknowledges or refuses MessageAppend.
+	// MessageAppendReply acknowledges or rejects MessageAppend.
 	MessageAppendReply
 	// MessageSnapshot carries one chunk of a snapshot; an empty chunk is a
 	// heartbeat.
 	MessageSnapshot
-	// MessageSnapshotReply tells how much of a snapshot has arrived.
+	// MessageSnapshotReply reports how much of a snapshot has arrived.
 	MessageSnapshotReply
-	// MessageHandOver asks a voter to campaign at once: the leader has given
-	// up its lease.
-	MessageHandOver
+	// MessageTimeoutNow asks a voter to campaign at once, after the leader has
+	// stepped down.
+	MessageTimeoutNow
 )
 
-// Message is everything members say to each other. One flat struct keeps the
-// encoding small; the kind says which fields are set. It goes over TCP framed
+// Message is the single message type between members. One flat struct keeps the
+// encoding small; Kind says which fields are set. It is sent over TCP, framed
 // as msgpack.
 type Message struct {
 	Kind MessageKind `msgpack:"k"`
 	From Member      `msgpack:"f"`
-	// To names router and disk, so that a message meant for a wiped disk is
-	// not taken by its successor. MessageHello may leave the disk unknown.
+	// To includes the disk, so that a message to a wiped disk is not accepted
+	// by the disk that replaces it. In a MessageHello the disk may be unknown.
 	To   Member `msgpack:"o"`
 	Term uint64 `msgpack:"t,omitempty"`
-	// Epoch is HardState.Epoch of the sender.
+	// Epoch is the HardState.Epoch of the sender.
 	Epoch uint64 `msgpack:"n,omitempty"`
-	// Index and LogTerm are the sender's last entry (votes), the entry before
-	// Entries (append), the matched entry (append reply) or the snapshot's
-	// last entry (snapshot).
+	// Index and LogTerm name an entry: the last of the sender (votes), the one
+	// before Entries (append), the last that matches (append reply) or the last
+	// one in the snapshot (snapshot).
 	Index   uint64  `msgpack:"i,omitempty"`
 	LogTerm uint64  `msgpack:"l,omitempty"`
 	Entries []Entry `msgpack:"e,omitempty"`
 	Commit  uint64  `msgpack:"c,omitempty"`
-	// Sent is the leader's clock when it sent; replies echo it.
+	// Sent is when the leader sent the message, by its own clock. Replies echo
+	// it.
 	Sent time.Duration `msgpack:"s,omitempty"`
-	// Reject marks a refusal; Hint and HintTerm then tell the leader where
-	// the logs may agree.
+	// Reject marks a refusal. In an append reply, Hint and HintTerm then name
+	// the latest entry at which the logs may agree. In vote requests and their
+	// replies, Hint is the term of the election.
 	Reject   bool   `msgpack:"x,omitempty"`
 	Hint     uint64 `msgpack:"h,omitempty"`
 	HintTerm uint64 `msgpack:"g,omitempty"`
@@ -66,15 +69,16 @@
 	Chunk *Chunk `msgpack:"p,omitempty"`
 	// Configuration is set in MessageGenesis.
 	Configuration *Configuration `msgpack:"v,omitempty"`
-	// Forced marks a vote request after MessageHandOver.
+	// Forced marks a vote request after MessageTimeoutNow. Voters grant it even
+	// while they have promised the former leader not to vote.
 	Forced bool `msgpack:"w,omitempty"`
-	// Blank says that the sender has neither log nor snapshot.
+	// Blank means that the sender has neither entries nor a snapshot.
 	Blank bool `msgpack:"b,omitempty"`
-	// Leader is set in MessageHello of an open cluster: the router that the
-	// sender takes for the leader.
+	// Leader is set in a MessageHello of an open cluster: the router that the
+	// sender considers the leader.
 	Leader protocol.RouterID `msgpack:"d,omitempty"`
-	// Answer marks a MessageHello that answers another.
-	Answer bool `msgpack:"a,omitempty"`
+	// Reply marks a MessageHello that replies to another.
+	Reply bool `msgpack:"a,omitempty"`
 }
 
 // Chunk is a part of an encoded snapshot.
--- a/coordination/consensus/open_test.go
+++ b/coordination/consensus/open_test.go
@@ -10,159 +10,164 @@
 	"endiveplank/protocol"
 )
 
-// openWorld has hosts that know only the first three of them, of which the
-// first start of the fleet makes voters.
-func openWorld(seed uint64, hosts int) *world {
-	w := newWorld(seed, hosts, 3)
-	w.settings.Open = true
-	for _, h := range w.hosts {
-		w.start(h)
+// newOpenSimulation returns an open cluster whose hosts know only the first
+// three of them. These three become voters at the first start of the fleet.
+func newOpenSimulation(seed uint64, hosts int) *simulation {
+	sim := newSimulation(seed, hosts, 3)
+	sim.settings.Open = true
+	for _, h := range sim.hosts {
+		sim.start(h)
 	}
-	return w
+	return sim
 }
 
-// startWith boots a host that knows other routers than the rest and takes no
+// startWithPeers boots a host that knows the given routers only and takes no
 // part in a first start.
-func (w *world) startWith(h *host, contacts ...protocol.RouterID) {
-	w.start(h)
+func (sim *simulation) startWithPeers(h *host, contacts ...protocol.RouterID) {
+	sim.start(h)
 	h.core.settings.InitialVoters = nil
-	h.core.SetContacts(contacts)
+	h.core.SetPeers(contacts)
 }
 
-// admit lets the leader take in whoever asks, as package repair would.
-func (w *world) admit(rounds int) {
+// admitJoining makes the leader add learners and promote them, as package
+// repair would.
+func (sim *simulation) admitJoining(rounds int) {
 	for range rounds {
-		w.run(200 * time.Millisecond)
-		leader := w.leader()
+		sim.run(200 * time.Millisecond)
+		leader := sim.leader()
 		if leader == nil {
 			continue
 		}
 		s := leader.core.Status()
 		for _, p := range s.Peers {
 			if !p.Voter && p.CaughtUp {
-				_ = leader.core.ChangeMembership(w.clock(leader), Change{Kind: Promote, Member: p.Member, Reason: "test"})
+				_ = leader.core.ChangeMembership(sim.clock(leader), Change{Kind: Promote, Member: p.Member, Reason: "test"})
 			}
 		}
-		for _, seen := range s.Sightings {
-			_ = leader.core.ChangeMembership(w.clock(leader), Change{Kind: AddLearner, Member: seen.Member, Reason: "test"})
+		for _, found := range s.Discovered {
+			_ = leader.core.ChangeMembership(sim.clock(leader), Change{Kind: AddLearner, Member: found.Member, Reason: "test"})
 		}
-		w.take(leader)
+		sim.take(leader)
 	}
 }
 
 func TestDiskVMsFindEachOtherFromThreeSeeds(t *testing.T) {
-	// A platform starts five disk VMs and tells each of them the same three
-	// addresses, and not how many there are. Without a list of all, none of
-	// them may wait for the others for ever, and all five must end as voters.
-	w := openWorld(11, 5)
-	w.admit(30)
-	c, _ := w.leader().core.log.configuration()
+	// Guards against members of an open cluster that wait for each other for
+	// ever. A platform starts five disk VMs, gives each the same three
+	// addresses, and does not tell them how many there are. All five must
+	// become voters.
+	sim := newOpenSimulation(11, 5)
+	sim.admitJoining(30)
+	c, _ := sim.leader().core.log.configuration()
 	assert.Equal(t, len(c.Voters), 5)
-	w.commit(t, 2)
-	assert.Equal(t, w.violation, "")
+	sim.commit(t, 2)
+	assert.Equal(t, sim.violation, "")
 }
 
 func TestARouterFindsTheLeaderThroughOneThatOnlyFollows(t *testing.T) {
-	// All VMs that a newcomer was told of have been replaced but one, and that
-	// one does not lead. Asking it alone must be enough: only the leader takes
-	// newcomers in, and nobody else tells the newcomer where it is.
-	w := openWorld(12, 4)
-	w.hosts[3].down = true
-	w.run(5 * time.Second)
-	leader := w.leader()
-	follower := w.others(leader)[0]
-	w.format(w.hosts[3])
-	w.startWith(w.hosts[3], follower.router)
-	w.admit(15)
-	c, _ := w.leader().core.log.configuration()
-	assert.Assert(t, c.IsVoter(w.hosts[3].self()))
-	assert.Equal(t, w.violation, "")
+	// Guards against a new member that never finds the leader. All addresses
+	// that it was given have been replaced, except one, which belongs to a
+	// follower. Only the leader admits new members, so the follower has to name
+	// it.
+	sim := newOpenSimulation(12, 4)
+	sim.hosts[3].down = true
+	sim.run(5 * time.Second)
+	leader := sim.leader()
+	follower := sim.others(leader)[0]
+	sim.format(sim.hosts[3])
+	sim.startWithPeers(sim.hosts[3], follower.router)
+	sim.admitJoining(15)
+	c, _ := sim.leader().core.log.configuration()
+	assert.Assert(t, c.IsVoter(sim.hosts[3].self()))
+	assert.Equal(t, sim.violation, "")
 }
 
 func TestARemovedVoterThatReturnsIsTakenInAgain(t *testing.T) {
-	// A voter was silent for so long that it was removed. It comes back with
-	// its disk and an old configuration, and knows only a follower. It must
-	// not stay outside for good.
-	w := openWorld(13, 4)
-	w.admit(20)
-	leader := w.leader()
-	back := w.others(leader)[0]
-	w.crash(back)
-	w.run(3 * time.Second)
-	leader = w.leader()
-	assert.NilError(t, leader.core.ChangeMembership(w.clock(leader), Change{Kind: Remove, Member: back.self(), Reason: "silent"}))
-	w.take(leader)
-	w.run(time.Second)
-	follower := w.hosts[slices.IndexFunc(w.hosts, func(h *host) bool { return h != back && h != leader })]
-	w.startWith(back, follower.router)
-	w.admit(40)
-	c, _ := w.leader().core.log.configuration()
+	// Guards against a removed voter that stays outside for ever. It was silent
+	// for so long that it was removed; it returns with its disk and an old
+	// configuration, and knows only a follower.
+	sim := newOpenSimulation(13, 4)
+	sim.admitJoining(20)
+	leader := sim.leader()
+	back := sim.others(leader)[0]
+	sim.crash(back)
+	sim.run(3 * time.Second)
+	leader = sim.leader()
+	assert.NilError(t, leader.core.ChangeMembership(sim.clock(leader), Change{Kind: Remove, Member: back.self(), Reason: "silent"}))
+	sim.take(leader)
+	sim.run(time.Second)
+	follower := sim.hosts[slices.IndexFunc(sim.hosts, func(h *host) bool { return h != back && h != leader })]
+	sim.startWithPeers(back, follower.router)
+	sim.admitJoining(40)
+	c, _ := sim.leader().core.log.configuration()
 	assert.Assert(t, c.IsVoter(back.self()))
-	assert.Equal(t, w.violation, "")
+	assert.Equal(t, sim.violation, "")
 }
 
 func TestWipedSeedsOfAnOpenFleetFormNoSecondCluster(t *testing.T) {
-	// The fleet has moved on to other VMs; its three first ones come back with
-	// empty disks while the rest is cut off. They are not told that this is a
-	// first start, so they must wait: two tables would run beside each other.
-	w := openWorld(14, 4)
-	holder := w.hosts[3]
+	// Guards against a second cluster whose table diverges from the first. The
+	// initial voters were replaced by other VMs, and come back with empty disks
+	// while the holder of the log is isolated. They are not told that this is a
+	// first start, so they must wait.
+	sim := newOpenSimulation(14, 4)
+	holder := sim.hosts[3]
 	c := Configuration{Voters: []Member{holder.self()}}
 	first := Entry{Index: 1, Term: 5, Kind: EntryConfiguration, Data: encodeConfiguration(c)}
 	holder.disk.stored = Stored{HardState: HardState{Term: 5}, Entries: []Entry{first}}
-	w.start(holder)
-	w.isolate(holder, true)
-	for _, h := range w.hosts[:3] {
-		w.format(h)
-		w.startWith(h, w.settings.Peers[:3]...)
+	sim.start(holder)
+	sim.isolate(holder, true)
+	for _, h := range sim.hosts[:3] {
+		sim.format(h)
+		sim.startWithPeers(h, sim.settings.Peers[:3]...)
 	}
-	w.run(20 * time.Second)
-	for _, h := range w.hosts[:3] {
+	sim.run(20 * time.Second)
+	for _, h := range sim.hosts[:3] {
 		assert.Assert(t, h.core.log.blank())
 	}
-	w.isolate(holder, false)
-	w.run(time.Second)
-	assert.Equal(t, w.leader(), holder)
+	sim.isolate(holder, false)
+	sim.run(time.Second)
+	assert.Equal(t, sim.leader(), holder)
 }
 
 func TestAClusterThatLostPowerLeadsAgainWithinARound(t *testing.T) {
-	// All VMs of a platform lose power and are back a second later. Until the
-	// disk VMs have a leader no router knows the table, and every caller is
-	// refused. With a lease, each voter would first wait out what it may have
-	// promised before.
-	w := openWorld(15, 5)
-	w.settings.Leaseless = true
-	w.admit(30)
-	w.commit(t, 3)
-	for _, h := range w.hosts {
-		w.crash(h)
+	// Guards against a long time without a leader after a power loss. All VMs
+	// lose power and return a second later. Until there is a leader no router
+	// knows the table, and every caller is refused. With leases, each voter
+	// would first wait until any lease that it may have acknowledged has ended.
+	sim := newOpenSimulation(15, 5)
+	sim.settings.Leaseless = true
+	sim.admitJoining(30)
+	sim.commit(t, 3)
+	for _, h := range sim.hosts {
+		sim.crash(h)
 	}
-	w.now += time.Second
-	for _, h := range w.hosts {
-		w.startWith(h, w.settings.Peers[:3]...)
+	sim.now += time.Second
+	for _, h := range sim.hosts {
+		sim.startWithPeers(h, sim.settings.Peers[:3]...)
 	}
-	w.run(w.hosts[0].core.settings.ElectionSpread + 50*time.Millisecond)
-	leader := w.leader()
+	sim.run(sim.hosts[0].core.settings.ElectionSpread + 50*time.Millisecond)
+	leader := sim.leader()
 	assert.Assert(t, leader != nil)
-	assert.Assert(t, leader.core.log.commit >= leader.core.ownStart)
-	assert.Assert(t, !leader.core.HoldsLease(w.clock(leader)))
-	assert.Equal(t, w.violation, "")
+	assert.Assert(t, leader.core.log.commit >= leader.core.termStart)
+	assert.Assert(t, !leader.core.HoldsLease(sim.clock(leader)))
+	assert.Equal(t, sim.violation, "")
 }
 
 func TestAMemberThatStartsAloneDisturbsNoLeader(t *testing.T) {
-	// One VM restarts while the others have a leader. It campaigns at once, and
-	// must neither depose the leader nor raise the term.
-	w := openWorld(16, 5)
-	w.settings.Leaseless = true
-	w.admit(30)
-	leader := w.leader()
+	// Guards against a restarted member that disturbs the cluster. Without
+	// leases it campaigns at once, but it must neither depose the leader nor
+	// raise the term.
+	sim := newOpenSimulation(16, 5)
+	sim.settings.Leaseless = true
+	sim.admitJoining(30)
+	leader := sim.leader()
 	term := leader.core.term
-	for _, h := range w.others(leader) {
-		w.crash(h)
-		w.startWith(h, w.settings.Peers[:3]...)
-		w.run(3 * time.Second)
+	for _, h := range sim.others(leader) {
+		sim.crash(h)
+		sim.startWithPeers(h, sim.settings.Peers[:3]...)
+		sim.run(3 * time.Second)
 	}
-	assert.Equal(t, w.leader(), leader)
+	assert.Equal(t, sim.leader(), leader)
 	assert.Equal(t, leader.core.term, term)
-	assert.Equal(t, w.violation, "")
+	assert.Equal(t, sim.violation, "")
 }
--- a/coordination/consensus/progress.go
+++ b/coordination/consensus/progress.go
@@ -5,37 +5,39 @@
 	"time"
 )
 
-// progress is a leader's knowledge of one other member.
+// progress is what a leader knows about another member.
 type progress struct {
-	// match is the last entry known to be on the member's disk.
+	// match is the last entry known to be on the disk of the member.
 	match uint64
-	// next is the first entry to send.
+	// next is the index of the next entry to send.
 	next uint64
-	// inFlight are the messages with entries that are not acknowledged.
+	// inFlight are the messages with entries that are not yet acknowledged.
 	inFlight []sentEntries
-	// probing sends one message at a time until the logs are known to agree.
+	// probing means that one message at a time is sent until the logs are known
+	// to agree.
 	probing bool
-	// due asks for a message even if there is nothing new: a heartbeat.
+	// due means that a message has to be sent even without new entries, for
+	// example a heartbeat.
 	due bool
-	// toldCommit is the last commit index sent.
-	toldCommit uint64
-	// acked is the newest send time, by the leader's clock, that the member
-	// has acknowledged in this term.
-	acked time.Duration
-	// heard is when the member last answered.
-	heard time.Duration
-	// transfer is the snapshot under way, or nil.
-	transfer *transfer
+	// sentCommit is the last commit index sent to the member.
+	sentCommit uint64
+	// ackedSendTime is when the newest message was sent, by the leader's clock,
+	// that the member has acknowledged in this term.
+	ackedSendTime time.Duration
+	// lastHeard is when the member last replied.
+	lastHeard time.Duration
+	// snapshotTransfer is the snapshot that is being sent, or nil.
+	snapshotTransfer *snapshotTransfer
 }
 
-// sentEntries is one message with entries on its way.
+// sentEntries is a message with entries that is in flight.
 type sentEntries struct {
 	last  uint64
 	bytes int
 }
 
-// sentBytes returns the bytes on their way.
-func (p *progress) sentBytes() int {
+// inFlightBytes returns the size of the entries in flight.
+func (p *progress) inFlightBytes() int {
 	sum := 0
 	for _, s := range p.inFlight {
 		sum += s.bytes
@@ -43,25 +45,26 @@
 	return sum
 }
 
-// arrived drops the messages that are acknowledged up to an index.
-func (p *progress) arrived(index uint64) {
+// releaseInFlight drops the messages that are acknowledged up to index.
+func (p *progress) releaseInFlight(index uint64) {
 	for len(p.inFlight) > 0 && p.inFlight[0].last <= index {
 		p.inFlight = p.inFlight[1:]
 	}
 }
 
-// caughtUpEntries is how far behind a learner may be and still be promoted: a
-// few messages' worth, which a follower on a live connection makes up within
-// a heartbeat.
+// caughtUpEntries is how many entries a learner may be behind and still be
+// promoted: a few messages' worth, which a follower on a working connection
+// receives within a heartbeat interval.
 const caughtUpEntries = 256
 
-// syncProgress makes the progress records follow the configuration in use.
+// syncProgress adds and deletes progress records to match the configuration in
+// use.
 func (c *Core) syncProgress() {
 	configuration, _ := c.log.configuration()
 	members := configuration.Members()
 	for _, m := range members {
 		if m != c.settings.Self && c.progress[m] == nil {
-			c.progress[m] = &progress{next: c.log.last() + 1, probing: true, due: true, acked: -c.settings.ElectionTimeout, heard: c.now}
+			c.progress[m] = &progress{next: c.log.last() + 1, probing: true, due: true, ackedSendTime: -c.settings.ElectionTimeout, lastHeard: c.now}
 		}
 	}
 	for m := range c.progress {
@@ -71,24 +74,25 @@
 	}
 }
 
-// isCaughtUp reports whether a member holds nearly everything and answers.
+// isCaughtUp reports whether a member answers and holds all but the newest few
+// entries.
 func (c *Core) isCaughtUp(p *progress) bool {
-	fresh := c.now-p.acked < c.settings.ElectionTimeout
+	fresh := c.now-p.ackedSendTime < c.settings.ElectionTimeout
 	return fresh && p.match > 0 && p.match+caughtUpEntries >= c.log.last()
 }
 
-// nthHighest returns the n-th highest value, n from 1.
+// nthHighest returns the n-th highest value; n starts at 1.
 func nthHighest[T uint64 | time.Duration](values []T, n int) T {
 	slices.Sort(values)
 	return values[len(values)-n]
 }
 
-// advanceCommit commits what a quorum of voters has on disk.
+// advanceCommit commits the entries that a quorum of voters has on disk.
 //
-// Failure: a leader that counts copies of an older term's entry may commit
-// it and see it replaced by a later leader, so an answered order vanishes.
-// Only an entry of the own term commits, and with it all before it: whoever
-// wins later must hold it.
+// Failure: a leader that counts copies of an entry from an older term may
+// commit it, and a later leader replaces it, so an order that was confirmed
+// vanishes. Therefore only an entry of the leader's own term is committed, and
+// with it all entries before it: whoever is elected later must hold it.
 func (c *Core) advanceCommit() {
 	configuration, _ := c.log.configuration()
 	index := nthHighest(c.matches(configuration), configuration.Quorum())
@@ -96,22 +100,23 @@
 	if index <= c.log.commit || !held {
 		return
 	}
-	if term != c.term && !c.off.commitOlderTerms {
+	if term != c.term && !c.unsafe.commitOlderTerms {
 		return
 	}
 	c.log.commit = index
 }
 
-// matches returns what each voter has on disk. Learners do not count.
+// matches returns the last entry that each voter has on disk. Learners do not
+// count.
 func (c *Core) matches(configuration Configuration) []uint64 {
 	counted := configuration.Voters
-	if c.off.countLearners {
+	if c.unsafe.countLearners {
 		counted = configuration.Members()
 	}
 	matches := make([]uint64, 0, len(counted))
 	for _, m := range counted {
 		match := c.log.durable
-		if c.off.ackUnsynced {
+		if c.unsafe.ackUnsynced {
 			match = c.log.last()
 		}
 		if m != c.settings.Self {
--- a/coordination/consensus/repair/grow_test.go
+++ b/coordination/consensus/repair/grow_test.go
@@ -19,7 +19,7 @@
 	live := func(r protocol.RouterID) consensus.PeerStatus { return peer(r, true, 0) }
 	silent := func(r protocol.RouterID) consensus.PeerStatus { return peer(r, true, time.Minute) }
 	joining := func(r protocol.RouterID, disk consensus.DiskID) consensus.PeerStatus {
-		return consensus.PeerStatus{Member: member(r, disk), Heard: now, CaughtUp: true}
+		return consensus.PeerStatus{Member: member(r, disk), LastHeard: now, CaughtUp: true}
 	}
 	type peers = []consensus.PeerStatus
 	tests := map[string]struct {
--- a/coordination/consensus/repair/repair.go
+++ b/coordination/consensus/repair/repair.go
@@ -125,8 +125,8 @@
 // view sorts a status.
 func (p Policy) view(now time.Duration, s consensus.Status) view {
 	v := view{now: now, self: s.Self, live: []consensus.Member{s.Self}}
-	for _, seen := range s.Sightings {
-		if now-seen.Heard < sightingLife {
+	for _, seen := range s.Discovered {
+		if now-seen.LastHeard < sightingLife {
 			v.sightings = append(v.sightings, seen.Member)
 		}
 	}
@@ -143,7 +143,7 @@
 		return
 	}
 	reason := ""
-	if v.now-peer.Heard >= p.settings.SilentAfter {
+	if v.now-peer.LastHeard >= p.settings.SilentAfter {
 		reason = "silent for too long"
 	}
 	if v.hasOtherDisk(peer.Member) {
@@ -252,7 +252,7 @@
 // removeLearner takes out a learner that will not return under its name.
 func (p Policy) removeLearner(v view) consensus.Change {
 	for _, l := range v.learners {
-		if v.now-l.Heard >= p.settings.ForgetAfter || v.hasOtherDisk(l.Member) {
+		if v.now-l.LastHeard >= p.settings.ForgetAfter || v.hasOtherDisk(l.Member) {
 			return consensus.Change{Kind: consensus.Remove, Member: l.Member, Reason: "the spare is gone"}
 		}
 	}
--- a/coordination/consensus/repair/repair_test.go
+++ b/coordination/consensus/repair/repair_test.go
@@ -17,7 +17,7 @@
 }
 
 func peer(router protocol.RouterID, voter bool, silent time.Duration) consensus.PeerStatus {
-	return consensus.PeerStatus{Member: member(router, 1), Voter: voter, Heard: now - silent, CaughtUp: silent < time.Second}
+	return consensus.PeerStatus{Member: member(router, 1), Voter: voter, LastHeard: now - silent, CaughtUp: silent < time.Second}
 }
 
 func TestDecide(t *testing.T) {
@@ -61,7 +61,7 @@
 		t.Run(name, func(t *testing.T) {
 			status := consensus.Status{Self: member("r1", 1), Role: consensus.Leader, ChangePending: test.pending, Peers: test.peers}
 			for _, m := range test.sightings {
-				status.Sightings = append(status.Sightings, consensus.Sighting{Member: m, Heard: now})
+				status.Discovered = append(status.Discovered, consensus.DiscoveredMember{Member: m, LastHeard: now})
 			}
 			got := p.Decide(now, status)
 			assert.Equal(t, got.Kind != 0, got.Reason != "")
--- a/coordination/consensus/replication.go
+++ b/coordination/consensus/replication.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// tickLeader sends heartbeats and gives up leadership with the lease.
+// tickLeader makes heartbeats due, and steps down when the lease has expired.
 func (c *Core) tickLeader(now time.Duration) {
 	if c.lostQuorum(now) {
 		c.becomeFollower(now, c.term, "no quorum answered within the lease")
@@ -17,7 +17,7 @@
 	}
 }
 
-// replicateAll sends to every other member what it lacks.
+// replicateAll sends to every other member the entries that it lacks.
 func (c *Core) replicateAll() {
 	c.syncProgress()
 	c.advanceCommitOfSoleVoter()
@@ -30,25 +30,27 @@
 }
 
 // advanceCommitOfSoleVoter commits what is already on disk when a removal has
-// left this voter alone; nobody else will answer then.
+// left this member the only voter. No acknowledgement will arrive that could
+// trigger the commit.
 func (c *Core) advanceCommitOfSoleVoter() {
 	if c.isSoleVoter() {
 		c.advanceCommit()
 	}
 }
 
-// replicate sends the next message to one member, if there is a reason.
+// replicate sends messages to one member if there is something to send or a
+// heartbeat is due.
 func (c *Core) replicate(m Member, p *progress) {
-	if p.transfer == nil && p.next <= c.log.base {
-		c.startTransfer(m, p)
+	if p.snapshotTransfer == nil && p.next <= c.log.base {
+		c.startSnapshotTransfer(m, p)
 	}
-	if p.transfer != nil {
+	if p.snapshotTransfer != nil {
 		c.sendChunk(m, p)
 		return
 	}
 	entries := c.sendable(p)
-	news := len(entries) > 0 || p.toldCommit < c.log.commit
-	if !p.due && (p.probing || !news) {
+	hasUpdate := len(entries) > 0 || p.sentCommit < c.log.commit
+	if !p.due && (p.probing || !hasUpdate) {
 		return
 	}
 	c.sendAppend(m, p, entries)
@@ -61,16 +63,16 @@
 	}
 }
 
-// sendable returns the entries that the member may be sent now.
+// sendable returns the entries that may be sent to the member now.
 func (c *Core) sendable(p *progress) []Entry {
-	if p.sentBytes() >= c.settings.MaxInFlightBytes {
+	if p.inFlightBytes() >= c.settings.MaxInFlightBytes {
 		return nil
 	}
 	return c.log.slice(p.next, c.settings.MaxAppendBytes)
 }
 
-// sendAppend sends entries, or a heartbeat without any. A lost message shows
-// as a gap in the next one, which the receiver refuses.
+// sendAppend sends entries, or a heartbeat without entries. If a message is
+// lost, the receiver notices the gap at the next one and rejects it.
 func (c *Core) sendAppend(m Member, p *progress, entries []Entry) {
 	previous := p.next - 1
 	term, _ := c.log.term(previous)
@@ -79,7 +81,7 @@
 		Entries: entries, Commit: c.log.commit, Sent: c.now,
 	})
 	p.due = false
-	p.toldCommit = c.log.commit
+	p.sentCommit = c.log.commit
 	if p.probing || len(entries) == 0 {
 		return
 	}
@@ -91,10 +93,10 @@
 	p.inFlight = append(p.inFlight, sentEntries{last: p.next - 1, bytes: size})
 }
 
-// receiveReply takes a follower's answer to entries or to a snapshot chunk.
+// receiveReply handles a follower's reply to entries or to a snapshot chunk.
 func (c *Core) receiveReply(now time.Duration, m Message) {
 	if m.Term > c.term {
-		c.becomeFollower(now, m.Term, "a member knows a newer term")
+		c.becomeFollower(now, m.Term, "a member reported a newer term")
 		return
 	}
 	if c.role != Leader || m.Term < c.term {
@@ -104,26 +106,26 @@
 	if p == nil {
 		return
 	}
-	p.heard = now
-	p.acked = max(p.acked, m.Sent)
+	p.lastHeard = now
+	p.ackedSendTime = max(p.ackedSendTime, m.Sent)
 	if m.Kind == MessageSnapshotReply {
-		c.chunkReceived(p, m)
+		c.recordChunkReply(p, m)
 		return
 	}
 	if m.Reject {
 		c.backOff(p, m)
 		return
 	}
-	c.matched(p, m.Index)
+	c.recordMatch(p, m.Index)
 }
 
-// backOff moves to the latest entry at which the logs may agree. Refusals of
-// messages older than the last success change nothing.
+// backOff moves next back to the latest entry at which the logs may agree. It
+// ignores a rejection of a message that is older than the last success.
 func (c *Core) backOff(p *progress, m Message) {
 	if m.Index <= p.match {
 		return
 	}
-	index, _ := c.log.agreement(m.Hint, m.HintTerm)
+	index, _ := c.log.latestPossibleMatch(m.Hint, m.HintTerm)
 	p.next = max(p.match, min(index, m.Index-1)) + 1
 	p.probing = true
 	p.due = true
@@ -133,8 +135,8 @@
 	}
 }
 
-// matched counts an acknowledgement.
-func (c *Core) matched(p *progress, index uint64) {
+// recordMatch records that a member has all entries up to index on disk.
+func (c *Core) recordMatch(p *progress, index uint64) {
 	if p.probing {
 		p.probing = false
 		p.inFlight = nil
@@ -142,9 +144,9 @@
 	}
 	p.match = max(p.match, index)
 	p.next = max(p.next, p.match+1)
-	p.arrived(p.match)
-	if p.transfer != nil && p.match >= p.transfer.index {
-		p.transfer = nil
+	p.releaseInFlight(p.match)
+	if p.snapshotTransfer != nil && p.match >= p.snapshotTransfer.index {
+		p.snapshotTransfer = nil
 	}
 	c.advanceCommit()
 }
--- a/coordination/consensus/schedule_test.go
+++ b/coordination/consensus/schedule_test.go
@@ -13,61 +13,61 @@
 )
 
 var (
-	scheduleSteps = flag.Int("schedule.steps", 300_000, "steps of the random schedule, over all its seeds")
+	scheduleSteps = flag.Int("schedule.steps", 300_000, "steps of the random schedule, in total over all seeds")
 	scheduleSeed  = flag.Uint64("schedule.seed", 1, "first seed of the random schedule")
 	searchSeeds   = flag.Int("schedule.search", 0, "seeds to try for each mutation; prints the first that fails")
 )
 
-// stepsPerSeed keeps one history short enough to read.
+// stepsPerSeed keeps one run short enough to read.
 const stepsPerSeed = 6000
 
-// schedule runs a world at random. Every seed draws its own weights, so that
-// some histories are full of crashes and others of partitions.
+// schedule runs a simulation with random actions. Every seed draws its own
+// weights, so that some runs have many crashes and others many partitions.
 type schedule struct {
-	*world
+	*simulation
 	weights []int
 	actions []func()
 	total   int
-	late    []Message
+	delayed []Message
 }
 
 func newSchedule(seed uint64, m mutation) *schedule {
 	hosts := 5
-	if m.storm {
+	if m.electionStorm {
 		hosts = 3
 	}
-	w := newWorld(seed, hosts, 3)
-	s := &schedule{world: w}
-	w.off = m.off
-	w.sameDisk = m.sameDisk
-	w.settings.Leaseless = m.leaseless
-	w.settings.Open = m.leaseless
-	if m.storm {
-		w.settings.MaxAppendBytes = 1
-	}
-	w.settings.ElectionSpread = DefaultElectionTimeout / time.Duration(1+w.random.IntN(8))
-	for _, h := range w.hosts {
-		h.offset = time.Duration(w.random.Int64N(int64(time.Hour)))
-		h.rate = 1 + (w.random.Float64()*2-1)*float64(DefaultDriftPerMille)/perMille
-		w.start(h)
-	}
-	if m.storm {
-		s.addStorm()
+	sim := newSimulation(seed, hosts, 3)
+	s := &schedule{simulation: sim}
+	sim.unsafe = m.unsafe
+	sim.sameDisk = m.sameDisk
+	sim.settings.Leaseless = m.leaseless
+	sim.settings.Open = m.leaseless
+	if m.electionStorm {
+		sim.settings.MaxAppendBytes = 1
+	}
+	sim.settings.ElectionSpread = DefaultElectionTimeout / time.Duration(1+sim.random.IntN(8))
+	for _, h := range sim.hosts {
+		h.offset = time.Duration(sim.random.Int64N(int64(time.Hour)))
+		h.rate = 1 + (sim.random.Float64()*2-1)*float64(DefaultDriftPerMille)/perMille
+		sim.start(h)
+	}
+	if m.electionStorm {
+		s.addElectionStorm()
 		s.run(3 * time.Second)
 		return s
 	}
-	s.add(40+s.upTo(40), s.deliver)
-	s.add(s.upTo(12), s.passTime)
-	s.add(10+s.upTo(30), s.syncOne)
-	s.add(s.upTo(8), s.proposeOne)
-	s.add(s.upTo(6), s.crashOne)
-	s.add(s.upTo(6), s.startOne)
-	s.add(s.upTo(6), s.partition)
-	s.add(s.upTo(4), s.heal)
-	s.add(s.upTo(2), s.freezeOne)
-	s.add(s.upTo(3), s.compactOne)
-	s.add(s.upTo(3), s.deliverLate)
-	s.add(1, s.calm)
+	s.add(40+s.randomWeight(40), s.deliver)
+	s.add(s.randomWeight(12), s.passTime)
+	s.add(10+s.randomWeight(30), s.syncOne)
+	s.add(s.randomWeight(8), s.proposeOne)
+	s.add(s.randomWeight(6), s.crashOne)
+	s.add(s.randomWeight(6), s.startOne)
+	s.add(s.randomWeight(6), s.partition)
+	s.add(s.randomWeight(4), s.heal)
+	s.add(s.randomWeight(2), s.freezeOne)
+	s.add(s.randomWeight(3), s.compactOne)
+	s.add(s.randomWeight(3), s.deliverDelayed)
+	s.add(1, s.runFaultFree)
 	s.add(s.random.IntN(4), s.changeOne)
 	s.add(s.random.IntN(3), s.wipeOne)
 	s.add(s.random.IntN(3), s.handOverOne)
@@ -77,29 +77,31 @@
 	return s
 }
 
-// addStorm weighs the actions for ever new elections among three voters.
-func (s *schedule) addStorm() {
-	s.add(40+s.upTo(60), s.deliver)
-	s.add(5+s.upTo(20), s.passTime)
-	s.add(10+s.upTo(60), s.syncOne)
-	s.add(s.upTo(5), s.proposeOne)
-	s.add(s.upTo(12), s.crashOne)
-	s.add(s.upTo(12), s.startOne)
-	s.add(s.upTo(12), s.partition)
-	s.add(s.upTo(8), s.heal)
-	s.add(s.upTo(6), s.freezeOne)
-	s.add(s.upTo(4), s.deliverLate)
+// addElectionStorm adds the actions with weights that cause continual elections
+// among three voters.
+func (s *schedule) addElectionStorm() {
+	s.add(40+s.randomWeight(60), s.deliver)
+	s.add(5+s.randomWeight(20), s.passTime)
+	s.add(10+s.randomWeight(60), s.syncOne)
+	s.add(s.randomWeight(5), s.proposeOne)
+	s.add(s.randomWeight(12), s.crashOne)
+	s.add(s.randomWeight(12), s.startOne)
+	s.add(s.randomWeight(12), s.partition)
+	s.add(s.randomWeight(8), s.heal)
+	s.add(s.randomWeight(6), s.freezeOne)
+	s.add(s.randomWeight(4), s.deliverDelayed)
 	s.add(s.random.IntN(3), s.handOverOne)
 }
 
-// calm lets everything that is not cut off or frozen work for a while, so that
-// histories get past the next election.
-func (s *schedule) calm() { s.run(time.Duration(s.random.Int64N(int64(2 * time.Second)))) }
+// runFaultFree lets everything that is not isolated or frozen work for a while,
+// so that a run gets past the next election.
+func (s *schedule) runFaultFree() { s.run(time.Duration(s.random.Int64N(int64(2 * time.Second)))) }
 
-func (s *schedule) upTo(weight int) int { return 1 + s.random.IntN(weight) }
+func (s *schedule) randomWeight(weight int) int { return 1 + s.random.IntN(weight) }
 
-// victim is mostly the leader, since most that can go wrong starts there.
-func (s *schedule) victim() *host {
+// anyPreferLeader returns the leader in at least half of the calls, since most
+// failures start there.
+func (s *schedule) anyPreferLeader() *host {
 	if leader := s.leader(); leader != nil && s.random.IntN(2) == 0 {
 		return leader
 	}
@@ -112,7 +114,7 @@
 	s.total += weight
 }
 
-// step does one random thing and checks the invariants.
+// step runs one random action and checks the lease invariants.
 func (s *schedule) step() {
 	pick := s.random.IntN(s.total)
 	for i, weight := range s.weights {
@@ -128,31 +130,32 @@
 
 func (s *schedule) any() *host { return s.hosts[s.random.IntN(len(s.hosts))] }
 
-// deliver takes a random message: that reorders. Some are lost or doubled.
+// deliver delivers a random one of the oldest messages, which reorders them.
+// Some messages are lost, delivered twice, or delivered once more much later.
 func (s *schedule) deliver() {
 	if len(s.network) == 0 {
 		return
 	}
 	i := s.random.IntN(min(len(s.network), 12))
 	m := s.network[i]
-	fate := s.random.IntN(100)
-	if fate >= 3 {
+	draw := s.random.IntN(100)
+	if draw >= 3 {
 		s.network = slices.Delete(s.network, i, i+1)
 	}
-	if fate < 93 {
+	if draw < 93 {
 		s.receive(m)
 	}
-	if fate >= 97 {
-		s.late = append(s.late, m)
+	if draw >= 97 {
+		s.delayed = append(s.delayed, m)
 	}
 }
 
-// deliverLate takes a message that was under way for long.
-func (s *schedule) deliverLate() {
-	if len(s.late) > 0 {
-		i := s.random.IntN(len(s.late))
-		m := s.late[i]
-		s.late = slices.Delete(s.late, i, i+1)
+// deliverDelayed delivers a message that was sent long ago.
+func (s *schedule) deliverDelayed() {
+	if len(s.delayed) > 0 {
+		i := s.random.IntN(len(s.delayed))
+		m := s.delayed[i]
+		s.delayed = slices.Delete(s.delayed, i, i+1)
 		s.receive(m)
 	}
 }
@@ -179,7 +182,7 @@
 }
 
 func (s *schedule) crashOne() {
-	if h := s.victim(); !h.down && s.random.IntN(4) == 0 {
+	if h := s.anyPreferLeader(); !h.down && s.random.IntN(4) == 0 {
 		s.counts["crash"]++
 		s.crash(h)
 	}
@@ -197,23 +200,23 @@
 func (s *schedule) partition() {
 	if s.random.IntN(8) == 0 {
 		s.counts["partition"]++
-		s.isolate(s.victim(), true)
+		s.isolate(s.anyPreferLeader(), true)
 		return
 	}
-	a, b := s.victim().router, s.any().router
+	a, b := s.anyPreferLeader().router, s.any().router
 	apart := s.random.IntN(2) == 0
-	s.cut[[2]protocol.RouterID{a, b}] = apart
-	s.cut[[2]protocol.RouterID{b, a}] = apart && s.random.IntN(4) > 0
+	s.cutLinks[[2]protocol.RouterID{a, b}] = apart
+	s.cutLinks[[2]protocol.RouterID{b, a}] = apart && s.random.IntN(4) > 0
 }
 
 func (s *schedule) heal() {
 	if s.random.IntN(4) == 0 {
-		clear(s.cut)
+		clear(s.cutLinks)
 	}
 }
 
 func (s *schedule) freezeOne() {
-	if h := s.victim(); !h.down && s.random.IntN(4) == 0 {
+	if h := s.anyPreferLeader(); !h.down && s.random.IntN(4) == 0 {
 		s.counts["freeze"]++
 		h.frozenUntil = s.now + time.Duration(s.random.Int64N(int64(4*time.Second)))
 	}
@@ -227,12 +230,12 @@
 
 func (s *schedule) handOverOne() {
 	if h := s.leader(); h != nil && !s.frozen(h) && s.random.IntN(4) == 0 {
-		_ = h.core.HandOver(s.clock(h))
+		_ = h.core.TransferLeadership(s.clock(h))
 		s.take(h)
 	}
 }
 
-// changeOne asks every leader for a random membership step.
+// changeOne starts a random membership change on every leader.
 func (s *schedule) changeOne() {
 	for _, h := range s.hosts {
 		if h.down || s.frozen(h) || h.core.role != Leader {
@@ -240,8 +243,8 @@
 		}
 		status := h.core.Status()
 		members := status.Configuration.Members()
-		for _, seen := range status.Sightings {
-			members = append(members, seen.Member)
+		for _, found := range status.Discovered {
+			members = append(members, found.Member)
 		}
 		change := Change{Kind: ChangeKind(1 + s.random.IntN(3)), Member: members[s.random.IntN(len(members))]}
 		if h.core.ChangeMembership(s.clock(h), change) == nil {
@@ -251,11 +254,11 @@
 	}
 }
 
-// wipeOne empties a disk, unless that would leave some configuration without
-// a quorum of disks for good, or the cluster has not formed.
+// wipeOne empties a disk, unless the cluster has not formed or some
+// configuration would have no quorum of disks left.
 func (s *schedule) wipeOne() {
 	victim := s.any()
-	if s.random.IntN(4) > 0 || len(s.decided) == 1 || !s.survivesWithout(victim) {
+	if s.random.IntN(4) > 0 || len(s.decided) == 1 || !s.hasQuorumsWithout(victim) {
 		return
 	}
 	s.counts["wipe"]++
@@ -265,34 +268,37 @@
 	s.start(victim)
 }
 
-func (s *schedule) survivesWithout(victim *host) bool {
+// hasQuorumsWithout reports whether all hosts run and all their configurations
+// have a quorum of disks without the victim.
+func (s *schedule) hasQuorumsWithout(victim *host) bool {
 	for _, h := range s.hosts {
-		if h.down || !s.hasDisks(h, victim) {
+		if h.down || !s.hasQuorumOfDisks(h, victim) {
 			return false
 		}
 	}
 	return true
 }
 
-// hasDisks reports whether a quorum of disks with a log exists for every configuration
-// in a host's log, without the victim's.
-func (s *schedule) hasDisks(h, victim *host) bool {
-	for _, placed := range h.core.log.configurations {
+// hasQuorumOfDisks reports whether, for every configuration in a host's log, a
+// quorum of disks holds a log without counting the victim's disk.
+func (s *schedule) hasQuorumOfDisks(h, victim *host) bool {
+	for _, indexed := range h.core.log.configurations {
 		alive := 0
-		for _, voter := range placed.configuration.Voters {
+		for _, voter := range indexed.configuration.Voters {
 			owner := s.host(voter.Router)
 			if owner != victim && owner.self() == voter && !owner.disk.blank() {
 				alive++
 			}
 		}
-		if alive < placed.configuration.Quorum() {
+		if alive < indexed.configuration.Quorum() {
 			return false
 		}
 	}
 	return true
 }
 
-// runSeed runs one history and returns it with the first broken invariant.
+// runSeed runs one schedule and returns it with the first invariant that it
+// broke, or "".
 func runSeed(seed uint64, steps int, m mutation) (s *schedule, violation string) {
 	s = newSchedule(seed, m)
 	defer func() {
@@ -309,10 +315,10 @@
 	return s, s.violation
 }
 
-// recovers heals all faults and checks that the world commits again and that
-// all state machines become equal.
-func (s *schedule) recovers() string {
-	clear(s.cut)
+// checkRecovery ends all faults and checks that the cluster commits again and
+// that all state machines become equal. It returns the first violation, or "".
+func (s *schedule) checkRecovery() string {
+	clear(s.cutLinks)
 	for _, h := range s.hosts {
 		h.frozenUntil = 0
 		if h.down {
@@ -320,9 +326,9 @@
 		}
 	}
 	for _, h := range s.hosts {
-		if !s.hasDisks(h, nil) {
-			// A disk was wiped in the instant in which a change made it
-			// needed: no protocol can go on from there.
+		if !s.hasQuorumOfDisks(h, nil) {
+			// A disk was wiped at the moment in which a membership change made
+			// it necessary for a quorum. No protocol can continue from there.
 			s.counts["quorum-lost"]++
 			return s.violation
 		}
@@ -345,16 +351,16 @@
 }
 
 func TestScheduleKeepsInvariants(t *testing.T) {
-	// Messages are lost, doubled and reordered, hosts crash with unsynced
-	// writes, freeze and lose disks, clocks drift, members change. A caller
-	// must never see a confirmed order vanish or a stale read; when all heals,
-	// the cluster must work again.
+	// Guards against a confirmed order that vanishes, a stale read, and a
+	// cluster that no longer works after all faults have ended. Messages are
+	// lost, duplicated and reordered; hosts crash with unsynced writes, freeze
+	// and lose their disks; clocks drift; members change.
 	counts := map[string]int{}
 	for i := range uint64(max(1, *scheduleSteps/stepsPerSeed)) {
 		seed := *scheduleSeed + i
-		s, violation := runSeed(seed, stepsPerSeed, mutation{storm: i%4 == 3})
+		s, violation := runSeed(seed, stepsPerSeed, mutation{electionStorm: i%4 == 3})
 		assert.Equal(t, violation, "", "seed %d", seed)
-		assert.Equal(t, s.recovers(), "", "seed %d", seed)
+		assert.Equal(t, s.checkRecovery(), "", "seed %d", seed)
 		for kind, n := range s.counts {
 			counts[kind] += n
 		}
@@ -367,12 +373,13 @@
 }
 
 func TestScheduleKeepsInvariantsWithoutLeases(t *testing.T) {
-	// The same, in an open cluster whose members vote and campaign from their
-	// start on. What no lease guards, the votes on disk have to.
+	// Guards against the same failures in an open cluster without leases, whose
+	// members vote and campaign as soon as they start. There the votes on disk
+	// have to provide what otherwise the lease does.
 	for i := range uint64(max(1, *scheduleSteps/2/stepsPerSeed)) {
 		seed := *scheduleSeed + 10_000 + i
-		s, violation := runSeed(seed, stepsPerSeed, mutation{storm: i%4 == 3, leaseless: true})
+		s, violation := runSeed(seed, stepsPerSeed, mutation{electionStorm: i%4 == 3, leaseless: true})
 		assert.Equal(t, violation, "", "seed %d", seed)
-		assert.Equal(t, s.recovers(), "", "seed %d", seed)
+		assert.Equal(t, s.checkRecovery(), "", "seed %d", seed)
 	}
 }
--- a/coordination/consensus/settings.go
+++ b/coordination/consensus/settings.go
@@ -6,64 +6,68 @@
 	"endiveplank/protocol"
 )
 
-// Settings are a member's fixed parameters. Zero durations and sizes take the
-// defaults below.
+// Settings are the fixed parameters of a member. Zero durations and sizes are
+// replaced by the defaults below.
 type Settings struct {
 	Self Member
-	// Peers are all routers with a disk, this one included. With Open they are
-	// only those to ask first.
+	// Peers are all routers with a disk, including this one. With Open they are
+	// only the routers to ask first.
 	Peers []protocol.RouterID
 	// Open lets routers with a disk join that nobody has listed. A member then
-	// learns the others from the log and from hellos, and the initial voters
-	// alone have to be blank for the cluster to form. It fits platforms that
-	// tell a process a few addresses and not how many VMs there are.
+	// learns about the others from the log and from hellos, and only the
+	// initial voters have to be blank for the cluster to form. It suits
+	// platforms that give a process a few addresses and do not tell it how many
+	// VMs there are.
 	Open bool
 	// InitialVoters are the routers that form the first configuration. They
-	// matter only while every one of Peers is blank. Leave them out on a VM
-	// that starts after the cluster has formed: with them, a VM that lost its
-	// disk together with all other initial voters would form a second one.
+	// matter only while all Peers are blank. Leave them out on a VM that starts
+	// after the cluster has formed: if all initial voters lost their disks
+	// together, they would otherwise form a second cluster.
 	InitialVoters []protocol.RouterID
-	// Heartbeat is the interval of a leader's messages to an idle follower.
+	// Heartbeat is the interval between messages from the leader to an idle
+	// follower.
 	Heartbeat time.Duration
-	// ElectionTimeout is the shortest time without a leader before a voter
-	// campaigns or votes.
+	// ElectionTimeout is the shortest time without a message from a leader
+	// after which a voter campaigns or votes.
 	ElectionTimeout time.Duration
-	// ElectionSpread is the random part added to it before a voter campaigns:
-	// by default half of it, hundreds of times a message's way and sync.
+	// ElectionSpread is the upper bound of the random time that a voter adds to
+	// ElectionTimeout before it campaigns. The default, half of
+	// ElectionTimeout, is hundreds of times as long as a message and a sync
+	// take.
 	ElectionSpread time.Duration
-	// Leaseless gives up the leader's lease: reads go by ReadIndex alone. In
-	// return a member that starts may vote and campaign at once, so that a
-	// cluster which lost power as a whole has a leader within a round instead of
-	// an election timeout later. Leases would also need a clock that goes on
-	// while a VM is suspended, which Go's doesn't.
+	// Leaseless turns the leader's lease off: reads use only ReadIndex. In
+	// return a member may vote and campaign as soon as it starts, so that a
+	// cluster which lost power as a whole has a leader within one round instead
+	// of an election timeout later. Leases would also need a clock that keeps
+	// running while a VM is suspended, and Go's monotonic clock does not.
 	Leaseless bool
-	// DriftPerMille bounds how much faster or slower than true time a
-	// member's clock may run, in thousandths.
+	// DriftPerMille bounds how much faster or slower than true time the clock
+	// of a member may run, in thousandths.
 	DriftPerMille int
-	// MaxAppendBytes bounds the entries of one message.
+	// MaxAppendBytes limits the size of the entries in one message.
 	MaxAppendBytes int
-	// MaxInFlightBytes bounds what is sent to a follower and not
-	// acknowledged, so that a slow one does not fill the sender's memory.
+	// MaxInFlightBytes limits the entries that are sent to a follower and not
+	// yet acknowledged, so that a slow follower does not fill the memory of the
+	// leader.
 	MaxInFlightBytes int
-	// MaxUncommittedBytes bounds the entries that a leader has taken and not
-	// committed, so that callers are refused early when the quorum is slow.
+	// MaxUncommittedBytes limits the entries that a leader has accepted and not
+	// yet committed, so that callers are refused early when the quorum is slow.
 	MaxUncommittedBytes int
-	// KeepEntries is how many entries stay in memory behind a snapshot, so
-	// that a follower a little behind needs no snapshot.
+	// KeepEntries is how many entries before a snapshot stay in memory, so that
+	// a follower that is slightly behind needs no snapshot.
 	KeepEntries uint64
-	// ChunkBytes bounds one chunk of a snapshot.
+	// ChunkBytes limits the size of one snapshot chunk.
 	ChunkBytes int
-	// SnapshotBytesPerSecond bounds snapshot traffic over time.
+	// SnapshotBytesPerSecond is the long-term rate limit of snapshot traffic.
 	SnapshotBytesPerSecond int
-	// SnapshotBurstBytes is how much of an unused snapshot budget is kept.
+	// SnapshotBurstBytes is how much unused snapshot budget can accumulate.
 	SnapshotBurstBytes int
 }
 
-// Defaults. The control budget is 3 KB a second for a node: with 4 followers,
-// 4 heartbeats a second of some 90 bytes are about 1.4 KB a second, and
-// snapshots may add 1 KB a second over time. An election timeout of four
-// heartbeats rides out three lost ones. Clocks of VMs drift by far less than
-// 1%.
+// Defaults. The budget for control traffic is 3 KB/s per VM. With 4 followers,
+// 4 heartbeats a second of about 90 bytes each make about 1.4 KB/s, and
+// snapshots may add 1 KB/s on average. An election timeout of four heartbeats
+// tolerates three lost heartbeats. Clocks of VMs drift by far less than 1%.
 const (
 	DefaultHeartbeat              = 250 * time.Millisecond
 	DefaultElectionTimeout        = time.Second
@@ -77,7 +81,7 @@
 	DefaultSnapshotBurstBytes     = 1 << 20
 )
 
-// withDefaults fills zero fields.
+// withDefaults replaces zero fields by the defaults.
 func (s Settings) withDefaults() Settings {
 	setDefault(&s.Heartbeat, DefaultHeartbeat)
 	setDefault(&s.ElectionTimeout, DefaultElectionTimeout)
@@ -93,7 +97,7 @@
 	return s
 }
 
-// setDefault stores value where the field is zero.
+// setDefault sets a field to value if the field is zero.
 func setDefault[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
@@ -104,10 +108,11 @@
 // perMille is the unit of DriftPerMille.
 const perMille = 1000
 
-// leaseLength returns how long after sending a heartbeat its acknowledgement
-// by a quorum keeps the lease. A follower whose clock runs fast by d waits in
-// true time at least E/(1+d); a lease L on a slow clock lasts at most L/(1-d).
-// L = E(1-2d) is below E(1-d)/(1+d), so the lease ends first.
+// leaseLength returns how long a lease lasts, counted from when the leader sent
+// the message that a quorum acknowledged. With a clock drift of d and an
+// election timeout of E, a follower whose clock is fast waits at least E/(1+d)
+// of true time, and a lease of L on a slow clock lasts at most L/(1-d). L =
+// E(1-2d) is below E(1-d)/(1+d), so the lease ends first.
 func (s Settings) leaseLength() time.Duration {
 	return s.ElectionTimeout * time.Duration(perMille-2*s.DriftPerMille) / perMille
 }
--- a/coordination/consensus/status.go
+++ b/coordination/consensus/status.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Status is a view of a member for operators and for the repair policy.
+// Status is a view of a Core for operators and for package repair.
 type Status struct {
 	Self          Member
 	Role          Role
@@ -14,16 +14,17 @@
 	SnapshotIndex uint64
 	Configuration Configuration
 	Epoch         uint64
-	// Superseded says that the cluster was recovered without this member,
-	// whose data folder has to be wiped.
+	// Superseded means that the cluster was recovered without this member and
+	// that its data folder has to be wiped.
 	Superseded bool
-	// ChangePending says that a membership change waits for its commit, or
+	// ChangePending means that a membership change waits for its commit, or
 	// that this leader may not start one yet.
 	ChangePending bool
-	// Peers is set on a leader: the other members and how far they are.
+	// Peers is set only on a leader: the other members and their progress.
 	Peers []PeerStatus
-	// Sightings are routers heard of that are in no configuration.
-	Sightings []Sighting
+	// Discovered are members outside the configuration that sent a hello or a
+	// pre-vote.
+	Discovered []DiscoveredMember
 }
 
 // PeerStatus is a leader's view of another member.
@@ -31,19 +32,20 @@
 	Member Member
 	Voter  bool
 	Match  uint64
-	// Heard is when the member last answered, by the leader's clock.
-	Heard time.Duration
-	// CaughtUp says that it holds all but the newest few entries.
+	// LastHeard is when the member last replied, by the leader's clock.
+	LastHeard time.Duration
+	// CaughtUp means that the member answers and holds all but the newest few
+	// entries.
 	CaughtUp bool
 }
 
-// Sighting is a member outside the configuration that asked to join.
-type Sighting struct {
-	Member Member
-	Heard  time.Duration
+// DiscoveredMember is a member outside the configuration that asked to join.
+type DiscoveredMember struct {
+	Member    Member
+	LastHeard time.Duration
 }
 
-// Status returns a view of the member.
+// Status returns the current state of the member.
 func (c *Core) Status() Status {
 	configuration, _ := c.log.configuration()
 	s := Status{
@@ -59,12 +61,12 @@
 		}
 		s.Peers = append(s.Peers, PeerStatus{
 			Member: m, Voter: configuration.IsVoter(m), Match: p.match,
-			Heard: p.heard, CaughtUp: c.isCaughtUp(p),
+			LastHeard: p.lastHeard, CaughtUp: c.isCaughtUp(p),
 		})
 	}
-	for _, seen := range c.sightings {
-		if !configuration.Contains(seen.member) {
-			s.Sightings = append(s.Sightings, Sighting{Member: seen.member, Heard: seen.at})
+	for _, found := range c.discovered {
+		if !configuration.Contains(found.member) {
+			s.Discovered = append(s.Discovered, DiscoveredMember{Member: found.member, LastHeard: found.at})
 		}
 	}
 	return s
--- a/state/replica/recover.go
+++ b/state/replica/recover.go
@@ -65,7 +65,7 @@
 		return RecoveryReport{}, err
 	}
 	defer func() { _ = log.Close() }()
-	state, entry, ok := consensus.Recovered(log.Member(), stored)
+	state, entry, ok := consensus.RecoverAsSoleVoter(log.Member(), stored)
 	if !ok {
 		return RecoveryReport{}, ErrNothingToRecover{}
 	}
--- a/state/replica/replica.go
+++ b/state/replica/replica.go
@@ -174,7 +174,7 @@
 
 // SetContacts replaces the routers to ask first, with Config.Open.
 func (r *Replica) SetContacts(ctx context.Context, routers []protocol.RouterID) error {
-	return r.enqueue(ctx, func() { r.core.SetContacts(routers) })
+	return r.enqueue(ctx, func() { r.core.SetPeers(routers) })
 }
 
 // HandOver makes this member, if it leads, give leadership to a caught-up voter
@@ -183,7 +183,7 @@
 // Proposals that wait are answered with ErrLostLeadership.
 func (r *Replica) HandOver(ctx context.Context) error {
 	reply := make(chan error, 1)
-	if err := r.enqueue(ctx, func() { reply <- r.core.HandOver(r.config.Now()) }); err != nil {
+	if err := r.enqueue(ctx, func() { reply <- r.core.TransferLeadership(r.config.Now()) }); err != nil {
 		return err
 	}
 	return r.await(ctx, reply)
