--- a/coordination/consensus/repair/grow_test.go
+++ b/coordination/consensus/repair/grow_test.go
@@ -11,11 +11,11 @@
 )
 
 func TestAGrowingFleetKeepsThreeCopies(t *testing.T) {
-	// Five disk VMs hold the table; nobody has told them that they are five.
-	// Two lose their disks at once. If the lost ones were taken out before
-	// their successors are in, three voters would be left, a change on two
-	// disks would be answered as accepted, and the next two lost disks would
-	// take it.
+	// Guards against the loss of a change that was answered as accepted. Five
+	// disk VMs hold the table, without knowing that they are five, and two lose
+	// their disks at the same time. If the lost voters were removed before
+	// their replacements join, three voters would be left, a change on two
+	// disks would be accepted, and the loss of those two disks would lose it.
 	live := func(r protocol.RouterID) consensus.PeerStatus { return peer(r, true, 0) }
 	silent := func(r protocol.RouterID) consensus.PeerStatus { return peer(r, true, time.Minute) }
 	joining := func(r protocol.RouterID, disk consensus.DiskID) consensus.PeerStatus {
@@ -26,16 +26,17 @@
 		peers peers
 		want  consensus.Change
 	}{
-		"a silent voter of five stays":             {peers: peers{live("r2"), live("r3"), live("r4"), silent("r5")}},
-		"a newcomer is promoted beside two silent": {peers: peers{live("r2"), live("r3"), silent("r4"), silent("r5"), joining("r6", 1)}, want: consensus.Change{Kind: consensus.Promote, Member: member("r6", 1)}},
-		"then one of the silent ones goes":         {peers: peers{live("r2"), live("r3"), silent("r4"), silent("r5"), live("r6")}, want: consensus.Change{Kind: consensus.Remove, Member: member("r4", 1)}},
-		"a VM with a new disk is promoted first":   {peers: peers{live("r2"), live("r3"), live("r4"), live("r5"), joining("r5", 2)}, want: consensus.Change{Kind: consensus.Promote, Member: member("r5", 2)}},
-		"a sixth and a seventh grow the fleet":     {peers: peers{live("r2"), live("r3"), live("r4"), live("r5"), live("r6"), joining("r7", 1)}, want: consensus.Change{Kind: consensus.Promote, Member: member("r7", 1)}},
-		"an eighth stays a learner":                {peers: peers{live("r2"), live("r3"), live("r4"), live("r5"), live("r6"), live("r7"), joining("r8", 1)}},
+		"a silent voter of five stays":                      {peers: peers{live("r2"), live("r3"), live("r4"), silent("r5")}},
+		"a new member is promoted beside two silent voters": {peers: peers{live("r2"), live("r3"), silent("r4"), silent("r5"), joining("r6", 1)}, want: consensus.Change{Kind: consensus.Promote, Member: member("r6", 1)}},
+		"then one of the silent ones is removed":            {peers: peers{live("r2"), live("r3"), silent("r4"), silent("r5"), live("r6")}, want: consensus.Change{Kind: consensus.Remove, Member: member("r4", 1)}},
+		"a VM with a new disk is promoted first":            {peers: peers{live("r2"), live("r3"), live("r4"), live("r5"), joining("r5", 2)}, want: consensus.Change{Kind: consensus.Promote, Member: member("r5", 2)}},
+		"a sixth and a seventh grow the fleet":              {peers: peers{live("r2"), live("r3"), live("r4"), live("r5"), live("r6"), joining("r7", 1)}, want: consensus.Change{Kind: consensus.Promote, Member: member("r7", 1)}},
+		"an eighth stays a learner":                         {peers: peers{live("r2"), live("r3"), live("r4"), live("r5"), live("r6"), live("r7"), joining("r8", 1)}},
 		// Two VMs were replaced while they still ran, and are gone now. Seven
-		// voters of which two never return bear one loss; five bear two.
-		"a lost voter of seven goes":   {peers: peers{live("r2"), live("r3"), live("r4"), live("r5"), silent("r6"), silent("r7")}, want: consensus.Change{Kind: consensus.Remove, Member: member("r6", 1)}},
-		"six live voters are all kept": {peers: peers{live("r2"), live("r3"), live("r4"), live("r5"), live("r6")}},
+		// voters of which two never return tolerate one more loss; five
+		// tolerate two.
+		"a lost voter of seven is removed": {peers: peers{live("r2"), live("r3"), live("r4"), live("r5"), silent("r6"), silent("r7")}, want: consensus.Change{Kind: consensus.Remove, Member: member("r6", 1)}},
+		"six live voters are all kept":     {peers: peers{live("r2"), live("r3"), live("r4"), live("r5"), live("r6")}},
 	}
 	p := New(Settings{Voters: 7, Grow: true, Losses: 2})
 	for name, test := range tests {
--- a/coordination/consensus/repair/repair.go
+++ b/coordination/consensus/repair/repair.go
@@ -1,24 +1,28 @@
 // Package repair decides, without an operator, which membership change the
-// leader should make next: it keeps spares caught up, replaces a voter that
-// stays silent or whose disk is gone, and returns to the set number of voters.
+// leader should make next. It keeps spares (learners that hold the log) ready,
+// replaces a voter that stays silent or whose disk is gone, and restores the
+// configured number of voters.
 //
-// The leader asks Decide at every tick. Each answer is one step, and the next
-// one follows only when the step is committed:
+// The leader calls Policy.Decide at every tick. Each result is one change, and
+// the next change follows only when that one is committed:
 //
-//  1. A router with a disk that asks to join becomes a learner, up to a limit.
+//  1. A router with a disk that asks to join becomes a learner, up to
+//     MaxLearners.
 //  2. A voter is lost when it has been silent for SilentAfter, or at once when
 //     its router has come back with another disk.
-//  3. For a lost voter, a caught-up learner is promoted first and the lost
-//     voter removed afterwards, so the number of live voters never falls below
-//     what it was. Spares in data centres with the fewest live voters go first.
-//  4. A learner that is long silent, or whose router has another disk now, is
-//     removed.
+//  3. To replace a lost voter, a learner that has caught up is promoted first
+//     and the lost voter is removed afterwards, so the number of live voters
+//     never decreases. Learners in data centres with the fewest live voters are
+//     promoted first.
+//  4. A learner that has been silent for RemoveLearnerAfter, or whose router
+//     has another disk now, is removed.
 //
-// Failures guarded: a voter lost for good; a second one lost right after the
-// repair (it is repaired in the same way, since no step leaves fewer live
-// voters than a quorum of the next configuration needs); a leader that hears
-// nobody and would remove everybody (it removes nothing without a live quorum
-// of the configuration that results).
+// The package guards against three failures. A voter is lost for good. A second
+// voter is lost right after the repair: it is replaced in the same way, since
+// no change leaves fewer live voters than a quorum of the resulting
+// configuration needs. A leader receives no replies and would remove all other
+// voters: it removes nobody without a live quorum of the resulting
+// configuration.
 package repair
 
 import (
@@ -29,39 +33,43 @@
 	"endiveplank/protocol"
 )
 
-// Settings of a Policy. Zero values take the defaults.
+// Settings are the parameters of a Policy. Zero values are replaced by the
+// defaults.
 type Settings struct {
 	// Voters is the number of voters to keep: three or five. With Grow it is
-	// the most there may be.
+	// the maximum.
 	Voters int
-	// Grow makes a voter of every disk VM that joins, up to Voters, for fleets
-	// that are not told how many there are.
+	// Grow makes every disk VM that joins a voter, up to Voters. It is for
+	// fleets whose VMs do not know how many disk VMs there are.
 	Grow bool
-	// Losses is how many voters may be lost at once; with Grow, lost voters are
-	// taken out down to the number that bears so many.
+	// Losses is how many voters may be lost at the same time. With Grow, lost
+	// voters are removed until as many voters are left as tolerate this number
+	// of losses.
 	Losses int
 	// SilentAfter is how long a voter may be silent before it is replaced.
 	SilentAfter time.Duration
-	// ForgetAfter is how long a learner may be silent before it is removed.
-	ForgetAfter time.Duration
-	// MaxLearners bounds the spares that receive the log.
+	// RemoveLearnerAfter is how long a learner may be silent before it is
+	// removed.
+	RemoveLearnerAfter time.Duration
+	// MaxLearners limits the number of learners.
 	MaxLearners int
-	// DataCentres tells where routers are; unknown ones count as apart.
+	// DataCentres maps routers to their data centres. A router that is missing
+	// here counts as being in a data centre of its own.
 	DataCentres map[protocol.RouterID]protocol.DataCentre
 }
 
-// Defaults. A restart of a VM takes seconds and is no loss; a loss of half a
-// minute costs nothing but the spare. An hour of silence is also what two
-// parted regions may last, so a spare is kept that long.
+// Defaults. A VM restarts within seconds, which is no loss. Replacing a voter
+// that was only away for half a minute costs nothing but the spare. Two regions
+// may be separated for an hour, so a silent spare is kept that long.
 const (
-	DefaultVoters      = 3
-	DefaultSilentAfter = 30 * time.Second
-	DefaultForgetAfter = time.Hour
-	DefaultMaxLearners = 4
+	DefaultVoters             = 3
+	DefaultSilentAfter        = 30 * time.Second
+	DefaultRemoveLearnerAfter = time.Hour
+	DefaultMaxLearners        = 4
 )
 
-// Policy decides membership changes. It holds no state of its own: all it
-// needs is in the status of the leader, which a new leader has as well.
+// Policy decides membership changes. It is stateless: all it needs is in the
+// status of the leader, so a new leader continues without a handover.
 type Policy struct {
 	settings Settings
 }
@@ -74,8 +82,8 @@
 	if settings.SilentAfter == 0 {
 		settings.SilentAfter = DefaultSilentAfter
 	}
-	if settings.ForgetAfter == 0 {
-		settings.ForgetAfter = DefaultForgetAfter
+	if settings.RemoveLearnerAfter == 0 {
+		settings.RemoveLearnerAfter = DefaultRemoveLearnerAfter
 	}
 	if settings.MaxLearners == 0 {
 		settings.MaxLearners = DefaultMaxLearners
@@ -83,16 +91,17 @@
 	return Policy{settings: settings}
 }
 
-// sightingLife is how long a member that asked to join counts as present.
-const sightingLife = 5 * time.Second
+// joinRequestTTL is how long a member that asked to join counts as present.
+const joinRequestTTL = 5 * time.Second
 
-// Decide returns the next membership step and its reason, given the leader's
-// status. Kind is zero for none, as always on others than a leader.
+// Decide returns the next membership change and its reason, given the status of
+// the leader. The Kind of the change is zero if there is none, and always on a
+// member that does not lead.
 func (p Policy) Decide(now time.Duration, s consensus.Status) consensus.Change {
 	if s.Role != consensus.Leader || s.ChangePending {
 		return consensus.Change{}
 	}
-	v := p.view(now, s)
+	v := p.newView(now, s)
 	for _, rule := range []func(view) consensus.Change{p.removeVoter, p.promote, p.removeLearner, p.addLearner} {
 		if change := rule(v); change.Kind != 0 {
 			return change
@@ -101,14 +110,14 @@
 	return consensus.Change{}
 }
 
-// view is the status sorted for the rules.
+// view is a status sorted for the rules.
 type view struct {
-	now       time.Duration
-	self      consensus.Member
-	live      []consensus.Member
-	lost      []lostVoter
-	learners  []consensus.PeerStatus
-	sightings []consensus.Member
+	now      time.Duration
+	self     consensus.Member
+	live     []consensus.Member
+	lost     []lostVoter
+	learners []consensus.PeerStatus
+	joining  []consensus.Member
 }
 
 // lostVoter is a voter to be replaced.
@@ -117,34 +126,34 @@
 	reason string
 }
 
-// voters returns the number of voters, live or lost.
+// voters returns the number of voters, live and lost.
 func (v view) voters() int {
 	return len(v.live) + len(v.lost)
 }
 
-// view sorts a status.
-func (p Policy) view(now time.Duration, s consensus.Status) view {
+// newView sorts a status.
+func (p Policy) newView(now time.Duration, s consensus.Status) view {
 	v := view{now: now, self: s.Self, live: []consensus.Member{s.Self}}
-	for _, seen := range s.Discovered {
-		if now-seen.LastHeard < sightingLife {
-			v.sightings = append(v.sightings, seen.Member)
+	for _, found := range s.Discovered {
+		if now-found.LastHeard < joinRequestTTL {
+			v.joining = append(v.joining, found.Member)
 		}
 	}
 	for _, peer := range s.Peers {
-		p.sort(&v, peer)
+		p.classify(&v, peer)
 	}
 	return v
 }
 
-// sort puts one peer where it belongs.
-func (p Policy) sort(v *view, peer consensus.PeerStatus) {
+// classify adds one peer to the live voters, the lost voters or the learners.
+func (p Policy) classify(v *view, peer consensus.PeerStatus) {
 	if !peer.Voter {
 		v.learners = append(v.learners, peer)
 		return
 	}
 	reason := ""
 	if v.now-peer.LastHeard >= p.settings.SilentAfter {
-		reason = "silent for too long"
+		reason = "no reply for too long"
 	}
 	if v.hasOtherDisk(peer.Member) {
 		reason = "its router came back with another disk"
@@ -156,78 +165,82 @@
 	v.lost = append(v.lost, lostVoter{peer.Member, reason})
 }
 
-// hasOtherDisk reports whether a member's router was seen with another disk,
-// as a learner or asking to join.
+// hasOtherDisk reports whether the router of a member now has another disk: as
+// a learner that has caught up, or asking to join.
 func (v view) hasOtherDisk(m consensus.Member) bool {
 	other := func(seen consensus.Member) bool { return seen.Router == m.Router && seen.Disk != m.Disk }
-	return slices.ContainsFunc(v.sightings, other) ||
+	return slices.ContainsFunc(v.joining, other) ||
 		slices.ContainsFunc(v.learners, func(l consensus.PeerStatus) bool { return other(l.Member) && l.CaughtUp })
 }
 
-// removeVoter takes out a lost voter once there are more than the set number,
-// or a live one too many.
+// removeVoter removes a lost voter if one may be removed, or a live voter if
+// there are more than configured.
 func (p Policy) removeVoter(v view) consensus.Change {
-	if !p.tooMany(v) {
+	if !p.mayRemoveVoter(v) {
 		return consensus.Change{}
 	}
 	if len(v.lost) > 0 && hasQuorum(len(v.live), v.voters()-1) {
 		return consensus.Change{Kind: consensus.Remove, Member: v.lost[0].member, Reason: v.lost[0].reason}
 	}
 	if len(v.lost) == 0 && v.voters() > p.settings.Voters {
-		return consensus.Change{Kind: consensus.Remove, Member: p.spareVoter(v), Reason: "more voters than set"}
+		return consensus.Change{Kind: consensus.Remove, Member: p.surplusVoter(v), Reason: "more voters than configured"}
 	}
 	return consensus.Change{}
 }
 
-// tooMany reports whether a voter may go.
+// mayRemoveVoter reports whether the number of voters allows the removal of
+// one.
 //
-// In a growing fleet a lost voter goes from any number above that which bears
-// the losses that were set, and below it only from an even number. From an even
-// number the quorum becomes smaller by one and the number of losses that can be
-// borne no smaller. From a small odd number it would lower what is borne: of
-// five voters with two lost disks, three would be left, and a change on two
-// disks would count as safe. A newcomer in the place of a lost voter is promoted
-// first and so makes the number even. From a large odd number it has to go:
-// seven voters, two of which were replaced and never return, bear one loss, and
-// the five that are left bear two.
-func (p Policy) tooMany(v view) bool {
-	if p.settings.Grow && (v.voters()%2 == 0 || v.voters() > votersFor(p.settings.Losses)) {
+// With Grow, a lost voter is removed at any number of voters above the number
+// that tolerates the configured losses, and below it only from an even number.
+// Removal from an even number lowers the quorum by one and does not lower the
+// number of losses that the cluster tolerates. Removal from a small odd number
+// would lower it: of five voters with two lost disks, three would be left, and
+// a change on two disks would count as safe. A member that replaces a lost
+// voter is promoted first and so makes the number even. From a large odd number
+// the lost voter has to be removed: seven voters, of which two were replaced
+// and never return, tolerate one more loss, while the remaining five tolerate
+// two.
+func (p Policy) mayRemoveVoter(v view) bool {
+	if p.settings.Grow && (v.voters()%2 == 0 || v.voters() > votersToSurvive(p.settings.Losses)) {
 		return true
 	}
 	return v.voters() > p.settings.Voters
 }
 
-// votersFor returns how many voters bear a number of losses at once.
-func votersFor(losses int) int { return 2*losses + 1 }
+// votersToSurvive returns how many voters tolerate a number of losses at the
+// same time.
+func votersToSurvive(losses int) int { return 2*losses + 1 }
 
-// hasQuorum reports whether live voters are a majority of all.
+// hasQuorum reports whether the live voters are a majority of all voters.
 func hasQuorum(live, all int) bool {
 	return live >= all/2+1
 }
 
-// spareVoter returns the live voter, other than the leader, in the data centre
-// with the most of them.
-func (p Policy) spareVoter(v view) consensus.Member {
+// surplusVoter returns the live voter to remove: one in the data centre with
+// the most live voters, but not the leader.
+func (p Policy) surplusVoter(v view) consensus.Member {
 	others := slices.Clone(v.live[1:])
 	slices.SortStableFunc(others, func(a, b consensus.Member) int {
-		return p.neighbours(v, b) - p.neighbours(v, a)
+		return p.liveVotersInDataCentre(v, b) - p.liveVotersInDataCentre(v, a)
 	})
 	return others[0]
 }
 
-// neighbours counts the live voters in a member's data centre.
-func (p Policy) neighbours(v view, m consensus.Member) int {
-	place, known := p.settings.DataCentres[m.Router]
+// liveVotersInDataCentre counts the live voters in a member's data centre.
+func (p Policy) liveVotersInDataCentre(v view, m consensus.Member) int {
+	dataCentre, known := p.settings.DataCentres[m.Router]
 	count := 0
 	for _, voter := range v.live {
-		if known && p.settings.DataCentres[voter.Router] == place {
+		if known && p.settings.DataCentres[voter.Router] == dataCentre {
 			count++
 		}
 	}
 	return count
 }
 
-// promote makes a caught-up learner a voter when one is lost or missing.
+// promote makes a learner that has caught up a voter when a voter is lost or
+// missing.
 func (p Policy) promote(v view) consensus.Change {
 	wanted := len(v.live) < p.settings.Voters && v.voters() <= p.settings.Voters
 	if !wanted || !hasQuorum(len(v.live)+1, v.voters()+1) {
@@ -240,29 +253,30 @@
 		return consensus.Change{}
 	}
 	slices.SortStableFunc(candidates, func(a, b consensus.PeerStatus) int {
-		return p.neighbours(v, a.Member) - p.neighbours(v, b.Member)
+		return p.liveVotersInDataCentre(v, a.Member) - p.liveVotersInDataCentre(v, b.Member)
 	})
-	reason := "fewer voters than set"
+	reason := "fewer voters than configured"
 	if len(v.lost) > 0 {
-		reason = "in place of " + v.lost[0].member.String() + ": " + v.lost[0].reason
+		reason = "replaces " + v.lost[0].member.String() + ": " + v.lost[0].reason
 	}
 	return consensus.Change{Kind: consensus.Promote, Member: candidates[0].Member, Reason: reason}
 }
 
-// removeLearner takes out a learner that will not return under its name.
+// removeLearner removes a learner that is silent for too long or whose router
+// has another disk.
 func (p Policy) removeLearner(v view) consensus.Change {
 	for _, l := range v.learners {
-		if v.now-l.LastHeard >= p.settings.ForgetAfter || v.hasOtherDisk(l.Member) {
-			return consensus.Change{Kind: consensus.Remove, Member: l.Member, Reason: "the spare is gone"}
+		if v.now-l.LastHeard >= p.settings.RemoveLearnerAfter || v.hasOtherDisk(l.Member) {
+			return consensus.Change{Kind: consensus.Remove, Member: l.Member, Reason: "the learner is silent for too long or its router has another disk"}
 		}
 	}
 	return consensus.Change{}
 }
 
-// addLearner takes in a member that asked to join.
+// addLearner adds a member that asked to join.
 func (p Policy) addLearner(v view) consensus.Change {
-	if len(v.learners) >= p.settings.MaxLearners || len(v.sightings) == 0 {
+	if len(v.learners) >= p.settings.MaxLearners || len(v.joining) == 0 {
 		return consensus.Change{}
 	}
-	return consensus.Change{Kind: consensus.AddLearner, Member: v.sightings[0], Reason: "it asked to join"}
+	return consensus.Change{Kind: consensus.AddLearner, Member: v.joining[0], Reason: "it asked to join"}
 }
--- a/daemon/diskvm/member.go
+++ b/daemon/diskvm/member.go
@@ -97,7 +97,7 @@
 			Heartbeat: heartbeat, ElectionTimeout: electionTimeout, Leaseless: true,
 			SnapshotBytesPerSecond: snapshotRate, SnapshotBurstBytes: snapshotBurst,
 		},
-		Repair:        repair.Settings{Voters: mostVoters, Grow: true, Losses: vm.settings.DiskLosses, SilentAfter: silentAfter, ForgetAfter: forgetLearner},
+		Repair:        repair.Settings{Voters: mostVoters, Grow: true, Losses: vm.settings.DiskLosses, SilentAfter: silentAfter, RemoveLearnerAfter: forgetLearner},
 		SnapshotEvery: snapshotEvery, SegmentBytes: segmentBytes,
 		OnEvent:  vm.logConsensus,
 		OnFailed: func(err error) { vm.log.Error().Str("event", "disk-failed").Err(err).Send() },
