--- a/coordination/balance/balance_test.go
+++ b/coordination/balance/balance_test.go
@@ -318,7 +318,7 @@
 	first := pickAnswered(b, now, seeded(), prompt(7))
 	list := entries(2)
 	at := slices.IndexFunc(list, func(e roster.Entry) bool { return e.ID == first.ID })
-	list[at].Born = 99
+	list[at].StartedAt = 99
 	b.SetRoster(list)
 	assert.Equal(t, len(b.keepersOf(now, 7, b.services["s"])), 0)
 }
--- a/coordination/balance/book.go
+++ b/coordination/balance/book.go
@@ -135,10 +135,10 @@
 			u = &upstream{own: Work{ID: short}, told: Work{ID: short}}
 			b.upstreams[e.ID] = u
 		}
-		if u.entry.State != e.State || u.entry.Address != e.Address || u.entry.Born != e.Born {
+		if u.entry.State != e.State || u.entry.Address != e.Address || u.entry.StartedAt != e.StartedAt {
 			changed = append(changed, e)
 		}
-		if u.entry.Born != e.Born {
+		if u.entry.StartedAt != e.StartedAt {
 			u.health = health{}
 		}
 		u.entry = e
--- a/coordination/balance/keepers.go
+++ b/coordination/balance/keepers.go
@@ -78,7 +78,7 @@
 	source := ""
 	for _, k := range b.keepers.prompts[prompt] {
 		u := b.upstreams[k.id]
-		if u == nil || u.entry.Born != k.born || now-k.at > keeperLife || u.entry.State == roster.Gone || !k.sure {
+		if u == nil || u.entry.StartedAt != k.born || now-k.at > keeperLife || u.entry.State == roster.Gone || !k.sure {
 			continue
 		}
 		if u == chosen {
@@ -117,7 +117,7 @@
 }
 
 // isOf reports whether a keeper is this start of an upstream.
-func (k keeper) isOf(u *upstream) bool { return k.id == u.entry.ID && k.born == u.entry.Born }
+func (k keeper) isOf(u *upstream) bool { return k.id == u.entry.ID && k.born == u.entry.StartedAt }
 
 // Keeps notes that an engine has begun to answer a prompt, and so keeps its beginning
 // and the shorter ones.
@@ -190,7 +190,7 @@
 	if !known && len(k.prompts) >= mostPrompts {
 		k.drop(now)
 	}
-	next := keeper{id: u.entry.ID, born: u.entry.Born, at: now}
+	next := keeper{id: u.entry.ID, born: u.entry.StartedAt, at: now}
 	at := slices.IndexFunc(list, func(old keeper) bool { return old.isOf(u) })
 	if at >= 0 {
 		next.told, next.sure = list[at].told, list[at].sure
--- a/coordination/control/announcements.go
+++ b/coordination/control/announcements.go
@@ -86,10 +86,10 @@
 	if !f.MayConfirm(now) {
 		return false, 0, false
 	}
-	if f.roster.Confirm(now, e) {
+	if f.roster.ConfirmUnchanged(now, e) {
 		return true, 0, false
 	}
-	f.roster.Announced(now, e)
+	f.roster.RecordAnnouncement(now, e)
 	return false, f.Forward(e), true
 }
 
@@ -98,7 +98,7 @@
 	if now-f.shared < shareInterval {
 		return nil
 	}
-	heard := f.roster.AnnouncedSince(f.shared)
+	heard := f.roster.HeartbeatsSince(f.shared)
 	f.shared = now
 	if len(heard) == 0 {
 		return nil
--- a/coordination/control/announcements_test.go
+++ b/coordination/control/announcements_test.go
@@ -48,8 +48,8 @@
 		r := w.routers[protocol.RouterID(u.at)]
 		if r != nil && !w.deaf[r.self] && r.MayConfirm(w.now) {
 			calls[u.at]++
-			if !r.roster.Confirm(w.now, u.entry) {
-				r.roster.Announced(w.now, u.entry)
+			if !r.roster.ConfirmUnchanged(w.now, u.entry) {
+				r.roster.RecordAnnouncement(w.now, u.entry)
 				r.Forward(u.entry)
 			}
 			continue
@@ -57,7 +57,7 @@
 		id := inOrder(w.vms)[i%len(w.vms)]
 		calls[string(id)]++
 		v := w.vms[id]
-		if v.roster.Announced(w.now, u.entry) {
+		if v.roster.RecordAnnouncement(w.now, u.entry) {
 			v.publisher.Heard(u.entry.ID)
 			w.tellOtherVMs(u.entry)
 		}
--- a/coordination/control/lists.go
+++ b/coordination/control/lists.go
@@ -83,9 +83,9 @@
 		return
 	}
 	if same {
-		f.roster.AllListed(now)
+		f.roster.RefreshAll(now)
 	} else if s.roster == s.merged {
-		f.roster.Listed(now, s.listed)
+		f.roster.RefreshListed(now, s.listed)
 	}
 }
 
--- a/coordination/control/messages.go
+++ b/coordination/control/messages.go
@@ -123,7 +123,7 @@
 
 // Heard tells a disk VM which upstreams still announce themselves.
 type Heard struct {
-	Upstreams []roster.Heard `msgpack:"u"`
+	Upstreams []roster.Heartbeat `msgpack:"u"`
 }
 
 // Put asks the leader to make a change the newest table.
--- a/coordination/control/pushes_test.go
+++ b/coordination/control/pushes_test.go
@@ -61,7 +61,7 @@
 	}
 	for i := range upstreams {
 		id := protocol.UpstreamID(fmt.Sprint("u", i))
-		v.Announced(at, roster.Entry{ID: id, Service: "chat", Address: fmt.Sprint("a:", i), State: roster.Ready, Sequence: 1})
+		v.RecordAnnouncement(at, roster.Entry{ID: id, Service: "chat", Address: fmt.Sprint("a:", i), State: roster.Ready, Sequence: 1})
 		p.Heard(id)
 		if i%(upstreams/steps) == 0 {
 			at += 50 * time.Millisecond
@@ -84,7 +84,7 @@
 	p.Watched(0, "r1", Watch{Router: true})
 	push := func(at time.Duration, ids ...protocol.UpstreamID) Changes {
 		for _, id := range ids {
-			v.Announced(at, roster.Entry{ID: id, Address: string(id), State: roster.Ready, Sequence: 1})
+			v.RecordAnnouncement(at, roster.Entry{ID: id, Address: string(id), State: roster.Ready, Sequence: 1})
 			p.Heard(id)
 		}
 		return p.PushHeard(at)[0].Body.(Changes)
--- a/coordination/control/relay_test.go
+++ b/coordination/control/relay_test.go
@@ -38,7 +38,7 @@
 
 // startOf returns what an upstream says after a start.
 func startOf(i int, born int64) roster.Entry {
-	return roster.Entry{ID: protocol.UpstreamID(fmt.Sprint("u", i)), Address: fmt.Sprint("a", i), State: roster.Ready, Born: born, Sequence: 1}
+	return roster.Entry{ID: protocol.UpstreamID(fmt.Sprint("u", i)), Address: fmt.Sprint("a", i), State: roster.Ready, StartedAt: born, Sequence: 1}
 }
 
 // tell makes one disk VM hear an upstream, and all others be told.
--- a/coordination/control/starting_test.go
+++ b/coordination/control/starting_test.go
@@ -242,7 +242,7 @@
 func (w *starting) heard(v *station, c *call) {
 	e := c.from.entry
 	if v.vm != nil {
-		if v.vm.roster.Announced(w.now, e) {
+		if v.vm.roster.RecordAnnouncement(w.now, e) {
 			v.vm.publisher.Heard(e.ID)
 		}
 		w.answer(v, c, true, v.vm.publisher.AnnounceAt(w.now, e))
--- a/coordination/roster/buckets.go
+++ b/coordination/roster/buckets.go
@@ -11,34 +11,35 @@
 	"endiveplank/protocol"
 )
 
-// bucketCount is in how many parts rosters are compared: as many as a mask has
-// bits.
+// bucketCount is the number of buckets by which rosters are compared: one for
+// each bit of a Buckets mask.
 const bucketCount = 64
 
-// Buckets names parts of a roster, by the bits of a mask.
+// Buckets is a set of buckets of a roster, as a bit mask.
 type Buckets uint64
 
-// AllBuckets names the whole roster.
+// AllBuckets is the set of all buckets, which is the whole roster.
 const AllBuckets = ^Buckets(0)
 
-// bucketOf returns the part that an upstream belongs to.
+// bucketOf returns the bucket of an upstream, which its ID alone decides.
 func bucketOf(id protocol.UpstreamID) int {
 	return int(xxhash.Sum64String(string(id)) % bucketCount)
 }
 
-// has reports whether a part is named.
+// has reports whether the set contains a bucket.
 func (b Buckets) has(bucket int) bool { return b>>bucket&1 == 1 }
 
-// Count returns how many parts are named.
+// Count returns the number of buckets in the set.
 func (b Buckets) Count() int { return bits.OnesCount64(uint64(b)) }
 
-// Summary is a digest of each part, for another process to find which differ.
+// Summary holds a digest of each bucket. Another process compares it with its own
+// roster to find the buckets that differ.
 type Summary []byte
 
-// summaryBytes is the length of a Summary: 32 bits for each part.
+// summaryBytes is the length of a Summary: 32 bits for each bucket.
 const summaryBytes = 4 * bucketCount
 
-// Summary returns the digests of the own parts.
+// Summary returns the digests of this roster's buckets.
 func (r *Roster) Summary() Summary {
 	summary := make(Summary, 0, summaryBytes)
 	for _, digest := range r.bucketDigests {
@@ -47,12 +48,14 @@
 	return summary
 }
 
-// mostParts is how many parts are sent by themselves. With more the whole goes
-// out, which is packed once for all who lack most of it.
-const mostParts = bucketCount / 4
+// maxPartialBuckets is the largest number of buckets that are sent on their own.
+// If more differ, the whole roster is sent: it is packed once and then sent to
+// every process that lacks most of it.
+const maxPartialBuckets = bucketCount / 4
 
-// Differing returns the parts that differ from another process's, all of them
-// where many do or it gave no Summary.
+// Differing returns the buckets that differ from another process's roster. It
+// returns all of them if more than maxPartialBuckets differ or if the other
+// process sent no Summary.
 func (r *Roster) Differing(other Summary) Buckets {
 	if len(other) != summaryBytes {
 		return AllBuckets
@@ -63,13 +66,13 @@
 			differing |= 1 << bucket
 		}
 	}
-	if differing.Count() > mostParts {
+	if differing.Count() > maxPartialBuckets {
 		return AllBuckets
 	}
 	return differing
 }
 
-// EntriesIn returns the entries of some parts, by name.
+// EntriesIn returns the entries of the given buckets, sorted by ID.
 func (r *Roster) EntriesIn(buckets Buckets) []Entry {
 	var entries []Entry
 	for _, known := range r.records {
--- a/coordination/roster/roster.go
+++ b/coordination/roster/roster.go
@@ -11,15 +11,15 @@
 	"endiveplank/protocol"
 )
 
-// State is what an upstream takes at the moment.
+// State says whether an upstream accepts requests.
 type State uint8
 
 const (
-	// Ready upstreams take new work.
+	// Ready upstreams accept new requests.
 	Ready State = iota + 1
-	// Draining upstreams finish what they have and take nothing new.
+	// Draining upstreams finish the requests that they have and accept no new ones.
 	Draining
-	// Gone upstreams have left or been replaced at their address.
+	// Gone upstreams have left, or another upstream has taken their address.
 	Gone
 )
 
@@ -36,7 +36,7 @@
 	return "unknown"
 }
 
-// Entry is what is known of one upstream.
+// Entry holds what an upstream last announced about itself.
 type Entry struct {
 	ID      protocol.UpstreamID `msgpack:"i"`
 	Service protocol.Service    `msgpack:"s"`
@@ -45,122 +45,134 @@
 	DataCentre protocol.DataCentre `msgpack:"d"`
 	// Build is the version of the upstream's software.
 	Build string `msgpack:"b,omitempty"`
-	// Slots is how many requests it runs at a time.
+	// Slots is the number of requests that the upstream runs at a time.
 	Slots int   `msgpack:"n,omitempty"`
 	State State `msgpack:"t"`
-	// ColdFor is how much longer it stays slow after its start.
+	// ColdFor is how much longer the upstream stays slow because it has only just
+	// started.
 	ColdFor time.Duration `msgpack:"c,omitempty"`
-	// Born is the upstream's start, by its own clock in Unix milliseconds; it
-	// orders two starts. 0 if the upstream doesn't tell.
-	Born int64 `msgpack:"o,omitempty"`
-	// Sequence numbers the announcements of one start.
+	// StartedAt is the time of the upstream's start, by its own clock in Unix
+	// milliseconds. It identifies the upstream's incarnation: a higher value is a
+	// later one. It is 0 if the upstream doesn't send it.
+	StartedAt int64 `msgpack:"o,omitempty"`
+	// Sequence numbers the announcements of one incarnation.
 	Sequence uint64 `msgpack:"q"`
 }
 
-// newer orders two entries of one upstream. Leaving goes before the number of
-// the announcement: nothing that was sent before can undo it.
+// newer reports whether a is newer than b; both are entries of one upstream.
+// Whether the upstream has left is compared before the sequence number, so no
+// announcement of the same incarnation can undo that it left.
 func newer(a, b Entry) bool {
 	order := cmp.Or(
-		cmp.Compare(a.Born, b.Born),
-		cmp.Compare(left(a), left(b)),
+		cmp.Compare(a.StartedAt, b.StartedAt),
+		cmp.Compare(leftRank(a), leftRank(b)),
 		cmp.Compare(a.Sequence, b.Sequence),
 	)
 	return order > 0
 }
 
-// left is 1 for an upstream that has left.
-func left(e Entry) int {
+// leftRank returns 1 for an upstream that has left, else 0.
+func leftRank(e Entry) int {
 	if e.State == Gone {
 		return 1
 	}
 	return 0
 }
 
-// sameToRouters reports whether routers would treat two entries alike.
+// sameToRouters reports whether two entries differ in nothing that matters to
+// routers.
 func sameToRouters(a, b Entry) bool {
 	a.Sequence, b.Sequence = 0, 0
 	a.ColdFor, b.ColdFor = 0, 0
 	return a == b
 }
 
-// record is an entry with what this process alone knows of it.
+// record is an entry with the bookkeeping of this process, which isn't sent to
+// others.
 type record struct {
 	Entry
-	// heard is when anything was last heard of it, announced when it last
-	// announced itself here, if ever.
-	heard         time.Duration
-	announced     time.Duration
+	// lastHeard is when this process last received anything about the upstream.
+	// lastAnnounced is when the upstream last announced itself to this process,
+	// if it ever did (everAnnounced).
+	lastHeard     time.Duration
+	lastAnnounced time.Duration
 	everAnnounced bool
-	// bucket is the part of the list that it belongs to.
+	// bucket is the bucket of the upstream's ID.
 	bucket int
-	// revision is the value of Roster.revision at the last change that matters
-	// to routers.
+	// revision is the value of Roster.revision at the entry's last change that
+	// matters to routers.
 	revision uint64
 }
 
 // Settings of a Roster.
 type Settings struct {
-	// ForgetGone is how long an upstream that has left is remembered, so that
-	// its late announcements are known as such. Announcements arrive some
-	// seconds late at most.
+	// ForgetGone is how long the entry of an upstream that has left is kept as a
+	// tombstone, so that its late announcements are recognized as late.
+	// Announcements arrive at most some seconds late.
 	ForgetGone time.Duration
-	// ForgetSilent is how long an upstream that doesn't announce itself any
-	// more is listed. It isn't unusable meanwhile: the way to the disk VMs may
-	// be cut while the way to the routers works.
+	// ForgetSilent is how long an upstream stays listed after it stops announcing
+	// itself. It remains usable in that time, because its network path to the disk
+	// VMs may be broken while the path between it and the routers works.
 	ForgetSilent time.Duration
 }
 
-// DefaultSettings returns the defaults: ten times the longest delay seen of an
-// announcement, and twenty-five times the usual interval between two.
+// DefaultSettings returns the defaults: ForgetGone is ten times the longest
+// observed delay of an announcement, and ForgetSilent is twenty-five times the
+// usual interval between two announcements.
 func DefaultSettings() Settings {
 	return Settings{ForgetGone: 60 * time.Second, ForgetSilent: 30 * time.Second}
 }
 
-// Roster holds the entries. It is not safe for concurrent use.
+// Roster holds the entries of all known upstreams. It is not safe for concurrent
+// use.
 type Roster struct {
 	settings Settings
 	records  map[protocol.UpstreamID]*record
-	// holder is the upstream that is at an address.
-	holder   map[string]protocol.UpstreamID
-	revision uint64
-	// digest is that of the upstreams that haven't left, and usable their number.
-	// Both are kept up with each change: a thousand upstreams that announce
-	// themselves to a disk VM that has just started are a thousand changes.
+	// upstreamAt maps each address to the upstream that holds it.
+	upstreamAt map[string]protocol.UpstreamID
+	revision   uint64
+	// digest covers the upstreams that haven't left, and usable is their number.
+	// Both are updated with each change and not computed anew, because a thousand
+	// upstreams that announce themselves to a disk VM that has just started are a
+	// thousand changes.
 	digest uint64
 	usable int
-	// bucketDigests are the same for each part of the list.
+	// bucketDigests are the digests of the single buckets.
 	bucketDigests [bucketCount]uint64
 }
 
-// emptyDigest is the digest of a roster without upstreams. It isn't 0, which to a
-// follower means that it has no list yet.
+// emptyDigest is the digest of a roster without upstreams. It isn't 0, because a
+// follower reads 0 as "no list received yet".
 const emptyDigest = 1
 
 // New returns an empty roster.
 func New(settings Settings) *Roster {
 	return &Roster{
-		settings: settings,
-		records:  map[protocol.UpstreamID]*record{},
-		holder:   map[string]protocol.UpstreamID{},
-		digest:   emptyDigest,
+		settings:   settings,
+		records:    map[protocol.UpstreamID]*record{},
+		upstreamAt: map[string]protocol.UpstreamID{},
+		digest:     emptyDigest,
 	}
 }
 
-// ForgetSilent returns how long a silent upstream is listed.
+// ForgetSilent returns how long an upstream stays listed after it stops announcing
+// itself.
 func (r *Roster) ForgetSilent() time.Duration { return r.settings.ForgetSilent }
 
-// Revision counts the changes that matter to routers.
+// Revision returns the number of changes so far that matter to routers.
 func (r *Roster) Revision() uint64 { return r.revision }
 
-// Digest tells rosters apart that routers would use differently. Upstreams that
-// have left don't count, as they are forgotten at different times.
+// Digest returns a digest that differs between rosters that routers would use
+// differently. It leaves out upstreams that have left, because processes forget
+// them at different times.
 func (r *Roster) Digest() uint64 { return r.digest }
 
-// Usable counts the upstreams that haven't left.
+// Usable returns the number of upstreams that haven't left.
 func (r *Roster) Usable() int { return r.usable }
 
-// include counts an entry that hasn't left.
-func (r *Roster) include(e Entry) {
+// addToDigests adds an entry to the digests and to usable, unless the upstream has
+// left.
+func (r *Roster) addToDigests(e Entry) {
 	if e.State == Ready || e.State == Draining {
 		digest := entryDigest(e)
 		r.digest += digest
@@ -169,8 +181,8 @@
 	}
 }
 
-// exclude takes an entry back that was counted.
-func (r *Roster) exclude(e Entry) {
+// removeFromDigests undoes addToDigests for an entry.
+func (r *Roster) removeFromDigests(e Entry) {
 	if e.State == Ready || e.State == Draining {
 		digest := entryDigest(e)
 		r.digest -= digest
@@ -179,38 +191,43 @@
 	}
 }
 
-// entryDigest covers what matters to routers in an entry, as sameToRouters.
+// entryDigest returns a digest of the fields that matter to routers, which are the
+// fields that sameToRouters compares.
 func entryDigest(e Entry) uint64 {
-	return xxhash.Sum64String(fmt.Sprintf("%s\n%s\n%s\n%s\n%s\n%d %d %d", e.ID, e.Service, e.Address, e.DataCentre, e.Build, e.Slots, e.Born, e.State))
+	return xxhash.Sum64String(fmt.Sprintf("%s\n%s\n%s\n%s\n%s\n%d %d %d", e.ID, e.Service, e.Address, e.DataCentre, e.Build, e.Slots, e.StartedAt, e.State))
 }
 
-// Announced takes an upstream's own announcement. It reports whether anything
-// changed that matters to routers.
-func (r *Roster) Announced(now time.Duration, e Entry) bool {
+// RecordAnnouncement merges an announcement that the upstream itself sent to this
+// process. It reports whether anything changed that matters to routers.
+func (r *Roster) RecordAnnouncement(now time.Duration, e Entry) bool {
 	changed := r.Merge(now, e)
-	if known := r.records[e.ID]; known != nil && known.Born == e.Born && known.Sequence == e.Sequence {
-		known.announced = now
+	if known := r.records[e.ID]; known != nil && known.StartedAt == e.StartedAt && known.Sequence == e.Sequence {
+		known.lastAnnounced = now
 		known.everAnnounced = true
 	}
 	return changed
 }
 
-// Confirm takes an upstream's own announcement where nobody hears of changes. It
-// reports false for one that says something new, which changes nothing here.
-func (r *Roster) Confirm(now time.Duration, e Entry) bool {
+// ConfirmUnchanged records an announcement that the upstream itself sent to this
+// process, if it is a mere heartbeat. It is for a process that doesn't tell others
+// about changes. For an announcement that contains something new it reports false
+// and leaves the roster unchanged.
+func (r *Roster) ConfirmUnchanged(now time.Duration, e Entry) bool {
 	known := r.records[e.ID]
 	if known == nil || !sameToRouters(known.Entry, e) {
 		return false
 	}
 	known.Sequence = max(known.Sequence, e.Sequence)
-	known.heard = now
-	known.announced = now
+	known.lastHeard = now
+	known.lastAnnounced = now
 	known.everAnnounced = true
 	return true
 }
 
-// Merge takes an announcement or another VM's entry. It reports whether
-// anything changed that matters to routers.
+// Merge takes over an entry from an announcement or from another VM's roster if it
+// is newer than the known one. An entry whose address belongs to an upstream that
+// started later is stored as Gone. Merge reports whether anything changed that
+// matters to routers.
 func (r *Roster) Merge(now time.Duration, e Entry) bool {
 	known := r.records[e.ID]
 	if known != nil && !newer(e, known.Entry) {
@@ -222,13 +239,15 @@
 	return r.store(now, known, e)
 }
 
-// addressTaken reports whether a later start is known at the entry's address.
+// addressTaken reports whether an upstream that started later holds the entry's
+// address.
 func (r *Roster) addressTaken(e Entry) bool {
-	other := r.records[r.holder[e.Address]]
-	return e.State != Gone && other != nil && other.ID != e.ID && other.State != Gone && other.Born > e.Born
+	other := r.records[r.upstreamAt[e.Address]]
+	return e.State != Gone && other != nil && other.ID != e.ID && other.State != Gone && other.StartedAt > e.StartedAt
 }
 
-// store puts an entry in the place of what was known.
+// store replaces the known entry of an upstream, if any, by e. It reports whether
+// anything changed that matters to routers.
 func (r *Roster) store(now time.Duration, known *record, e Entry) bool {
 	changed := known == nil || !sameToRouters(known.Entry, e)
 	if known == nil {
@@ -236,41 +255,42 @@
 		r.records[e.ID] = known
 	}
 	if changed {
-		r.exclude(known.Entry)
-		r.include(e)
+		r.removeFromDigests(known.Entry)
+		r.addToDigests(e)
 	}
 	known.Entry = e
-	known.heard = now
+	known.lastHeard = now
 	if changed {
 		r.revision++
 		known.revision = r.revision
 	}
 	if e.State != Gone {
-		r.takeAddress(e)
+		r.claimAddress(e)
 	}
 	return changed
 }
 
-// takeAddress makes an upstream the one at its address; the one that was there
-// has ended without a word.
-func (r *Roster) takeAddress(e Entry) {
-	before := r.records[r.holder[e.Address]]
-	r.holder[e.Address] = e.ID
+// claimAddress records an upstream as the holder of its address. An upstream that
+// held the address before has ended without sending that it leaves, so it is
+// marked as Gone.
+func (r *Roster) claimAddress(e Entry) {
+	before := r.records[r.upstreamAt[e.Address]]
+	r.upstreamAt[e.Address] = e.ID
 	if before == nil || before.ID == e.ID || before.State == Gone || before.Address != e.Address {
 		return
 	}
-	r.exclude(before.Entry)
+	r.removeFromDigests(before.Entry)
 	before.State = Gone
 	r.revision++
 	before.revision = r.revision
 }
 
-// Leave notes that an upstream says it has left. born and sequence are 0 where
-// it doesn't tell; then its newest start is meant. It reports whether anything
-// changed that matters to routers.
-func (r *Roster) Leave(now time.Duration, id protocol.UpstreamID, born int64, sequence uint64) bool {
-	e := Entry{ID: id, Born: born}
-	if known := r.records[id]; known != nil && (born == 0 || born == known.Born) {
+// Leave records that an upstream has sent that it leaves. startedAt and sequence
+// are 0 if it didn't send them; a startedAt of 0 means its latest incarnation.
+// Leave reports whether anything changed that matters to routers.
+func (r *Roster) Leave(now time.Duration, id protocol.UpstreamID, startedAt int64, sequence uint64) bool {
+	e := Entry{ID: id, StartedAt: startedAt}
+	if known := r.records[id]; known != nil && (startedAt == 0 || startedAt == known.StartedAt) {
 		e = known.Entry
 	}
 	e.State = Gone
@@ -278,80 +298,81 @@
 	return r.Merge(now, e)
 }
 
-// Heard is the proof that an upstream still announces itself, for other VMs.
-type Heard struct {
-	ID       protocol.UpstreamID `msgpack:"i"`
-	Born     int64               `msgpack:"o,omitempty"`
-	Sequence uint64              `msgpack:"q"`
-	// Content tells apart what the upstream may have said with that number.
+// Heartbeat tells other VMs that an upstream still announces itself, without the
+// whole entry.
+type Heartbeat struct {
+	ID        protocol.UpstreamID `msgpack:"i"`
+	StartedAt int64               `msgpack:"o,omitempty"`
+	Sequence  uint64              `msgpack:"q"`
+	// Content is a digest of the announcement with that sequence number.
 	Content uint32 `msgpack:"c"`
 }
 
-// heardOf returns the proof for an entry.
-func heardOf(e Entry) Heard {
-	return Heard{ID: e.ID, Born: e.Born, Sequence: e.Sequence, Content: uint32(entryDigest(e))}
+// heartbeatOf returns the heartbeat for an entry.
+func heartbeatOf(e Entry) Heartbeat {
+	return Heartbeat{ID: e.ID, StartedAt: e.StartedAt, Sequence: e.Sequence, Content: uint32(entryDigest(e))}
 }
 
-// Refresh takes what another VM has heard. It reports false for an entry that
-// isn't known here as it is there, which has to be asked for.
+// Refresh records a heartbeat that another VM has received. It reports false if
+// that VM's entry differs from the one here, so that the whole entry is needed.
 //
-// Failure: the word that an upstream drains is lost on its way to one VM, and a
-// later proof of life arrives. With the new number on its old "ready", that VM
-// would win over all others, and routers would send to an upstream that is
-// leaving. The guard holds because a number is only taken with the content that
-// was said under it.
-func (r *Roster) Refresh(now time.Duration, h Heard) bool {
+// Failure guarded against: the announcement that an upstream drains is lost on its
+// way to one VM, and a later heartbeat arrives there. If that VM gave its old
+// "ready" the new sequence number, its entry would win on all other VMs, and
+// routers would send requests to an upstream that is leaving. So a sequence number
+// is accepted only together with the content that was announced under it.
+func (r *Roster) Refresh(now time.Duration, h Heartbeat) bool {
 	known := r.records[h.ID]
-	if known == nil || known.Born < h.Born {
+	if known == nil || known.StartedAt < h.StartedAt {
 		return false
 	}
-	if known.Born > h.Born || known.State == Gone || h.Sequence <= known.Sequence {
+	if known.StartedAt > h.StartedAt || known.State == Gone || h.Sequence <= known.Sequence {
 		return true
 	}
-	known.heard = now
-	if heardOf(known.Entry).Content != h.Content {
+	known.lastHeard = now
+	if heartbeatOf(known.Entry).Content != h.Content {
 		return false
 	}
 	known.Sequence = h.Sequence
 	return true
 }
 
-// AllListed notes that a disk VM lists the same upstreams, which for a router is
-// what announcements are for a disk VM.
-func (r *Roster) AllListed(now time.Duration) {
+// RefreshAll records that a disk VM lists the same upstreams as this roster. For a
+// router this replaces the announcements, which go to the disk VMs.
+func (r *Roster) RefreshAll(now time.Duration) {
 	for _, known := range r.records {
 		if known.State != Gone {
-			known.heard = now
+			known.lastHeard = now
 		}
 	}
 }
 
-// Listed notes that a disk VM lists some upstreams.
-func (r *Roster) Listed(now time.Duration, ids []protocol.UpstreamID) {
+// RefreshListed records that a disk VM lists the given upstreams.
+func (r *Roster) RefreshListed(now time.Duration, ids []protocol.UpstreamID) {
 	for _, id := range ids {
 		if known := r.records[id]; known != nil && known.State != Gone {
-			known.heard = now
+			known.lastHeard = now
 		}
 	}
 }
 
-// AnnouncedSince returns the upstreams that announced themselves here after a
-// time, and not those that other VMs have told of: each VM tells all others, and
-// if they passed on what they were told, a fleet of five would send each proof
-// twenty times in place of four.
-func (r *Roster) AnnouncedSince(since time.Duration) []Heard {
-	var heard []Heard
+// HeartbeatsSince returns heartbeats of the upstreams that announced themselves to
+// this process after the given time. It leaves out those known from other VMs
+// alone. Each VM sends its heartbeats to all others; if VMs forwarded the ones that
+// they receive, five VMs would send each heartbeat twenty times instead of four.
+func (r *Roster) HeartbeatsSince(since time.Duration) []Heartbeat {
+	var heartbeats []Heartbeat
 	for _, known := range r.records {
-		if known.everAnnounced && known.announced > since && known.State != Gone {
-			heard = append(heard, heardOf(known.Entry))
+		if known.everAnnounced && known.lastAnnounced > since && known.State != Gone {
+			heartbeats = append(heartbeats, heartbeatOf(known.Entry))
 		}
 	}
-	slices.SortFunc(heard, func(a, b Heard) int { return cmp.Compare(a.ID, b.ID) })
-	return heard
+	slices.SortFunc(heartbeats, func(a, b Heartbeat) int { return cmp.Compare(a.ID, b.ID) })
+	return heartbeats
 }
 
-// ChangedSince returns the entries that changed after a revision, in order of
-// their change.
+// ChangedSince returns the entries that changed after the given revision, in the
+// order of their changes.
 func (r *Roster) ChangedSince(revision uint64) []Entry {
 	var changed []*record
 	for _, known := range r.records {
@@ -367,10 +388,10 @@
 	return entries
 }
 
-// Entries returns all entries, by name.
+// Entries returns all entries, sorted by ID.
 func (r *Roster) Entries() []Entry { return r.EntriesIn(AllBuckets) }
 
-// Entry returns what is known of an upstream.
+// Entry returns the entry of an upstream and whether there is one.
 func (r *Roster) Entry(id protocol.UpstreamID) (Entry, bool) {
 	known := r.records[id]
 	if known == nil {
@@ -379,9 +400,9 @@
 	return known.Entry, true
 }
 
-// Expire forgets what has left or been silent for long, and returns the
-// upstreams that are dropped for their silence. Their end isn't told to
-// others: each VM hears the silence by itself.
+// Expire removes tombstones older than ForgetGone and upstreams that have been
+// silent for ForgetSilent. It returns the upstreams removed for their silence.
+// Their removal isn't sent to other VMs, because each VM detects the silence itself.
 func (r *Roster) Expire(now time.Duration) []protocol.UpstreamID {
 	var silent []protocol.UpstreamID
 	for id, known := range r.records {
@@ -389,7 +410,7 @@
 		if known.State == Gone {
 			keep = r.settings.ForgetGone
 		}
-		if now-known.heard < keep {
+		if now-known.lastHeard < keep {
 			continue
 		}
 		if known.State != Gone {
@@ -401,10 +422,11 @@
 	return silent
 }
 
+// forget removes an upstream and frees its address.
 func (r *Roster) forget(id protocol.UpstreamID, known *record) {
-	r.exclude(known.Entry)
+	r.removeFromDigests(known.Entry)
 	delete(r.records, id)
-	if r.holder[known.Address] == id {
-		delete(r.holder, known.Address)
+	if r.upstreamAt[known.Address] == id {
+		delete(r.upstreamAt, known.Address)
 	}
 }
--- a/coordination/roster/roster_test.go
+++ b/coordination/roster/roster_test.go
@@ -13,8 +13,8 @@
 
 const now = time.Hour
 
-func ready(id string, address string, born int64, sequence uint64) Entry {
-	return Entry{ID: protocol.UpstreamID("u" + id), Service: "chat", Address: address, State: Ready, Born: born, Sequence: sequence}
+func ready(id string, address string, startedAt int64, sequence uint64) Entry {
+	return Entry{ID: protocol.UpstreamID("u" + id), Service: "chat", Address: address, State: Ready, StartedAt: startedAt, Sequence: sequence}
 }
 
 func stateOf(r *Roster, id string) State {
@@ -22,10 +22,10 @@
 	return e.State
 }
 
-func TestALateAnnouncementOfOneThatLeftChangesNothing(t *testing.T) {
-	// An upstream says that it is draining and leaves. One of its earlier
-	// announcements was held up and arrives seconds later. Taken for new, it
-	// would bring work to an upstream that is gone.
+func TestLateAnnouncementAfterLeaveChangesNothing(t *testing.T) {
+	// An upstream leaves, and one of its earlier announcements arrives seconds
+	// later. If it counted as new, routers would send requests to an upstream
+	// that is gone.
 	r := New(DefaultSettings())
 	r.Merge(now, ready("1", "a", 100, 5))
 	assert.Assert(t, r.Leave(now, "u1", 0, 0))
@@ -33,9 +33,10 @@
 	assert.Equal(t, stateOf(r, "1"), Gone)
 }
 
-func TestAStartUnderTheSameNameCountsAnew(t *testing.T) {
-	// An upstream crashes and starts again under its name. Its numbers start
-	// at 1, below those of before; only the time of its start tells them apart.
+func TestRestartUnderTheSameNameReplacesTheEntry(t *testing.T) {
+	// An upstream crashes and restarts under its name. Its sequence numbers begin
+	// again at 1, below those from before the crash; only the start time shows
+	// which announcement is newer.
 	r := New(DefaultSettings())
 	r.Merge(now, ready("1", "a", 100, 50))
 	r.Leave(now, "u1", 0, 0)
@@ -47,9 +48,9 @@
 }
 
 func TestTheLaterStartHoldsAnAddress(t *testing.T) {
-	// An upstream dies silently and its address goes to another one. Then a
-	// delayed announcement of the dead one arrives. Requests for the dead one
-	// would reach another service.
+	// An upstream dies silently, and another one gets its address. Then a delayed
+	// announcement of the dead one arrives. If it counted, requests for the dead
+	// upstream would reach another service.
 	r := New(DefaultSettings())
 	r.Merge(now, ready("1", "a", 100, 5))
 	assert.Assert(t, r.Merge(now, ready("2", "a", 200, 1)))
@@ -58,35 +59,35 @@
 	assert.Equal(t, stateOf(r, "1"), Gone)
 	assert.Equal(t, stateOf(r, "2"), Ready)
 
-	// The dead one is first heard of after its successor.
+	// The first announcement of a dead upstream arrives after that of its successor.
 	r.Merge(now, ready("3", "a", 150, 1))
 	assert.Equal(t, stateOf(r, "3"), Gone)
 	assert.Equal(t, stateOf(r, "2"), Ready)
 }
 
-func TestVMsAgreeWhateverArrivesInWhateverOrder(t *testing.T) {
-	// Three disk VMs hear parts of what upstreams say and exchange entries,
-	// late, twice and in any order. In the end they must list the same.
+func TestVMsConvergeInAnyOrderOfDelivery(t *testing.T) {
+	// Three disk VMs receive the same announcements late, twice and in any order.
+	// In the end all must list the same entries.
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 1))
-		var said []Entry
+		var announced []Entry
 		for range 30 {
 			e := ready(string('1'+rune(random.IntN(3))), "a"+string('1'+rune(random.IntN(3))), int64(100+random.IntN(3)), uint64(random.IntN(9)))
 			e.Address = "a" + string(e.ID[1:])
 			e.State = State(1 + random.IntN(3))
-			// One start says one thing under one number.
-			e.State = State(1 + (uint64(e.Born)+e.Sequence)%2)
+			// An incarnation announces one state under one sequence number.
+			e.State = State(1 + (uint64(e.StartedAt)+e.Sequence)%2)
 			if random.IntN(10) == 0 {
 				e.State = Gone
 			}
-			said = append(said, e)
+			announced = append(announced, e)
 		}
 		var lists [3][]Entry
 		for vm := range lists {
 			r := New(DefaultSettings())
-			for _, i := range random.Perm(len(said)) {
-				r.Merge(now, said[i])
-				r.Merge(now, said[random.IntN(len(said))])
+			for _, i := range random.Perm(len(announced)) {
+				r.Merge(now, announced[i])
+				r.Merge(now, announced[random.IntN(len(announced))])
 			}
 			lists[vm] = r.Entries()
 		}
@@ -95,22 +96,22 @@
 	}
 }
 
-func TestProofOfLifeDoesNotMakeAnOldStateNew(t *testing.T) {
-	// An upstream says "draining" and, a second later, that it still is. The
-	// first word reaches one disk VM, the way to the other stalls, and the proof
-	// of life overtakes it there. The other VM's "ready" must not come out with
-	// the newer number and bring work to an upstream that leaves.
+func TestHeartbeatDoesNotRenewAnOldState(t *testing.T) {
+	// An upstream announces "draining", and a second later announces it again. One
+	// disk VM receives both. At the other VM the heartbeat for the second arrives
+	// before the first. If that VM gave its old "ready" the newer sequence number,
+	// routers would send requests to an upstream that is leaving.
 	one, other := New(DefaultSettings()), New(DefaultSettings())
 	for _, r := range []*Roster{one, other} {
 		r.Merge(now, ready("1", "a", 100, 33))
 	}
 	draining := ready("1", "a", 100, 34)
 	draining.State = Draining
-	one.Announced(now, draining)
+	one.RecordAnnouncement(now, draining)
 	draining.Sequence = 35
-	one.Announced(now+1, draining)
-	for _, heard := range one.AnnouncedSince(now) {
-		assert.Assert(t, !other.Refresh(now+2, heard), "the entry has to be asked for")
+	one.RecordAnnouncement(now+1, draining)
+	for _, heartbeat := range one.HeartbeatsSince(now) {
+		assert.Assert(t, !other.Refresh(now+2, heartbeat), "the whole entry is needed")
 	}
 	for _, e := range other.Entries() {
 		assert.Assert(t, !one.Merge(now+3, e))
@@ -122,29 +123,29 @@
 	assert.Equal(t, stateOf(other, "1"), Draining)
 }
 
-func TestProofsOfLifeAreTakenWithoutWhatIsNew(t *testing.T) {
-	// A router takes proofs of life and says so to the disk VMs. Taking a change
-	// with them would keep it from everybody else.
+func TestConfirmUnchangedRejectsChanges(t *testing.T) {
+	// A router records heartbeats and forwards them to the disk VMs. If it also
+	// took over a change that comes with one, the disk VMs would never receive it.
 	r := New(DefaultSettings())
-	assert.Assert(t, !r.Confirm(0, ready("1", "a", 100, 33)), "not known here")
+	assert.Assert(t, !r.ConfirmUnchanged(0, ready("1", "a", 100, 33)), "unknown upstream")
 	r.Merge(0, ready("1", "a", 100, 33))
 	revision := r.Revision()
-	assert.Assert(t, r.Confirm(1, ready("1", "a", 100, 35)))
-	assert.Assert(t, r.Confirm(2, ready("1", "a", 100, 34)), "one that was late")
+	assert.Assert(t, r.ConfirmUnchanged(1, ready("1", "a", 100, 35)))
+	assert.Assert(t, r.ConfirmUnchanged(2, ready("1", "a", 100, 34)), "late announcement")
 	draining := ready("1", "a", 100, 36)
 	draining.State = Draining
-	assert.Assert(t, !r.Confirm(3, draining))
-	assert.Assert(t, !r.Confirm(3, ready("1", "a", 200, 1)), "another start")
+	assert.Assert(t, !r.ConfirmUnchanged(3, draining))
+	assert.Assert(t, !r.ConfirmUnchanged(3, ready("1", "a", 200, 1)), "another incarnation")
 	assert.Equal(t, r.Revision(), revision)
-	assert.Equal(t, r.AnnouncedSince(0)[0].Sequence, uint64(35))
+	assert.Equal(t, r.HeartbeatsSince(0)[0].Sequence, uint64(35))
 	r.Leave(4, "u1", 0, 0)
-	assert.Assert(t, !r.Confirm(5, ready("1", "a", 100, 37)))
+	assert.Assert(t, !r.ConfirmUnchanged(5, ready("1", "a", 100, 37)))
 }
 
-func TestTheNewestWordWinsWhateverIsLostBetweenVMs(t *testing.T) {
-	// An upstream's announcements reach one disk VM or another. Between the VMs
-	// entries and proofs of life are lost, late and in any order. Once they have
-	// exchanged their lists, all list what it said last.
+func TestLatestAnnouncementWinsDespiteLossBetweenVMs(t *testing.T) {
+	// Each announcement of an upstream reaches one of three disk VMs. Between the
+	// VMs, entries and heartbeats are lost, delayed and reordered. Once the VMs
+	// have exchanged their lists, all must list the latest announcement.
 	for seed := range uint64(2000) {
 		random := rand.New(rand.NewPCG(seed, 2))
 		vms := [3]*Roster{New(DefaultSettings()), New(DefaultSettings()), New(DefaultSettings())}
@@ -154,15 +155,15 @@
 			last = ready("1", "a"+string('1'+rune(random.IntN(2))), 100, sequence)
 			last.State = State(1 + random.IntN(2))
 			at++
-			vms[random.IntN(3)].Announced(at, last)
+			vms[random.IntN(3)].RecordAnnouncement(at, last)
 			for range random.IntN(4) {
 				from, to := vms[random.IntN(3)], vms[random.IntN(3)]
 				if random.IntN(3) == 0 {
 					mergeAll(at, to, from)
 					continue
 				}
-				for _, heard := range from.AnnouncedSince(at - time.Duration(random.IntN(3))) {
-					to.Refresh(at, heard)
+				for _, heartbeat := range from.HeartbeatsSince(at - time.Duration(random.IntN(3))) {
+					to.Refresh(at, heartbeat)
 				}
 			}
 		}
@@ -175,12 +176,12 @@
 		}
 		for _, r := range vms {
 			e, _ := r.Entry("u1")
-			assert.Assert(t, sameToRouters(e, last), "seed %d: %+v, last said %+v", seed, e, last)
+			assert.Assert(t, sameToRouters(e, last), "seed %d: listed %+v, last announced %+v", seed, e, last)
 		}
 	}
 }
 
-// mergeAll gives a VM all entries of another one.
+// mergeAll merges all entries of one VM into another.
 func mergeAll(at time.Duration, to, from *Roster) {
 	for _, e := range from.Entries() {
 		to.Merge(at, e)
@@ -188,8 +189,8 @@
 }
 
 func TestOnlyChangesThatMatterArePushed(t *testing.T) {
-	// 94 upstreams announce themselves every second. Pushing each announcement
-	// to 87 routers would fill the disk VMs' links.
+	// 94 upstreams announce themselves every second. If each announcement were
+	// pushed to 87 routers, the disk VMs' links would be saturated.
 	r := New(DefaultSettings())
 	r.Merge(now, ready("1", "a", 100, 1))
 	revision := r.Revision()
@@ -201,14 +202,16 @@
 	assert.Equal(t, len(r.ChangedSince(revision)), 1)
 }
 
-func TestSilentOnesAreForgottenLateAndTombstonesLater(t *testing.T) {
+func TestSilentEntriesExpireBeforeTombstones(t *testing.T) {
+	// A silent upstream is removed after ForgetSilent. A tombstone must outlive
+	// that, or a late announcement would list an upstream that has left.
 	s := DefaultSettings()
 	r := New(s)
 	r.Merge(now, ready("1", "a", 100, 1))
 	r.Merge(now, ready("2", "b", 100, 1))
 	r.Leave(now, "u2", 0, 0)
 	r.Merge(now, ready("3", "c", 100, 1))
-	assert.Assert(t, r.Refresh(now+s.ForgetSilent/2, heardOf(ready("3", "c", 100, 2))))
+	assert.Assert(t, r.Refresh(now+s.ForgetSilent/2, heartbeatOf(ready("3", "c", 100, 2))))
 	assert.Equal(t, len(r.Expire(now+s.ForgetSilent-1)), 0)
 	silent := r.Expire(now + s.ForgetSilent)
 	assert.Equal(t, len(silent), 1)
@@ -218,33 +221,34 @@
 	assert.Equal(t, len(r.Entries()), 0)
 }
 
-func TestProofsOfLifeAreNotPassedOn(t *testing.T) {
+func TestReceivedHeartbeatsAreNotForwarded(t *testing.T) {
 	// A thousand upstreams announce themselves, each to one of five disk VMs. If
-	// the VMs told each other what they were told, proofs of life alone would fill
-	// their links.
+	// the VMs forwarded the heartbeats that they receive from each other,
+	// heartbeats alone would saturate their links.
 	one, other := New(DefaultSettings()), New(DefaultSettings())
-	one.Announced(now, ready("1", "a", 100, 1))
+	one.RecordAnnouncement(now, ready("1", "a", 100, 1))
 	mergeAll(now, other, one)
-	one.Announced(now+1, ready("1", "a", 100, 2))
-	proofs := one.AnnouncedSince(now)
-	assert.Equal(t, len(proofs), 1)
-	assert.Assert(t, other.Refresh(now+2, proofs[0]))
-	assert.Equal(t, len(other.AnnouncedSince(0)), 0)
-	assert.Equal(t, len(other.Expire(now+2+DefaultSettings().ForgetSilent-1)), 0, "it lives there too")
+	one.RecordAnnouncement(now+1, ready("1", "a", 100, 2))
+	heartbeats := one.HeartbeatsSince(now)
+	assert.Equal(t, len(heartbeats), 1)
+	assert.Assert(t, other.Refresh(now+2, heartbeats[0]))
+	assert.Equal(t, len(other.HeartbeatsSince(0)), 0)
+	assert.Equal(t, len(other.Expire(now+2+DefaultSettings().ForgetSilent-1)), 0, "the heartbeat keeps it listed at the other VM")
 }
 
-func TestAnEmptyListIsToldFromNone(t *testing.T) {
-	// The only upstream leaves right after a restart, before any VM follows the
-	// one that it told. The others have to ask for the list, though it is empty.
+func TestDigestOfAnEmptyRosterIsNotZero(t *testing.T) {
+	// Right after a restart, the only upstream leaves before any other disk VM
+	// follows the one that it sent this to. The others must still request the
+	// list, though it is empty; a digest of 0 would mean that there is no list.
 	r := New(DefaultSettings())
-	r.Announced(now, ready("1", "a", 100, 1))
+	r.RecordAnnouncement(now, ready("1", "a", 100, 1))
 	r.Leave(now, "u1", 0, 0)
 	assert.Assert(t, r.Digest() != 0)
 }
 
-func TestTheDigestIsThatOfWhatIsListed(t *testing.T) {
-	// Two VMs that list the same must have the same digest, whatever they heard
-	// before; else each asks the other for its list again and again.
+func TestDigestDependsOnlyOnListedEntries(t *testing.T) {
+	// Two VMs that list the same entries must have the same digest, whatever they
+	// received before. Otherwise each requests the other's list again and again.
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 3))
 		r := New(DefaultSettings())
@@ -253,37 +257,39 @@
 			at += time.Duration(random.IntN(3)) * time.Second
 			e := ready(string('1'+rune(random.IntN(4))), "a"+string('1'+rune(random.IntN(3))), int64(100+random.IntN(3)), uint64(random.IntN(20)))
 			e.State = State(1 + random.IntN(3))
-			r.Announced(at, e)
+			r.RecordAnnouncement(at, e)
 			if random.IntN(5) == 0 {
 				r.Expire(at)
 			}
-			anew := New(DefaultSettings())
+			recomputed := New(DefaultSettings())
 			for _, listed := range r.Entries() {
-				anew.include(listed)
+				recomputed.addToDigests(listed)
 			}
-			assert.Equal(t, r.Digest(), anew.Digest(), "seed %d", seed)
-			assert.Equal(t, r.Usable(), anew.Usable(), "seed %d", seed)
+			assert.Equal(t, r.Digest(), recomputed.Digest(), "seed %d", seed)
+			assert.Equal(t, r.Usable(), recomputed.Usable(), "seed %d", seed)
 		}
 	}
 }
 
-// BenchmarkManyStart is a disk VM that hears of a thousand upstreams for the first
-// time and compares its list with another's after each.
+// BenchmarkManyStart measures a disk VM that receives the first announcements of a
+// thousand upstreams and computes its digest after each.
 func BenchmarkManyStart(b *testing.B) {
 	for b.Loop() {
 		r := New(DefaultSettings())
 		for i := range 1000 {
 			name := strconv.Itoa(i)
-			r.Announced(now, ready(name, "a"+name, 100, 1))
+			r.RecordAnnouncement(now, ready(name, "a"+name, 100, 1))
 			r.Digest()
 		}
 	}
 }
 
-func TestRefreshOfAnUnknownStartAsksForTheEntry(t *testing.T) {
+func TestRefreshOfAnUnknownIncarnationNeedsTheEntry(t *testing.T) {
+	// A heartbeat of an unknown upstream or incarnation has no entry to refresh, so
+	// the whole entry is needed.
 	r := New(DefaultSettings())
-	assert.Assert(t, !r.Refresh(now, Heard{ID: "u1", Born: 100, Sequence: 2}))
+	assert.Assert(t, !r.Refresh(now, Heartbeat{ID: "u1", StartedAt: 100, Sequence: 2}))
 	r.Merge(now, ready("1", "a", 100, 1))
-	assert.Assert(t, r.Refresh(now, heardOf(ready("1", "a", 100, 2))))
-	assert.Assert(t, !r.Refresh(now, heardOf(ready("1", "a", 300, 1))))
+	assert.Assert(t, r.Refresh(now, heartbeatOf(ready("1", "a", 100, 2))))
+	assert.Assert(t, !r.Refresh(now, heartbeatOf(ready("1", "a", 300, 1))))
 }
--- a/daemon/diskvm/diskvm_test.go
+++ b/daemon/diskvm/diskvm_test.go
@@ -303,7 +303,7 @@
 	// still do when all have lost power: routers would else refuse callers until
 	// it announces itself again.
 	f := newFleet(t, 3)
-	e := roster.Entry{ID: "u1", Service: "s", Address: "10.0.0.1:80", State: roster.Ready, Born: 5, Sequence: 1}
+	e := roster.Entry{ID: "u1", Service: "s", Address: "10.0.0.1:80", State: roster.Ready, StartedAt: 5, Sequence: 1}
 	f.vms[1].Announce(e)
 	known := func(i int) bool {
 		f.vms[i].mu.Lock()
--- a/daemon/diskvm/upstreams.go
+++ b/daemon/diskvm/upstreams.go
@@ -12,7 +12,7 @@
 	vm.mu.Lock()
 	defer vm.mu.Unlock()
 	now := vm.now()
-	if vm.roster.Announced(now, e) {
+	if vm.roster.RecordAnnouncement(now, e) {
 		vm.logUpstream(e.ID)
 		vm.publisher.Heard(e.ID)
 	}
--- a/daemon/fabric/fabric_test.go
+++ b/daemon/fabric/fabric_test.go
@@ -28,7 +28,7 @@
 	control.ChangesAck{Number: 2},
 	control.List{Digest: 5, Packed: []byte{1, 2}},
 	control.Document{Change: document.MakeChange(nil, document.New(7, []byte("a table")))},
-	control.Heard{Upstreams: []roster.Heard{{ID: "u1", Sequence: 35, Content: 9}}},
+	control.Heard{Upstreams: []roster.Heartbeat{{ID: "u1", Sequence: 35, Content: 9}}},
 	control.Announced{Number: 3, Entries: []roster.Entry{{ID: "u1", Address: "10.0.0.1:80", State: roster.Ready, Sequence: 1}}},
 	control.AnnouncedAck{Number: 3},
 	control.Put{Call: 1},
--- a/daemon/loglines/upstream.go
+++ b/daemon/loglines/upstream.go
@@ -9,5 +9,5 @@
 // Upstream writes what a process believes of an upstream from now on.
 func Upstream(log zerolog.Logger, e roster.Entry) {
 	log.Info().Str("event", "upstream").Str("upstream", string(e.ID)).Stringer("state", e.State).
-		Str("service", string(e.Service)).Str("address", e.Address).Int64("born", e.Born).Uint64("sequence", e.Sequence).Send()
+		Str("service", string(e.Service)).Str("address", e.Address).Int64("born", e.StartedAt).Uint64("sequence", e.Sequence).Send()
 }
--- a/soak/upstream_test.go
+++ b/soak/upstream_test.go
@@ -86,7 +86,7 @@
 	u.sequence++
 	entry := roster.Entry{
 		ID: u.id, Service: u.service, Address: u.way.Address(), DataCentre: "here", Build: "v1", Slots: 8,
-		State: roster.Ready, Sequence: u.sequence, Born: u.born,
+		State: roster.Ready, Sequence: u.sequence, StartedAt: u.born,
 	}
 	if !u.draining.IsZero() {
 		entry.State = roster.Draining
