--- a/coordination/routing/check.go
+++ b/coordination/routing/check.go
@@ -7,22 +7,23 @@
 	"endiveplank/protocol"
 )
 
-// Mistakes are all that is wrong with a table.
+// Mistakes lists everything that is wrong with a table.
 type Mistakes []string
 
-// Error lists one mistake a line.
+// Error returns the mistakes, one on each line.
 func (m Mistakes) Error() string {
 	return strings.Join(m, "\n")
 }
 
-// place is what no two routes may share.
-type place struct{ host, prefix string }
+// hostPrefix is a host with a path prefix. No two routes may have the same.
+type hostPrefix struct{ host, prefix string }
 
-// checker gathers mistakes.
+// checker collects the mistakes of one table.
 type checker struct {
 	table    *Table
 	services map[protocol.Service]bool
-	places   map[place]string
+	// routeAt maps each host and prefix to the name of its route.
+	routeAt  map[hostPrefix]string
 	mistakes Mistakes
 }
 
@@ -30,10 +31,11 @@
 	c.mistakes = append(c.mistakes, fmt.Sprintf(format, values...))
 }
 
-// Check returns every mistake in a table, nil if there is none. A table with a
-// mistake is refused whole: half of a change in force is worse than none.
+// Check returns every mistake in a table, nil if there is none. A table with any
+// mistake is refused as a whole, because half of a change in force is worse than
+// none.
 func Check(t *Table) Mistakes {
-	c := &checker{table: t, services: map[protocol.Service]bool{}, places: map[place]string{}}
+	c := &checker{table: t, services: map[protocol.Service]bool{}, routeAt: map[hostPrefix]string{}}
 	c.checkServices()
 	for i := range t.Routes {
 		c.checkRoute(&t.Routes[i])
@@ -58,11 +60,11 @@
 	if !strings.HasPrefix(r.PathPrefix, "/") || !strings.HasSuffix(r.PathPrefix, "/") {
 		c.add("route %q: the path prefix %q doesn't begin and end with a slash", r.Name, r.PathPrefix)
 	}
-	at := place{r.Host, r.PathPrefix}
-	if other, taken := c.places[at]; taken {
+	key := hostPrefix{r.Host, r.PathPrefix}
+	if other, taken := c.routeAt[key]; taken {
 		c.add("routes %q and %q share host %q and prefix %q", other, r.Name, r.Host, r.PathPrefix)
 	}
-	c.places[at] = r.Name
+	c.routeAt[key] = r.Name
 	if r.Timeout <= 0 {
 		c.add("route %q: the timeout must be above 0", r.Name)
 	}
--- a/coordination/routing/index.go
+++ b/coordination/routing/index.go
@@ -7,30 +7,31 @@
 	"endiveplank/protocol"
 )
 
-// Index is a table in the form in which a router looks things up. It is read
-// by many goroutines and never changed.
+// Index holds a table in the form in which a router looks up routes, services and
+// keys. It is never changed, so many goroutines may read it.
 type Index struct {
 	table    *Table
-	hosts    map[string]*node
+	hosts    map[string]*pathNode
 	services map[protocol.Service]*Service
 	keys     map[[sha256.Size]byte]*Customer
 }
 
-// node is a directory in the tree of a host's path prefixes.
+// pathNode is a directory in the tree of a host's path prefixes.
 //
-// Load: several hundred routes for one host and hundreds of requests a second
-// on a fifth of a core. Walking all routes for each request would cost more
-// than forwarding it; here the cost is the number of directories in the path.
-type node struct {
+// A host may have several hundred routes, and a router serves hundreds of requests
+// a second on a fifth of a core. A search through all routes for each request would
+// cost more than forwarding it. In the tree, the cost grows only with the number of
+// directories in the path.
+type pathNode struct {
 	route    *Route
-	children map[string]*node
+	children map[string]*pathNode
 }
 
-// NewIndex prepares a table that Check found no mistake in.
+// NewIndex builds the index of a table in which Check found no mistake.
 func NewIndex(t *Table) *Index {
 	index := &Index{
 		table:    t,
-		hosts:    map[string]*node{},
+		hosts:    map[string]*pathNode{},
 		services: map[protocol.Service]*Service{},
 		keys:     map[[sha256.Size]byte]*Customer{},
 	}
@@ -48,57 +49,57 @@
 	return index
 }
 
-// insert puts a route under its host and prefix.
+// insert adds a route under its host and prefix.
 func (x *Index) insert(r *Route) {
 	host := strings.ToLower(r.Host)
-	at := x.hosts[host]
-	if at == nil {
-		at = &node{}
-		x.hosts[host] = at
+	current := x.hosts[host]
+	if current == nil {
+		current = &pathNode{}
+		x.hosts[host] = current
 	}
 	for name := range strings.SplitSeq(strings.Trim(r.PathPrefix, "/"), "/") {
 		if name == "" {
 			continue
 		}
-		next := at.children[name]
+		next := current.children[name]
 		if next == nil {
-			next = &node{}
-			if at.children == nil {
-				at.children = map[string]*node{}
+			next = &pathNode{}
+			if current.children == nil {
+				current.children = map[string]*pathNode{}
 			}
-			at.children[name] = next
+			current.children[name] = next
 		}
-		at = next
+		current = next
 	}
-	at.route = r
+	current.route = r
 }
 
 // Table returns the table behind the index.
 func (x *Index) Table() *Table { return x.table }
 
-// Service returns a service, nil if the table has none of that name.
+// Service returns the service of the given name, nil if the table has none.
 func (x *Index) Service(name protocol.Service) *Service { return x.services[name] }
 
-// Route returns the route with the longest prefix that begins the path, nil if
-// there is none. The path is without its query. A port in the host is ignored.
+// Route returns the route of the host with the longest prefix of the path, nil if
+// there is none. The path must not contain a query. A port in the host is ignored.
 func (x *Index) Route(host, path string) *Route {
-	at := x.hosts[hostName(host)]
+	current := x.hosts[hostName(host)]
 	rest, rooted := strings.CutPrefix(path, "/")
-	if at == nil || !rooted {
+	if current == nil || !rooted {
 		return nil
 	}
-	found := at.route
+	found := current.route
 	for {
 		name, after, slash := strings.Cut(rest, "/")
 		if !slash {
 			return found
 		}
-		at = at.children[name]
-		if at == nil {
+		current = current.children[name]
+		if current == nil {
 			return found
 		}
-		if at.route != nil {
-			found = at.route
+		if current.route != nil {
+			found = current.route
 		}
 		rest = after
 	}
@@ -112,8 +113,9 @@
 	return strings.ToLower(host)
 }
 
-// Customer returns who holds a key, nil if nobody does. Keys are looked up by
-// their digest, so that the time taken tells nothing about other keys.
+// Customer returns the customer that has the key, nil if there is none. Keys are
+// looked up by their digest, so that the time of a lookup reveals nothing about
+// other keys.
 func (x *Index) Customer(key string) *Customer {
 	return x.keys[sha256.Sum256([]byte(key))]
 }
--- a/coordination/routing/routing_test.go
+++ b/coordination/routing/routing_test.go
@@ -23,6 +23,8 @@
 }
 
 func TestLongestPrefixWins(t *testing.T) {
+	// Prefixes match whole directories. A prefix that matches too much or a shorter
+	// one that wins would send a request to the wrong service.
 	index := NewIndex(goodTable())
 	tests := map[string]struct{ host, path, want string }{
 		"exact":                       {"one.example", "/a/", "a"},
@@ -48,8 +50,8 @@
 	}
 }
 
-// TestIndexAgreesWithWalkingAllRoutes compares the tree with the plain
-// definition: of all prefixes that begin the path, the longest.
+// TestIndexAgreesWithWalkingAllRoutes compares the tree with a search through all
+// routes for the longest prefix of the path.
 func TestIndexAgreesWithWalkingAllRoutes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		directory := rapid.StringMatching(`(/[ab]){0,4}/`)
@@ -77,6 +79,8 @@
 }
 
 func TestKeysLeadToTheirCustomer(t *testing.T) {
+	// A key that finds the wrong customer, or any customer for an unknown key, would
+	// let a caller act for somebody else.
 	index := NewIndex(goodTable())
 	assert.Equal(t, index.Customer("k2").Name, goodTable().Customers[0].Name)
 	assert.Assert(t, index.Customer("k4") == nil)
@@ -84,8 +88,9 @@
 }
 
 func TestEveryMistakeIsNamed(t *testing.T) {
-	// An operator sends a table with several mistakes. Named one at a time,
-	// they would cost one round each, while the fleet runs on the old table.
+	// An operator sends a table with several mistakes. If Check named one at a
+	// time, each would cost the operator another attempt, and the fleet would keep
+	// the old table meanwhile.
 	assert.Assert(t, Check(goodTable()) == nil)
 	bad := goodTable()
 	bad.Routes[0].Timeout = 0
@@ -98,8 +103,8 @@
 }
 
 func TestManyRoutesCostNoMoreThanFew(t *testing.T) {
-	// Several hundred routes are added to one host. A lookup that walks all of
-	// them would slow every request of the fleet.
+	// Several hundred routes are added to one host. A lookup that searches all of
+	// them would slow down every request of the fleet.
 	table := &Table{}
 	for i := range 1000 {
 		table.Routes = append(table.Routes, Route{Name: fmt.Sprint(i), Host: "h", PathPrefix: fmt.Sprintf("/p%d/", i)})
--- a/coordination/routing/table.go
+++ b/coordination/routing/table.go
@@ -6,12 +6,12 @@
 	"endiveplank/protocol"
 )
 
-// Repeat says what may be done with a request whose answer is lost.
+// Repeat says whether a request whose answer is lost may be sent again.
 type Repeat uint8
 
 const (
-	// Once means that an attempt of the caller may reach a running state on
-	// one upstream at most.
+	// Once means that each request which a caller sends may start to run on one
+	// upstream at most.
 	Once Repeat = iota
 	// Idempotent means that the request may run any number of times.
 	Idempotent
@@ -25,9 +25,9 @@
 	return "once"
 }
 
-// Table is a whole routing table.
+// Table is a complete routing table.
 type Table struct {
-	// Version orders tables: the highest is in force.
+	// Version orders tables: the table with the highest version is in force.
 	Version   uint64
 	Routes    []Route
 	Services  []Service
@@ -35,35 +35,37 @@
 	Limits    Limits
 }
 
-// Route says where the requests under one host and path prefix go.
+// Route says how requests for one host and path prefix are handled.
 type Route struct {
 	Name string
 	Host string
 	// PathPrefix begins and ends with a slash.
 	PathPrefix string
 	Repeat     Repeat
-	// Stream marks answers that are server-sent events.
+	// Stream says that answers are streams of server-sent events.
 	Stream bool
-	// Resumable lets a stream go on at another upstream after its last event.
+	// Resumable says that another upstream can continue a stream after its last
+	// event.
 	Resumable bool
 	// Timeout is the longest time that a caller may be kept waiting.
 	Timeout time.Duration
-	// Objective is the time within which an answer, or the first event of a
-	// stream, is on time.
+	// Objective is the latency objective for an answer or for the first event of a
+	// stream.
 	Objective time.Duration
-	// LongestPause is the longest pause between two events of a stream that
-	// is on time; 0 if the route sets none.
+	// LongestPause is the objective for the longest pause between two events of a
+	// stream; 0 if the route sets none.
 	LongestPause time.Duration
-	// Priority ranks the route, 0 first.
+	// Priority ranks the route; 0 is the highest priority.
 	Priority int
-	// Split shares the requests among services by weight.
+	// Split distributes the requests over services by weight.
 	Split []Share
-	// MaxAttempts bounds the upstreams that one request may be sent to.
+	// MaxAttempts is the largest number of upstreams that one request may be sent
+	// to.
 	MaxAttempts int
-	// Public routes need no key.
+	// Public says that callers need no key.
 	Public bool
-	// Sticky routes carry prompts, which are cheaper where their beginning
-	// was read before.
+	// Sticky says that requests carry prompts, which cost less on an upstream that
+	// has their prefix in its cache.
 	Sticky bool
 }
 
@@ -72,41 +74,43 @@
 	return r.Repeat == Idempotent || r.Stream && r.Resumable
 }
 
-// Share is a service's part of a route.
+// Share is the share of a route's requests that one service receives.
 type Share struct {
 	Service protocol.Service
 	Weight  int
 }
 
-// Service is a group of upstreams that serve the same.
+// Service is a group of interchangeable upstreams.
 type Service struct {
 	Name protocol.Service
-	// HealthPath answers 200 while an upstream is well.
+	// HealthPath is the path on which a healthy upstream answers 200.
 	HealthPath string
-	// MaxConnections is what one upstream accepts from all routers together.
+	// MaxConnections is the number of connections that one upstream accepts from
+	// all routers together.
 	MaxConnections int
 	// Engine is set for a pool of model engines.
 	Engine *Engine
 }
 
-// Engine describes the engines of a pool.
+// Engine describes the model engines of a pool.
 type Engine struct {
-	// Slots is how many requests one engine runs at a time.
+	// Slots is the number of requests that one engine runs at a time.
 	Slots int
-	// CacheTokens is the memory for running requests and cached prompts.
+	// CacheTokens is the engine's memory for running requests and cached prompts,
+	// in tokens.
 	CacheTokens int
 }
 
-// Customer is who requests are made for.
+// Customer is a customer on whose behalf callers send requests.
 type Customer struct {
 	Name protocol.CustomerID
 	Keys []string
-	// Priority goes before the route's where HasPriority.
+	// Priority replaces the route's priority if HasPriority is set.
 	Priority    int
 	HasPriority bool
 }
 
-// Limits bound what a caller may send. Zero means that the table sets none.
+// Limits bounds what a caller may send. Zero means that the table sets no limit.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int
