--- a/coordination/document/delta.go
+++ b/coordination/document/delta.go
@@ -11,21 +11,23 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Sizes of the pieces that documents are cut into.
+// Sizes of the chunks that documents are split into.
 //
-// A piece ends where the document's own bytes say so, so an insertion moves no
-// later boundary. One in pieceMask+1 positions ends a piece: a part of one route, so
-// that a change of one field costs one piece.
+// The document's own bytes decide where a chunk ends (content-defined chunking), so
+// an insertion moves no later boundary. On average one in boundaryMask+1 positions
+// is a boundary. A chunk is thus smaller than a route, and a change of one field
+// costs one chunk.
 const (
-	minPiece  = 24
-	maxPiece  = 512
-	pieceMask = 63
-	// window is how many bytes decide about a boundary.
-	window = 8
+	minChunk     = 24
+	maxChunk     = 512
+	boundaryMask = 63
+	// boundaryWindow is the number of bytes before a position that decide whether
+	// it is a boundary.
+	boundaryWindow = 8
 )
 
-// MaxBytes bounds a document, far above the largest that a fleet's operators
-// may send.
+// MaxBytes is the largest size of a document. It is far above the largest one that
+// a fleet's operators may send.
 const MaxBytes = 16 << 20
 
 // Operations of a delta.
@@ -34,69 +36,71 @@
 	opInsert = 1
 )
 
-// errDelta means that a delta is damaged.
+// errDelta means that a delta is damaged, or that it makes a document above MaxBytes
+// or one whose digest isn't that of the change.
 var errDelta = errors.New("document: damaged delta")
 
-// nextPiece returns the length of the first piece of data.
-func nextPiece(data []byte) int {
-	end := min(len(data), maxPiece)
-	for n := minPiece; n < end; n++ {
-		if xxhash.Sum64(data[n-window:n])&pieceMask == 0 {
+// nextChunk returns the length of the first chunk of data.
+func nextChunk(data []byte) int {
+	end := min(len(data), maxChunk)
+	for n := minChunk; n < end; n++ {
+		if xxhash.Sum64(data[n-boundaryWindow:n])&boundaryMask == 0 {
 			return n
 		}
 	}
 	return end
 }
 
-// MakeDelta returns what turns base into next, compressed. An empty base gives
-// the whole of next.
+// MakeDelta returns the compressed delta that turns base into next. For an empty
+// base the delta holds the whole of next.
 func MakeDelta(base, next []byte) []byte {
-	places := map[uint64]int{}
+	offsets := map[uint64]int{}
 	for at := 0; at < len(base); {
-		n := nextPiece(base[at:])
-		places[xxhash.Sum64(base[at:at+n])] = at
+		n := nextChunk(base[at:])
+		offsets[xxhash.Sum64(base[at:at+n])] = at
 		at += n
 	}
 	w := &deltaWriter{}
 	for at := 0; at < len(next); {
-		n := nextPiece(next[at:])
-		piece := next[at : at+n]
-		from, known := w.next(base, piece), true
+		n := nextChunk(next[at:])
+		chunk := next[at : at+n]
+		from, known := w.continueCopy(base, chunk), true
 		if from < 0 {
-			from, known = places[xxhash.Sum64(piece)]
+			from, known = offsets[xxhash.Sum64(chunk)]
 		}
-		if known && bytes.HasPrefix(base[from:], piece) {
+		if known && bytes.HasPrefix(base[from:], chunk) {
 			w.copy(from, n)
 		} else {
-			w.insert(piece)
+			w.insert(chunk)
 		}
 		at += n
 	}
 	return w.finish()
 }
 
-// next returns the place behind the last copy if a piece goes on there, else
-// -1. Routes repeat each other's text, and without this a piece would be taken
-// from any of them, which makes an operation of every piece.
-func (w *deltaWriter) next(base, piece []byte) int {
-	if at := w.behind; bytes.HasPrefix(base[at:], piece) {
+// continueCopy returns the end of the last copy if the base holds the chunk there,
+// else -1. Routes repeat each other's text. Without this check a chunk would be
+// copied from any place with the same text, and each chunk would need an operation
+// of its own.
+func (w *deltaWriter) continueCopy(base, chunk []byte) int {
+	if at := w.copyEnd; bytes.HasPrefix(base[at:], chunk) {
 		return at
 	}
 	return -1
 }
 
-// deltaWriter joins neighbouring operations.
+// deltaWriter encodes the operations of a delta and joins adjacent ones.
 type deltaWriter struct {
 	out      []byte
 	from, n  int
 	inserted []byte
-	// behind is the place in the base behind the last copy.
-	behind int
+	// copyEnd is the offset in the base at which the last copy ended.
+	copyEnd int
 }
 
 func (w *deltaWriter) copy(from, n int) {
 	w.flushInsert()
-	w.behind = from + n
+	w.copyEnd = from + n
 	if w.n > 0 && w.from+w.n == from {
 		w.n += n
 		return
@@ -105,9 +109,9 @@
 	w.from, w.n = from, n
 }
 
-func (w *deltaWriter) insert(piece []byte) {
+func (w *deltaWriter) insert(chunk []byte) {
 	w.flushCopy()
-	w.inserted = append(w.inserted, piece...)
+	w.inserted = append(w.inserted, chunk...)
 }
 
 func (w *deltaWriter) flushCopy() {
@@ -136,7 +140,7 @@
 	return Compress(w.out)
 }
 
-// Compress returns data in a form that Decompress reads.
+// Compress compresses data for Decompress.
 func Compress(data []byte) []byte {
 	var packed bytes.Buffer
 	writer := writers.Get().(*flate.Writer)
@@ -151,7 +155,7 @@
 	return packed.Bytes()
 }
 
-// writers are kept for further use: a new one takes most of a megabyte.
+// writers holds writers for reuse, because a new one allocates most of a megabyte.
 var writers = sync.Pool{New: func() any {
 	writer, err := flate.NewWriter(io.Discard, flate.DefaultCompression)
 	if err != nil {
@@ -160,8 +164,8 @@
 	return writer
 }}
 
-// Decompress returns what Compress was given. Error: damaged data, or more
-// than MaxBytes.
+// Decompress returns the data that Compress was given. It fails if the data is
+// damaged or holds more than MaxBytes.
 func Decompress(packed []byte) ([]byte, error) {
 	reader := flate.NewReader(bytes.NewReader(packed))
 	data, err := io.ReadAll(io.LimitReader(reader, MaxBytes+1))
@@ -174,8 +178,8 @@
 	return data, nil
 }
 
-// ApplyDelta returns the document that a delta makes from its base. Error:
-// the delta is damaged or was made from another base.
+// ApplyDelta returns the document that a delta makes from its base. It fails if the
+// delta is damaged, and it may fail if the delta was made from another base.
 func ApplyDelta(base, delta []byte) ([]byte, error) {
 	operations, err := Decompress(delta)
 	if err != nil {
@@ -201,11 +205,11 @@
 }
 
 func applyCopy(next, base, operations []byte) (grown, rest []byte, err error) {
-	from, rest, err := number(operations)
+	from, rest, err := readUvarint(operations)
 	if err != nil {
 		return nil, nil, err
 	}
-	n, rest, err := number(rest)
+	n, rest, err := readUvarint(rest)
 	if err != nil || from > uint64(len(base)) || n > uint64(len(base))-from {
 		return nil, nil, errDelta
 	}
@@ -213,15 +217,15 @@
 }
 
 func applyInsert(next, operations []byte) (grown, rest []byte, err error) {
-	n, rest, err := number(operations)
+	n, rest, err := readUvarint(operations)
 	if err != nil || n > uint64(len(rest)) {
 		return nil, nil, errDelta
 	}
 	return append(next, rest[:n]...), rest[n:], nil
 }
 
-// number reads one varint.
-func number(data []byte) (uint64, []byte, error) {
+// readUvarint reads one varint and returns it with the rest of the data.
+func readUvarint(data []byte) (uint64, []byte, error) {
 	value, n := binary.Uvarint(data)
 	if n <= 0 {
 		return 0, nil, errDelta
--- a/coordination/document/doc.go
+++ b/coordination/document/doc.go
@@ -1,18 +1,20 @@
-// Package document replicates one versioned document, the routing table as
+// Package document replicates one versioned document: the routing table as
 // operators sent it, byte for byte.
 //
-// The highest version is in force. A put of a version below it is answered as
-// overtaken and changes nothing; one of the same version is answered as held
-// when the content is the same and as a conflict when it is not, so that an
-// operator who sends an accepted change again, because the answer was lost,
-// hears that it was accepted.
+// The document with the highest version is in force. A put of a lower version is
+// answered as overtaken and changes nothing. A put of the same version is answered
+// as held if the content is the same, and as a conflict if it is not. So an operator
+// who sends an accepted change again, because the answer was lost, learns that it
+// was accepted.
 //
-// Operators send a hundred kilobytes for a change of a few hundred bytes, and
-// several a second, over links of a few hundred kilobytes a second that also
-// carry consensus. So what is logged and pushed is a Delta: the parts of the
-// new document that the old one lacks.
+// Operators send a hundred kilobytes for a change of a few hundred bytes, several
+// times a second, over links of a few hundred kilobytes a second that also carry
+// consensus. So the log and the pushes to members carry a Change, whose delta holds
+// only the parts of the new document that the old one lacks.
 //
-// Failure guarded: a delta is applied to another document than it was made
-// from, and the members hold different tables. Each change names the digest of
-// its base and of its result, and both are compared.
+// Machine is the replicated state machine that holds the document in force.
+//
+// Failure guarded against: a delta is applied to a document other than its base, and
+// the members then hold different tables. Each Change contains the digests of its
+// base and of its result, and both are compared.
 package document
--- a/coordination/document/document_test.go
+++ b/coordination/document/document_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// manyRoutes is a document like an operator's, of some 300 bytes a route.
+// manyRoutes returns a document like an operator's, with about 300 bytes a route.
 func manyRoutes(n int) []byte {
 	random := rand.New(rand.NewPCG(5, 5))
 	var b strings.Builder
@@ -22,10 +22,10 @@
 
 func TestDeltaRestoresAnyDocument(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		piece := rapid.SliceOfN(rapid.Byte(), 0, 400)
-		base := piece.Draw(t, "base")
-		next := append(append([]byte{}, piece.Draw(t, "before")...), base...)
-		next = append(next, piece.Draw(t, "after")...)
+		part := rapid.SliceOfN(rapid.Byte(), 0, 400)
+		base := part.Draw(t, "base")
+		next := append(append([]byte{}, part.Draw(t, "before")...), base...)
+		next = append(next, part.Draw(t, "after")...)
 		got, err := ApplyDelta(base, MakeDelta(base, next))
 		if err != nil || string(got) != string(next) {
 			t.Fatalf("%v", err)
@@ -34,9 +34,9 @@
 }
 
 func TestAChangeOfOneRouteCostsLittle(t *testing.T) {
-	// Operators send 390 routes for each change, sixteen times a second, over
-	// links of 375 KB a second. Sent on whole, each would take a third of a
-	// second to reach one follower.
+	// Operators send 390 routes for each change, sixteen times a second, over links
+	// of 375 KB a second. If the whole document were forwarded, each change would
+	// take a third of a second to reach one follower.
 	base := manyRoutes(390)
 	next := append([]byte{}, base...)
 	copy(next[50_000:], "7777")
@@ -49,6 +49,8 @@
 }
 
 func TestDamagedDeltasAreRefused(t *testing.T) {
+	// A delta is damaged or was made from a longer base. It must give an error, not a
+	// wrong document or a panic.
 	base := manyRoutes(3)
 	for _, operations := range [][]byte{{opCopy}, {opCopy, 1}, {opCopy, 0xff, 0xff, 0x7f, 1}, {opInsert, 9, 1}, {7}} {
 		_, err := ApplyDelta(base, Compress(operations))
@@ -64,6 +66,8 @@
 }
 
 func TestPuts(t *testing.T) {
+	// Puts of repeated, competing and old versions and of changes made from another
+	// document must each get the outcome by which an operator knows what to do.
 	m := NewMachine()
 	first := New(3, []byte("first"))
 	assert.Equal(t, put(m, nil, first), Accepted)
@@ -71,19 +75,19 @@
 
 	// The answer was lost and the operator sends the change again.
 	assert.Equal(t, put(m, nil, first), Held)
-	// Two operators race with the same number: one of them must hear that
-	// the other's content is in force.
+	// Two operators put different documents under one version. One of them must
+	// learn that the other's content is in force.
 	assert.Equal(t, put(m, nil, New(3, []byte("other"))), Conflict)
 	assert.Equal(t, put(m, nil, New(2, []byte("older"))), Overtaken)
 
-	// A change made from a document that has been replaced meanwhile.
+	// A change was made from a document that has since been replaced.
 	second := New(4, []byte("second"))
 	assert.Equal(t, put(m, first, second), Accepted)
 	assert.Equal(t, put(m, first, New(5, []byte("third"))), OtherBase)
 	select {
 	case <-changed:
 	default:
-		t.Fatal("nobody was told of the change")
+		t.Fatal("the channel of the document's changes wasn't closed")
 	}
 	inForce, _ := m.InForce()
 	assert.Equal(t, string(inForce.Body), "second")
@@ -103,7 +107,9 @@
 	assert.Assert(t, copied.Restore([]byte("damage")) != nil)
 }
 
-func TestCommandsThatAreDamagedChangeNothing(t *testing.T) {
+func TestDamagedCommandsChangeNothing(t *testing.T) {
+	// The log holds a command that can't be decoded or whose result has another
+	// digest. Applying it must leave the document in force as it is.
 	m := NewMachine()
 	assert.Equal(t, Outcome(m.Apply(1, []byte("damage"))[0]), OtherBase)
 	change := MakeChange(nil, New(1, []byte("x")))
--- a/coordination/document/machine.go
+++ b/coordination/document/machine.go
@@ -11,7 +11,7 @@
 	"endiveplank/protocol/codec"
 )
 
-// Digest tells documents apart.
+// Digest identifies the content of a document.
 type Digest [sha256.Size / 2]byte
 
 // digestOf returns the digest of a body.
@@ -20,22 +20,22 @@
 	return Digest(sum[:len(Digest{})])
 }
 
-// Document is one version. It is not changed once made.
+// Document is one version of the document. It is immutable.
 type Document struct {
 	Version uint64
 	Body    []byte
 	Digest  Digest
 }
 
-// New returns a document.
+// New returns a document with its digest.
 func New(version uint64, body []byte) *Document {
 	return &Document{Version: version, Body: body, Digest: digestOf(body)}
 }
 
-// Change turns one document into the next.
+// Change turns one version of the document into the next.
 type Change struct {
-	// Base is the digest of the document that Delta is made from; zero for
-	// none.
+	// Base is the digest of the document that Delta is made from, or zero if
+	// Delta holds the whole new document.
 	Base    Digest `msgpack:"b"`
 	Version uint64 `msgpack:"v"`
 	// Result is the digest of the new document.
@@ -43,7 +43,8 @@
 	Delta  []byte `msgpack:"d"`
 }
 
-// MakeChange returns the change from base, nil for none, to next.
+// MakeChange returns the change from base to next. A nil base gives a change that
+// holds the whole of next.
 func MakeChange(base, next *Document) Change {
 	change := Change{Version: next.Version, Result: next.Digest}
 	var old []byte
@@ -55,16 +56,17 @@
 	return change
 }
 
-// ErrOtherBase means that a change was made from another document.
+// ErrOtherBase means that a change was made from a document other than the one that
+// it is applied to. Held is the version of the latter.
 type ErrOtherBase struct{ Held uint64 }
 
 // Error implements error.
 func (e ErrOtherBase) Error() string {
-	return fmt.Sprintf("document: the change was made from another document than version %d", e.Held)
+	return fmt.Sprintf("document: the change was made from a document other than version %d", e.Held)
 }
 
-// Apply returns the document that a change makes from base, nil for none.
-// Errors: ErrOtherBase, damage.
+// Apply returns the document that a change makes from base, which is nil if there
+// is none. It fails with ErrOtherBase, or if the change is damaged.
 func (c Change) Apply(base *Document) (*Document, error) {
 	var old []byte
 	var digest Digest
@@ -89,7 +91,7 @@
 	return next, nil
 }
 
-// Encode returns a change as a command for the log.
+// Encode encodes a change as a command of the log.
 func (c Change) Encode() []byte {
 	data, err := msgpack.Marshal(c)
 	if err != nil {
@@ -98,26 +100,27 @@
 	return data
 }
 
-// DecodeChange reads a command of the log.
+// DecodeChange decodes a command of the log.
 func DecodeChange(data []byte) (Change, error) {
 	var c Change
 	err := codec.Unmarshal(data, &c)
 	return c, err
 }
 
-// Outcome says what became of a put.
+// Outcome is the result of a put.
 type Outcome uint8
 
 const (
-	// Accepted means that the version is the one in force.
+	// Accepted means that the put's document is now in force.
 	Accepted Outcome = iota + 1
-	// Held means that this version with this content was in force already.
+	// Held means that this version with this content was already in force.
 	Held
 	// Overtaken means that a higher version is in force.
 	Overtaken
 	// Conflict means that this version is in force with other content.
 	Conflict
-	// OtherBase means that the change has to be made from a newer document.
+	// OtherBase means that the change can't be applied to the document in force: it
+	// must be made again from that document.
 	OtherBase
 )
 
@@ -138,9 +141,9 @@
 	return "none"
 }
 
-// Judge says what becomes of a put of a document while another is in force,
-// nil for none. It leaves out OtherBase.
-func Judge(inForce *Document, version uint64, digest Digest) Outcome {
+// DecidePut returns the outcome of a put of a version and digest. inForce is the
+// document in force, nil if there is none. DecidePut never returns OtherBase.
+func DecidePut(inForce *Document, version uint64, digest Digest) Outcome {
 	switch {
 	case inForce == nil || version > inForce.Version:
 		return Accepted
@@ -152,52 +155,55 @@
 	return Conflict
 }
 
-// Machine is the replicated state: the document in force. It is a state
-// machine of package replica and safe for concurrent use.
+// Machine is the replicated state machine that holds the document in force. It is a
+// state machine of package replica and is safe for concurrent use.
 type Machine struct {
 	mu      sync.Mutex
 	inForce *Document
-	// latest is the change that made the document in force, if the log held it.
+	// latest is the change that made the document in force, if the document came
+	// by the log.
 	latest Change
-	// changed is closed and replaced at each new document.
+	// changed is closed and replaced when the document changes.
 	changed chan struct{}
 }
 
-// NewMachine returns a machine without a document.
+// NewMachine returns a Machine without a document.
 func NewMachine() *Machine {
 	return &Machine{changed: make(chan struct{})}
 }
 
 // InForce returns the document in force, nil if there is none, and a channel
-// that is closed when another takes its place.
+// that is closed when another document replaces it.
 func (m *Machine) InForce() (*Document, <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.inForce, m.changed
 }
 
-// Latest returns the document in force and the change that made it. The change
-// has another result where the document came by a snapshot.
+// Latest returns the document in force and the change that made it. If the document
+// came by a snapshot, the change isn't the one that made it, and its Result differs
+// from the document's digest.
 func (m *Machine) Latest() (*Document, Change) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.inForce, m.latest
 }
 
-// Apply carries out a committed change. The result is one byte, an Outcome.
+// Apply applies a committed change. The result is one byte, the Outcome.
 func (m *Machine) Apply(_ uint64, command []byte) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return []byte{byte(m.apply(command))}
 }
 
-// apply decides from the document in force alone, so all members agree.
+// apply decides by the document in force alone, so all members reach the same
+// outcome.
 func (m *Machine) apply(command []byte) Outcome {
 	change, err := DecodeChange(command)
 	if err != nil {
 		return OtherBase
 	}
-	outcome := Judge(m.inForce, change.Version, change.Result)
+	outcome := DecidePut(m.inForce, change.Version, change.Result)
 	if outcome != Accepted {
 		return outcome
 	}
@@ -238,7 +244,7 @@
 	return data
 }
 
-// Restore replaces the state by an encoded one.
+// Restore replaces the state by a snapshot.
 func (m *Machine) Restore(data []byte) error {
 	var s snapshot
 	if err := codec.Unmarshal(data, &s); err != nil {
@@ -254,15 +260,15 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if same(m.inForce, restored) {
+	if equal(m.inForce, restored) {
 		return nil
 	}
 	m.replace(restored)
 	return nil
 }
 
-// same reports whether two documents are equal.
-func same(a, b *Document) bool {
+// equal reports whether two documents, each possibly nil, are equal.
+func equal(a, b *Document) bool {
 	if a == nil || b == nil {
 		return a == b
 	}
--- a/daemon/diskvm/table.go
+++ b/daemon/diskvm/table.go
@@ -55,7 +55,7 @@
 // means that nothing is known. whole sends all of the table and not what differs.
 func (vm *VM) tryPut(ctx context.Context, next *document.Document, whole bool) document.Outcome {
 	inForce, _ := vm.machine.InForce()
-	if outcome := document.Judge(inForce, next.Version, next.Digest); outcome != document.Accepted {
+	if outcome := document.DecidePut(inForce, next.Version, next.Digest); outcome != document.Accepted {
 		return outcome
 	}
 	leader := vm.leaderNow()
@@ -97,7 +97,7 @@
 	defer vm.putting.Unlock()
 	for ctx.Err() == nil {
 		inForce, _ := vm.machine.InForce()
-		if outcome := document.Judge(inForce, next.Version, next.Digest); outcome != document.Accepted {
+		if outcome := document.DecidePut(inForce, next.Version, next.Digest); outcome != document.Accepted {
 			return outcome
 		}
 		member := vm.member.Load()
@@ -125,7 +125,7 @@
 	if inForce != nil {
 		reply.Held = inForce.Version
 	}
-	if outcome := document.Judge(inForce, put.Change.Version, put.Change.Result); outcome != document.Accepted {
+	if outcome := document.DecidePut(inForce, put.Change.Version, put.Change.Result); outcome != document.Accepted {
 		reply.Outcome = outcome
 	} else if next, err := put.Change.Apply(inForce); err == nil {
 		reply.Outcome = vm.putAsLeader(ctx, next)
