--- a/coordination/loadbench/storm.go
+++ b/coordination/loadbench/storm.go
@@ -98,7 +98,7 @@
 	next = func() {
 		r := &stormRequest{router: s.rng.IntN(config.Routers), sent: s.Now()}
 		s.fresh[s.second(r.sent)]++
-		s.budgets[r.router].Fresh(s.Now(), stormTokens)
+		s.budgets[r.router].RecordFirstAttempt(s.Now(), stormTokens)
 		s.try(r, 1)
 		s.After(exponential(s.rng, config.Load*stormRate), next)
 	}
@@ -161,7 +161,7 @@
 	decision := s.budgets[a.request.router].Decide(s.Now(), s.rng, retry.Failure{
 		Attempt:    a.number,
 		Tokens:     stormTokens,
-		Run:        protocol.UnknownRun,
+		RunOutcome: protocol.UnknownRun,
 		Repeatable: true,
 		Deadline:   deadline,
 	})
--- a/coordination/node/entry.go
+++ b/coordination/node/entry.go
@@ -110,7 +110,7 @@
 
 // begin starts placing a request that is within its customer's limits.
 func (n *Node) begin(now time.Duration, e *entry) {
-	n.budget.Fresh(now, e.work())
+	n.budget.RecordFirstAttempt(now, e.work())
 	if e.order != nil {
 		n.startOrder(now, e)
 		return
@@ -278,7 +278,7 @@
 	decision := n.budget.Decide(now, n.config.Random, retry.Failure{
 		Attempt:    e.failures,
 		Tokens:     e.repeatedWork(),
-		Run:        e.outcome(),
+		RunOutcome: e.outcome(),
 		Repeatable: e.template.Idempotent,
 		Deadline:   e.deadline,
 	})
--- a/coordination/retry/budget.go
+++ b/coordination/retry/budget.go
@@ -10,14 +10,15 @@
 
 // Config holds the settings of a Budget.
 type Config struct {
-	// Share of the fresh work that retries may add, in work.
+	// Share is the work that retries may add, as a share of the work of first
+	// attempts.
 	Share float64
-	// Allowance is the budget of a router that just started or had no
-	// fresh work lately, in tokens of work.
+	// Allowance is the budget, in tokens of work, of a router that has just
+	// started or had no first attempts recently.
 	Allowance float64
-	// Memory is the time constant after which fresh work no longer earns
-	// retries.
-	Memory time.Duration
+	// TimeConstant is the time constant of the exponential decay of the budget
+	// that first attempts have earned.
+	TimeConstant time.Duration
 	// BaseDelay and MaxDelay bound the backoff.
 	BaseDelay time.Duration
 	MaxDelay  time.Duration
@@ -27,18 +28,19 @@
 
 // DefaultConfig returns the default settings.
 //
-// A share of 0.1 adds a tenth to a saturated fleet, which the load bound's
-// margin of a quarter absorbs. The memory of 10 s is about one request's life:
-// with a longer one, the credit of a quiet hour could be spent as a storm in
-// one second. The allowance covers three ordinary requests of 1,000 tokens.
+// A share of 0.1 adds a tenth to the load of a saturated fleet, which the load
+// bound's margin of a quarter absorbs. The time constant of 10 s is about the
+// duration of one request. With a longer one, the credit of a quiet hour could be
+// spent in one second as a retry storm. The allowance covers three ordinary requests
+// of 1,000 tokens.
 func DefaultConfig() Config {
 	return Config{
-		Share:       0.1,
-		Allowance:   3000,
-		Memory:      10 * time.Second,
-		BaseDelay:   50 * time.Millisecond,
-		MaxDelay:    2 * time.Second,
-		MaxAttempts: 5,
+		Share:        0.1,
+		Allowance:    3000,
+		TimeConstant: 10 * time.Second,
+		BaseDelay:    50 * time.Millisecond,
+		MaxDelay:     2 * time.Second,
+		MaxAttempts:  5,
 	}
 }
 
@@ -46,18 +48,18 @@
 type Failure struct {
 	// Attempt is the number of the failed attempt, from 1.
 	Attempt int
-	// Tokens is the work that another attempt would cost. For a stream that is
-	// resumed it is the prompt and the rest of the answer.
+	// Tokens is the work of another attempt. For a resumed stream it covers the
+	// prompt and the rest of the answer.
 	Tokens int
-	// Run says whether the failed attempt ran.
-	Run protocol.RunOutcome
-	// Repeatable says whether running the work twice does no harm. Chats are
-	// repeatable; a call to a route marked not idempotent isn't.
+	// RunOutcome says whether the failed attempt ran.
+	RunOutcome protocol.RunOutcome
+	// Repeatable says whether the work may run twice. Chats are repeatable; a
+	// request to a route that is marked as not idempotent isn't.
 	Repeatable bool
-	// RetryAfter is the shortest delay that the failing hop asked for.
+	// RetryAfter is the shortest delay that the failed hop asked for.
 	RetryAfter time.Duration
-	// Deadline is when the caller's answer must be complete, and RunTime how
-	// long another attempt would take.
+	// Deadline is when the caller's answer must be complete. RunTime is how long
+	// another attempt would take.
 	Deadline time.Duration
 	RunTime  time.Duration
 }
@@ -66,21 +68,21 @@
 type Reason string
 
 const (
-	// ReasonNone is the reason of a retry.
+	// ReasonNone means that the work is tried again.
 	ReasonNone Reason = ""
-	// ReasonNotRepeatable means that another run might be a second one.
+	// ReasonNotRepeatable means that the work may have run and must not run twice.
 	ReasonNotRepeatable Reason = "not-repeatable"
 	// ReasonAnswered means that the attempt ran and was answered.
 	ReasonAnswered Reason = "answered"
 	// ReasonBudget means that the retry budget is spent.
 	ReasonBudget Reason = "retry-budget-spent"
-	// ReasonAttempts means that the request had all its attempts.
+	// ReasonAttempts means that the request has used all its attempts.
 	ReasonAttempts Reason = "attempts-spent"
-	// ReasonDeadline means that another attempt would end too late.
+	// ReasonDeadline means that another attempt would end after the deadline.
 	ReasonDeadline Reason = "deadline-unreachable"
 )
 
-// Decision is the typed answer to Decide.
+// Decision is the result of Budget.Decide.
 type Decision struct {
 	Retry bool
 	// Delay is how long to wait before the next attempt.
@@ -89,42 +91,43 @@
 	Reason Reason
 }
 
-// Budget bounds a router's retries to a share of its recent fresh work.
+// Budget limits a router's retries to a share of the work of its recent first
+// attempts. It prevents a retry storm after an upstream is lost.
 //
-// Load: every request once and every failed attempt, also when all of a
-// router's requests fail at once. Harm prevented: a retry storm after an
-// upstream's loss. Reason for counting tokens: ten retries of one-line questions
-// and ten of long summaries are not the same load.
+// It is called once for every request and once for every failed attempt, also when
+// all requests of a router fail at once. It counts tokens, not retries, because ten
+// retries of one-line questions and ten of long summaries are not the same load.
 type Budget struct {
 	config Config
 	credit float64
-	// loan is the part of the allowance that fresh work has not earned yet. It is
-	// paid back first, so that the allowance does not come on top of the share
-	// where there is much fresh work.
-	loan    float64
-	updated time.Duration
-	fresh   time.Duration // time of the latest fresh work
+	// loan is the part of the allowance that first attempts haven't earned yet.
+	// They pay it back first, so that a router with much traffic doesn't get the
+	// allowance on top of the share.
+	loan           float64
+	updated        time.Duration
+	firstAttemptAt time.Duration // time of the latest first attempt
 }
 
-// New returns a budget that holds its allowance.
+// New returns a budget whose credit is the allowance.
 func New(config Config) *Budget {
 	return &Budget{config: config, credit: config.Allowance, loan: config.Allowance}
 }
 
-// Fresh notes a first attempt, which earns its share.
-func (b *Budget) Fresh(now time.Duration, tokens int) {
+// RecordFirstAttempt records the first attempt of a request, which earns credit for
+// retries.
+func (b *Budget) RecordFirstAttempt(now time.Duration, tokens int) {
 	b.decay(now)
-	b.fresh = now
+	b.firstAttemptAt = now
 	earned := b.config.Share * float64(tokens)
 	repaid := min(earned, b.loan)
 	b.loan -= repaid
 	b.credit += earned - repaid
 }
 
-// Decide says whether the failed work is tried again. A retry is paid for when
-// it is granted.
+// Decide decides whether the failed work is tried again. It charges a retry to the
+// budget when it grants it.
 func (b *Budget) Decide(now time.Duration, rng *rand.Rand, f Failure) Decision {
-	if reason := b.forbidden(f); reason != ReasonNone {
+	if reason := b.ineligible(f); reason != ReasonNone {
 		return Decision{Reason: reason}
 	}
 	delay := max(b.backoff(rng, f.Attempt), f.RetryAfter)
@@ -139,17 +142,19 @@
 	return Decision{Retry: true, Delay: delay}
 }
 
-// Credit returns the tokens of work that retries may cost now.
+// Credit returns the work that retries may cost now, in tokens.
 func (b *Budget) Credit(now time.Duration) float64 {
 	b.decay(now)
 	return b.credit
 }
 
-func (b *Budget) forbidden(f Failure) Reason {
+// ineligible returns why the work must not be retried whatever the budget, or
+// ReasonNone if it may be.
+func (b *Budget) ineligible(f Failure) Reason {
 	switch {
-	case f.Run == protocol.Ran:
+	case f.RunOutcome == protocol.Ran:
 		return ReasonAnswered
-	case f.Run != protocol.NotRun && !f.Repeatable:
+	case f.RunOutcome != protocol.NotRun && !f.Repeatable:
 		return ReasonNotRepeatable
 	case f.Attempt >= b.config.MaxAttempts:
 		return ReasonAttempts
@@ -157,9 +162,10 @@
 	return ReasonNone
 }
 
-// backoff doubles with each attempt and is drawn from the upper half of its
-// range. The lower bound gives the fault time to pass, and the spread keeps
-// requests that failed together from coming back together.
+// backoff returns the delay before the next attempt. Its upper bound doubles with
+// each attempt, and the delay is drawn from the upper half of the range. The lower
+// bound gives the fault time to pass; the jitter keeps requests that failed together
+// from being retried together.
 func (b *Budget) backoff(rng *rand.Rand, attempt int) time.Duration {
 	const maxDoublings = 20
 	doublings := min(max(attempt-1, 0), maxDoublings)
@@ -167,25 +173,26 @@
 	return top/2 + time.Duration(rng.Int64N(int64(top/2)+1))
 }
 
-// decay forgets old fresh work, which moves a credit above the allowance down to
-// it, and lends a router without fresh work its allowance anew, over refill
-// memories, so that a quiet router whose allowance is spent may retry again.
+// decay updates the credit for the time since the last call. Credit above the
+// allowance decays towards the allowance. A router without recent first attempts
+// gets its allowance back as a loan, over refillTimeConstants time constants, so
+// that a quiet router whose allowance is spent may retry again.
 func (b *Budget) decay(now time.Duration) {
-	const refill = 10
+	const refillTimeConstants = 10
 	elapsed := now - b.updated
 	if elapsed <= 0 {
 		return
 	}
 	b.updated = now
 	if b.credit > b.config.Allowance {
-		keep := math.Exp(-elapsed.Seconds() / b.config.Memory.Seconds())
+		keep := math.Exp(-elapsed.Seconds() / b.config.TimeConstant.Seconds())
 		b.credit = b.config.Allowance + (b.credit-b.config.Allowance)*keep
 		return
 	}
-	if now-b.fresh < b.config.Memory {
+	if now-b.firstAttemptAt < b.config.TimeConstant {
 		return
 	}
-	lent := b.config.Allowance * elapsed.Seconds() / (refill * b.config.Memory.Seconds())
+	lent := b.config.Allowance * elapsed.Seconds() / (refillTimeConstants * b.config.TimeConstant.Seconds())
 	lent = min(lent, b.config.Allowance-b.credit)
 	b.credit += lent
 	b.loan = min(b.loan+lent, b.config.Allowance)
--- a/coordination/retry/budget_test.go
+++ b/coordination/retry/budget_test.go
@@ -14,9 +14,11 @@
 func source() *rand.Rand { return rand.New(rand.NewPCG(4, 4)) }
 
 func failure() Failure {
-	return Failure{Attempt: 1, Tokens: 100, Run: protocol.UnknownRun, Repeatable: true, Deadline: time.Hour}
+	return Failure{Attempt: 1, Tokens: 100, RunOutcome: protocol.UnknownRun, Repeatable: true, Deadline: time.Hour}
 }
 
+// A request that ran, or may have run and must not run twice, is retried; or one is
+// retried although its attempts, its time or the budget are used up.
 func TestDecide(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -25,12 +27,12 @@
 	}{
 		{"chat of unknown run", func(*Failure) {}, ReasonNone},
 		{"order of unknown run", func(f *Failure) { f.Repeatable = false }, ReasonNotRepeatable},
-		{"order not run", func(f *Failure) { f.Repeatable, f.Run = false, protocol.NotRun }, ReasonNone},
-		{"order without outcome", func(f *Failure) { f.Repeatable, f.Run = false, "" }, ReasonNotRepeatable},
-		{"answered", func(f *Failure) { f.Run = protocol.Ran }, ReasonAnswered},
+		{"order not run", func(f *Failure) { f.Repeatable, f.RunOutcome = false, protocol.NotRun }, ReasonNone},
+		{"order without outcome", func(f *Failure) { f.Repeatable, f.RunOutcome = false, "" }, ReasonNotRepeatable},
+		{"answered", func(f *Failure) { f.RunOutcome = protocol.Ran }, ReasonAnswered},
 		{"all attempts used", func(f *Failure) { f.Attempt = 5 }, ReasonAttempts},
 		{"too late", func(f *Failure) { f.Deadline = time.Second; f.RunTime = time.Second }, ReasonDeadline},
-		{"asked to stay away too long", func(f *Failure) { f.RetryAfter = 2 * time.Hour }, ReasonDeadline},
+		{"Retry-After beyond the deadline", func(f *Failure) { f.RetryAfter = 2 * time.Hour }, ReasonDeadline},
 		{"more than the budget", func(f *Failure) { f.Tokens = 3001 }, ReasonBudget},
 	}
 	for _, c := range cases {
@@ -44,21 +46,21 @@
 	}
 }
 
-// Whatever fails and whenever, retries cost at most the allowance, what it
-// earned anew since, and the share of the fresh work.
+// Whichever requests fail at whichever time, the work of retries is at most the
+// allowance, its refill since, and the share of the work of first attempts.
 func TestRetriesStayWithinTheShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := DefaultConfig()
 		b := New(config)
 		rng := source()
-		fresh, spent := 0, 0
+		firstAttempts, spent := 0, 0
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond
 			if rapid.Bool().Draw(t, "fresh") {
 				tokens := rapid.IntRange(1, 5000).Draw(t, "tokens")
-				b.Fresh(now, tokens)
-				fresh += tokens
+				b.RecordFirstAttempt(now, tokens)
+				firstAttempts += tokens
 			}
 			f := failure()
 			f.Deadline = now + time.Hour
@@ -71,36 +73,35 @@
 			}
 		}
 		earned := config.Allowance * (1 + now.Seconds()/100)
-		assert.Assert(t, float64(spent) <= config.Share*float64(fresh)+earned+1, "%d of %d", spent, fresh)
+		assert.Assert(t, float64(spent) <= config.Share*float64(firstAttempts)+earned+1, "%d of %d", spent, firstAttempts)
 	})
 }
 
-// Under steady load everything fails for ten minutes. The allowance must not
-// come on top of the share: attempts stay within 1.1 times the fresh ones.
+// Under steady load every request fails for ten minutes. If the allowance came on
+// top of the share, all attempts together would exceed 1.1 times the first attempts.
 func TestSaturationStaysWithinTheShare(t *testing.T) {
 	b := New(DefaultConfig())
-	fresh, retries := 0, 0
+	firstAttempts, retries := 0, 0
 	for tick := range 6000 {
 		now := time.Duration(tick) * 100 * time.Millisecond
-		b.Fresh(now, 300)
-		fresh++
+		b.RecordFirstAttempt(now, 300)
+		firstAttempts++
 		f := failure()
 		f.Tokens = 300
 		if b.Decide(now, source(), f).Retry {
 			retries++
 		}
 	}
-	assert.Assert(t, float64(retries) <= 0.1*float64(fresh), "%d of %d", retries, fresh)
-	assert.Assert(t, float64(retries) >= 0.095*float64(fresh), "%d of %d", retries, fresh)
+	assert.Assert(t, float64(retries) <= 0.1*float64(firstAttempts), "%d of %d", retries, firstAttempts)
+	assert.Assert(t, float64(retries) >= 0.095*float64(firstAttempts), "%d of %d", retries, firstAttempts)
 }
 
-// A quiet hour is followed by the loss of every upstream. Without forgetting,
-// the budget saved up in the hour would let every caller's request be retried in
-// the same second.
-func TestQuietHourBuysNoStorm(t *testing.T) {
+// Every upstream is lost after a quiet hour. Without decay, the credit saved in that
+// hour would let every caller's request be retried in the same second.
+func TestCreditOfAQuietHourDecays(t *testing.T) {
 	b := New(DefaultConfig())
 	for second := range 3600 {
-		b.Fresh(time.Duration(second)*time.Second, 1000)
+		b.RecordFirstAttempt(time.Duration(second)*time.Second, 1000)
 	}
 	credit := b.Credit(time.Hour)
 	assert.Assert(t, credit < 3000+0.1*1000*11, "%v", credit)
--- a/coordination/retry/doc.go
+++ b/coordination/retry/doc.go
@@ -1,24 +1,27 @@
 // Package retry decides whether failed work is tried again, and when.
 //
-// Retries keep single failures from callers, and they can turn a short
-// overload into a lasting one: every failure adds work just when there is too
-// much. Budget bounds them to a share of the fresh work that came in lately, 0.1
-// by default, so that even when everything fails the upstreams see at most 1.1
-// times the fresh work. A small constant (Config.Allowance) lets a quiet router
-// retry at all; fresh work pays it back.
+// Retries hide single failures from callers, but they can turn a short overload
+// into a lasting one, because every failure adds load when there is already too
+// much. Budget limits retries to a share of the work of recent first attempts, 0.1
+// by default. So even when everything fails, the upstreams receive at most 1.1 times
+// the work of the first attempts. A small constant (Config.Allowance) lets a router
+// with little traffic retry at all; first attempts pay it back.
 //
-// The bound holds over the whole path because exactly one hop may retry: the
-// entry router of the request. Owners and all later hops report failures as
-// typed values and never try again by themselves. Every attempt beyond the first
-// spends, for whatever reason it is made: a new connection to resume a stream,
-// another upstream, another owner after a refusal.
+// The limit holds along the whole path of a request because exactly one hop may
+// retry: the request's entry router. Owners and all later hops report failures as
+// typed values and never retry by themselves. Every attempt after the first one is
+// charged to the budget, whatever its reason: a new connection to resume a stream,
+// another upstream, or another owner after a refusal.
 //
-// Work whose run is unknown and that may not be repeated is never retried, however
-// full the budget; neither is work that ran.
+// Two kinds of work are never retried, however much budget is left: work that ran,
+// and work that may have run and must not be repeated.
 //
-// Use, one Budget per router:
+// Window is a separate limit on one router's retries for one service, by number
+// instead of work and over a fixed time.
+//
+// Use, with one Budget per router:
 //
 //	budget := retry.New(config)
-//	budget.Fresh(now, tokens)                       // each request's first attempt
-//	decision := budget.Decide(now, rng, failure)    // Retry after decision.Delay, or GiveUp with a reason
+//	budget.RecordFirstAttempt(now, tokens)          // for each request's first attempt
+//	decision := budget.Decide(now, rng, failure)    // retry after decision.Delay, or stop for decision.Reason
 package retry
--- a/coordination/retry/window.go
+++ b/coordination/retry/window.go
@@ -2,41 +2,44 @@
 
 import "time"
 
-// WindowSettings bound what all routers together may send to a service beyond
-// the first of each request.
+// WindowSettings limit the retries that all routers together may send to a service
+// in any period of Length: Ratio times the service's requests, plus Slack.
 type WindowSettings struct {
-	// Ratio is the share of the service's requests.
+	// Ratio is the number of retries allowed for each request.
 	Ratio float64
-	// Slack is how many more there may be, all routers together.
+	// Slack is the number of retries allowed in addition, for all routers together.
 	Slack int
-	// Length is the time over which both are counted, at any moment.
+	// Length is the length of the sliding window in which requests and retries are
+	// counted.
 	Length time.Duration
 }
 
 const (
-	// windowSteps is into how many steps a window is cut. Counts of a step go
-	// together, so the window is up to one step too long, on the safe side.
+	// windowSteps is the number of steps that a window is divided into. The counts
+	// of a step expire together, so the window may be up to one step too long, which
+	// errs on the safe side.
 	windowSteps = 20
-	// windowMargin is the part of the allowance that is used. The rest is for
-	// requests counted here that never reached the service, and for routers
-	// that share the slack before they know of each other.
+	// windowMargin is the part of the allowed retries that is used. The rest covers
+	// requests that are counted but never reached the service, and routers that
+	// divide the slack before they know of each other.
 	windowMargin = 0.85
 )
 
-// step is the count of one step of a window.
+// step holds the counts of one step of a window.
 type step struct {
 	requests, retries int
 }
 
-// Window bounds one router's retries for one service.
+// Window limits one router's retries for one service.
 //
-// Load: an upstream's loss, which fails its requests on all routers at once, and
-// a service that fails one request in seven by itself. Harm prevented: retries
-// that add up, over routers that know nothing of each other at that moment, to
-// more than the upstreams that are left can take. Each router may add the ratio
-// of its own requests and an equal part of the slack, so the sum holds without
-// a message. Requests have to be counted in the window as well: requests of a
-// minute ago would allow a storm now.
+// It guards against two failures: the loss of an upstream, which fails its requests
+// on all routers at once, and a service that fails one request in seven by itself.
+// Without a limit, the retries of routers that can't reach each other at that moment
+// would add up to more than the remaining upstreams can handle. Each router may send
+// retries for the ratio of its own requests and for an equal share of the slack, so
+// the limit holds for all routers together without any messages between them.
+// Requests are counted in the same window as retries, because otherwise the requests
+// of a minute ago would allow a retry storm now.
 type Window struct {
 	settings WindowSettings
 	steps    [windowSteps]step
@@ -49,7 +52,7 @@
 	return &Window{settings: settings}
 }
 
-// advance drops the steps that have left the window.
+// advance drops the steps that have left the window and returns the current step.
 func (w *Window) advance(now time.Duration) *step {
 	number := int64(now / (w.settings.Length / windowSteps))
 	if number-w.current >= windowSteps {
@@ -63,13 +66,13 @@
 	return &w.steps[w.current%windowSteps]
 }
 
-// Request counts a caller's request.
-func (w *Window) Request(now time.Duration) {
+// RecordRequest counts a request of a caller.
+func (w *Window) RecordRequest(now time.Duration) {
 	w.advance(now).requests++
 }
 
-// Allowance returns how many more retries there may be now, if the slack is
-// shared by so many routers.
+// Allowance returns how many more retries this router may send now, if the given
+// number of routers divide the slack.
 func (w *Window) Allowance(now time.Duration, routers int) int {
 	w.advance(now)
 	requests, retries := 0, 0
@@ -81,8 +84,8 @@
 	return int(windowMargin*allowed) - retries
 }
 
-// Retry spends a retry if there is one.
-func (w *Window) Retry(now time.Duration, routers int) bool {
+// TryRetry reports whether this router may send a retry now, and counts it if so.
+func (w *Window) TryRetry(now time.Duration, routers int) bool {
 	if w.Allowance(now, routers) < 1 {
 		return false
 	}
--- a/coordination/retry/window_test.go
+++ b/coordination/retry/window_test.go
@@ -9,9 +9,9 @@
 )
 
 func TestRetriesOfAllRoutersTogetherStayWithinTheBudget(t *testing.T) {
-	// An upstream's loss fails requests on nine routers at once, while they
-	// can't reach each other, and every failed request would like a retry. In
-	// no ten seconds may they send more than the operator allows.
+	// The loss of an upstream fails requests on nine routers at once, while these
+	// can't reach each other, and every failed request asks for a retry. In no ten
+	// seconds may they send more retries than the operator allows.
 	settings := WindowSettings{Ratio: 0.2, Slack: 58, Length: 10 * time.Second}
 	const routers = 9
 	random := rand.New(rand.NewPCG(3, 3))
@@ -19,45 +19,46 @@
 	for i := range windows {
 		windows[i] = NewWindow(settings)
 	}
-	type moment struct {
+	type event struct {
 		at    time.Duration
 		retry bool
 	}
-	var happened []moment
+	var events []event
 	for now := time.Duration(0); now < 60*time.Second; now += 10 * time.Millisecond {
 		rate := 1 + int(now/time.Second)%4
 		for range rate {
 			w := windows[random.IntN(routers)]
-			w.Request(now)
-			happened = append(happened, moment{now, false})
-			for w.Retry(now, routers) {
-				happened = append(happened, moment{now, true})
+			w.RecordRequest(now)
+			events = append(events, event{now, false})
+			for w.TryRetry(now, routers) {
+				events = append(events, event{now, true})
 			}
 		}
 	}
-	used := 0
+	mostRetries := 0
 	for end := 10 * time.Second; end <= 60*time.Second; end += 50 * time.Millisecond {
 		requests, retries := 0, 0
-		for _, m := range happened {
-			if m.at > end-10*time.Second && m.at <= end {
-				if m.retry {
+		for _, e := range events {
+			if e.at > end-10*time.Second && e.at <= end {
+				if e.retry {
 					retries++
 				} else {
 					requests++
 				}
 			}
 		}
-		used = max(used, retries)
+		mostRetries = max(mostRetries, retries)
 		assert.Assert(t, float64(retries) <= 0.2*float64(requests)+58, "%d retries of %d requests at %s", retries, requests, end)
 	}
-	assert.Assert(t, used > 58, "the budget is hardly used: %d", used)
+	assert.Assert(t, mostRetries > 58, "the budget is hardly used: %d retries", mostRetries)
 }
 
 func TestOldRequestsEarnNoRetries(t *testing.T) {
-	// The credit of a busy minute must not be spent as a storm after it.
+	// If requests of a busy minute still counted after it, they would allow a retry
+	// storm.
 	w := NewWindow(WindowSettings{Ratio: 0.2, Slack: 0, Length: 10 * time.Second})
 	for range 1000 {
-		w.Request(0)
+		w.RecordRequest(0)
 	}
 	assert.Assert(t, w.Allowance(9*time.Second, 1) > 100)
 	assert.Equal(t, w.Allowance(11*time.Second, 1), 0)
--- a/daemon/router/fleet.go
+++ b/daemon/router/fleet.go
@@ -145,14 +145,14 @@
 func (r *Router) Arrived(service protocol.Service) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.window(service).Request(r.now())
+	r.window(service).RecordRequest(r.now())
 }
 
 // MayRetry implements forward.Fleet.
 func (r *Router) MayRetry(service protocol.Service) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.window(service).Retry(r.now(), r.fleetSize)
+	return r.window(service).TryRetry(r.now(), r.fleetSize)
 }
 
 // Condemned implements forward.Fleet.
