--- a/coordination/slowness/doc.go
+++ b/coordination/slowness/doc.go
@@ -1,30 +1,31 @@
-// Package slowness gives less work to engines that are slower than their peers.
+// Package slowness reduces the work of engines that are slower than their peers.
 //
-// A fail-slow engine answers health checks, takes work and delivers tokens, only
-// several times slower than it should: a throttled accelerator, a sick disk, a noisy
-// neighbour. It shows as a tail of late answers, and the engine's own reports look
-// fine.
+// A fail-slow engine answers health checks, accepts work and delivers tokens, but
+// several times slower than it should, for example because of a throttled
+// accelerator, a failing disk or a noisy neighbour. It shows as a tail of late
+// answers, while the engine's own reports look normal.
 //
-// Tracker compares engines with their peers of one group, the engines that serve
-// the same model in the same role, by the time they lately took for a token. It
-// gives each a weight in (0, 1] that placement multiplies its capacity by.
+// Tracker compares the engines of a group, which serve the same model in the same
+// role, by their recent time per token. It gives each a weight in (0, 1] by which
+// placement multiplies the engine's capacity.
 //
-//   - An engine is slow when it took Tolerance times the group's median for
-//     several steps in a row. Relative to peers, because a burst of long prompts or
-//     a busy hour slows all, and shifting work between them would help nobody.
-//   - Its weight falls at once to the inverse of its slowness, but never below
-//     MinWeight: with the work that remains it shows that it has recovered. No probes
-//     are needed.
-//   - All cuts of a group together never take more than MaxCut of it. When half
-//     the group is slow, the rest could not carry the whole load.
-//   - After a recovery the weight rises by RampPerStep a step, so that placement
-//     does not rush to the empty engine. One that falls back waits twice as long
-//     before the next rise: an engine that is slow only under load would otherwise
-//     swing up and down.
+//   - An engine is slow once its time per token exceeds Tolerance times the group's
+//     median in several consecutive steps. The measure is relative to the peers,
+//     because a burst of long prompts or a busy hour slows all engines, and shifting
+//     work between them would not help.
+//   - The weight of a slow engine falls at once to the inverse of its slowness, but
+//     never below MinWeight. The engine shows with its remaining work when it has
+//     recovered, so no probes are needed.
+//   - All reductions of a group together never take more than MaxCut of its capacity.
+//     If half of a group is slow, the rest could not carry the whole load.
+//   - After a recovery the weight rises by RampPerStep in each step, so that
+//     placement does not flood the empty engine. An engine that becomes slow again
+//     waits twice as long before its weight next rises. Otherwise the weight of an
+//     engine that is slow only under load would oscillate.
 //
-// Use, one Tracker per router, with what it sees of the streams it relays:
+// Use, with one Tracker per router, fed with the streams that the router relays:
 //
-//	tracker.Observe(upstream, group, tokens, span)    // tokens took span, per stream
+//	tracker.Observe(upstream, group, tokens, span)    // a stream delivered tokens in span
 //	for _, change := range tracker.Step() { explain } // every StepInterval
 //	weight := tracker.Weight(upstream)
 package slowness
--- a/coordination/slowness/tracker_test.go
+++ b/coordination/slowness/tracker_test.go
@@ -15,25 +15,26 @@
 
 func name(i int) protocol.UpstreamID { return protocol.UpstreamID(fmt.Sprintf("e%02d", i)) }
 
-// step lets engines deliver for a second at a time per token each, and judges.
-func step(t *Tracker, paces ...time.Duration) []Change {
-	for i, pace := range paces {
+// step observes one sample of each engine, with the given time per token, and runs
+// one step.
+func step(t *Tracker, timesPerToken ...time.Duration) []Change {
+	for i, timePerToken := range timesPerToken {
 		const tokens = 100
-		t.Observe(name(i), "model", tokens, tokens*pace)
+		t.Observe(name(i), "model", tokens, tokens*timePerToken)
 	}
 	return t.Step()
 }
 
-func steps(t *Tracker, count int, paces ...time.Duration) []Change {
+func steps(t *Tracker, count int, timesPerToken ...time.Duration) []Change {
 	var all []Change
 	for range count {
-		all = append(all, step(t, paces...)...)
+		all = append(all, step(t, timesPerToken...)...)
 	}
 	return all
 }
 
-// One engine's accelerator throttles. It gets less work after a few seconds, never
-// none, and everything back little by little once it is well.
+// One engine's accelerator throttles. The engine must get less work after a few
+// seconds, but never none, and must get it back gradually once it has recovered.
 func TestSlowEngineGetsLessAndRecoversGradually(t *testing.T) {
 	tracker := New(DefaultConfig())
 	changes := steps(tracker, 20, 4*usual, usual, usual, usual)
@@ -53,25 +54,29 @@
 	}
 }
 
-// A busy hour slows all engines. Shifting work between them would help nobody.
+// A busy hour slows all engines. If they counted as slow, work would be shifted
+// between them to no use.
 func TestAllSlowIsNobodySlow(t *testing.T) {
 	tracker := New(DefaultConfig())
 	steps(tracker, 10, usual, usual, usual, usual)
 	assert.Equal(t, len(steps(tracker, 20, 4*usual, 4*usual, 4*usual, 4*usual)), 0)
 }
 
-func TestTooFewPeersJudgeNobody(t *testing.T) {
+// With two engines there is no telling which one is abnormal, so neither may count
+// as slow.
+func TestTooFewPeersDetectNoSlowEngine(t *testing.T) {
 	tracker := New(DefaultConfig())
 	assert.Equal(t, len(steps(tracker, 20, usual, 9*usual)), 0)
 	assert.Equal(t, tracker.Ratio(name(1)), 0.0)
 	assert.Equal(t, tracker.Weight("unknown"), 1.0)
 }
 
-// An engine is slow only under load: it recovers as its work is taken away and
-// falls back when it returns. Each time it is held down longer.
-func TestRelapsesAreHeldDownLonger(t *testing.T) {
+// An engine is slow only under load: it recovers when its work is taken away and
+// becomes slow again when the work returns. If its weight were not held for longer
+// each time, it would oscillate.
+func TestWeightIsHeldLongerAfterEachRelapse(t *testing.T) {
 	tracker := New(DefaultConfig())
-	held := func() int {
+	stepsToFullWeight := func() int {
 		steps(tracker, 20, 4*usual, usual, usual, usual)
 		count := 0
 		for tracker.Weight(name(0)) < 1 {
@@ -80,31 +85,31 @@
 		}
 		return count
 	}
-	first := held()
-	second := held()
-	third := held()
+	first := stepsToFullWeight()
+	second := stepsToFullWeight()
+	third := stepsToFullWeight()
 	assert.Assert(t, first < second && second < third, "%d %d %d", first, second, third)
 }
 
-// Whatever engines do and whichever leave, the cuts of a group never take more than
-// the set share of it, and no engine is emptied.
+// Whatever times engines take and whichever leave, the reductions of a group's
+// weights must never exceed its allowance, and no engine may lose all its work.
 func TestCutsStayWithinTheShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := DefaultConfig()
 		tracker := New(config)
 		count := rapid.IntRange(3, 12).Draw(t, "engines")
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			paces := make([]time.Duration, count)
-			for i := range paces {
-				paces[i] = usual * time.Duration(rapid.IntRange(1, 8).Draw(t, "pace"))
+			times := make([]time.Duration, count)
+			for i := range times {
+				times[i] = usual * time.Duration(rapid.IntRange(1, 8).Draw(t, "pace"))
 			}
 			if rapid.IntRange(0, 9).Draw(t, "leaves") == 0 && count > 3 {
 				count--
 				tracker.Remove(name(count))
-				paces = paces[:count]
+				times = times[:count]
 			}
 			for range rapid.IntRange(1, 6).Draw(t, "for") {
-				step(tracker, paces...)
+				step(tracker, times...)
 			}
 			cut := 0.0
 			for i := range count {
