--- a/coordination/reason/reason.go
+++ b/coordination/reason/reason.go
@@ -1,6 +1,6 @@
-// Package reason lists the codes by which the fleet explains what it did. A
-// code appears in events, in error answers and in docs/REASONS.md, where each
-// says what an operator or caller may do. Codes are never given a new meaning.
+// Package reason lists the codes by which the fleet explains its decisions. Codes
+// appear in events, in error answers and in docs/REASONS.md, which says for each what
+// an operator or caller can do. A code never gets a new meaning.
 package reason
 
 // Code is one reason.
@@ -8,8 +8,8 @@
 
 // Reasons for refusing a request, sent to callers.
 const (
-	// NoLease: this router may not serve, because it can't be sure that its
-	// configuration is in force.
+	// NoLease: this router holds no lease and must not serve, because its
+	// configuration may no longer be in force.
 	NoLease Code = "no_lease"
 	// Draining: this router is stopping.
 	Draining Code = "draining"
@@ -17,23 +17,23 @@
 	KeyMissing Code = "key_missing"
 	// KeyUnknown: no customer has this bearer key.
 	KeyUnknown Code = "key_unknown"
-	// CustomerDisabled: the customer's row is switched off.
+	// CustomerDisabled: the customer is disabled in its row of the table.
 	CustomerDisabled Code = "customer_disabled"
 	// RouteUnknown: no route matches the path.
 	RouteUnknown Code = "route_unknown"
-	// BodyInvalid: the body isn't what the route takes.
+	// BodyInvalid: the route doesn't accept this body.
 	BodyInvalid Code = "body_invalid"
 	// ModelUnknown: no upstream serves the model.
 	ModelUnknown Code = "model_unknown"
 	// NoUpstream: every upstream for the request is gone or leaving.
 	NoUpstream Code = "no_upstream"
-	// NoOwner: the upstreams have no owning router just now.
+	// NoOwner: the upstreams have no owning router at the moment.
 	NoOwner Code = "no_owner"
 	// CustomerLimit: the customer is over its limit.
 	CustomerLimit Code = "customer_limit"
-	// QueueFull: the queue holds all it may.
+	// QueueFull: the queue is full.
 	QueueFull Code = "queue_full"
-	// CustomerQueueFull: the customer's part of the queue holds all it may.
+	// CustomerQueueFull: the customer's share of the queue is full.
 	CustomerQueueFull Code = "customer_queue_full"
 	// DeadlineTooNear: the wait would outlast the deadline.
 	DeadlineTooNear Code = "deadline_too_near"
@@ -41,19 +41,20 @@
 	DeadlinePassed Code = "deadline_passed"
 	// RetryBudget: the request failed, and the fleet's retry budget is spent.
 	RetryBudget Code = "retry_budget"
-	// AttemptsSpent: every attempt the request may make has failed.
+	// AttemptsSpent: every attempt that the request may make has failed.
 	AttemptsSpent Code = "attempts_spent"
-	// Quarantined: the request is blamed for crashes of upstreams.
+	// Quarantined: the request is quarantined as the likely cause of crashes of
+	// upstreams.
 	Quarantined Code = "quarantined"
-	// IdempotencyKeyMissing: the route takes only requests with a key.
+	// IdempotencyKeyMissing: the route accepts only requests with an idempotency key.
 	IdempotencyKeyMissing Code = "idempotency_key_missing"
-	// IdempotencyKeyReused: the key came before with another body.
+	// IdempotencyKeyReused: the idempotency key was used before with another body.
 	IdempotencyKeyReused Code = "idempotency_key_reused"
 	// OrderSealed: the order is recorded as never run.
 	OrderSealed Code = "order_sealed"
 	// OrderUnknown: the order was sent and its outcome isn't known.
 	OrderUnknown Code = "order_unknown"
-	// OrderInFlight: the order runs just now for another caller.
+	// OrderInFlight: the order is in flight for another caller.
 	OrderInFlight Code = "order_in_flight"
 	// JournalUnavailable: the journal can't record the order.
 	JournalUnavailable Code = "journal_unavailable"
@@ -61,26 +62,27 @@
 
 // Reasons for what happened to an attempt, in events.
 const (
-	// FirstChoice: the chat's first upstream had room.
+	// FirstChoice: the chat's first upstream had spare capacity.
 	FirstChoice Code = "first_choice"
 	// CacheHolder: the upstream that holds the chat's prefix was preferred.
 	CacheHolder Code = "cache_holder"
-	// QueueTurn: the request waited and its turn came.
+	// QueueTurn: the request waited in the queue and reached its front.
 	QueueTurn Code = "queue_turn"
-	// ChatElsewhere: the chat last ran on another upstream, which is asked.
+	// ChatElsewhere: the chat last ran on another upstream, which is tried.
 	ChatElsewhere Code = "chat_elsewhere"
-	// ChatNotHere: the upstream holds nothing of the chat.
+	// ChatNotHere: the upstream has nothing of the chat in its cache.
 	ChatNotHere Code = "chat_not_here"
-	// OnTrial: the request was in flight at a crash and waits to run alone, or
-	// waits for such a one.
+	// OnTrial: the request was in flight at a crash and waits to run alone, or it
+	// waits until such a request has run.
 	OnTrial Code = "on_trial"
-	// LoadBound: the upstream is at the set multiple of the fleet's mean.
+	// LoadBound: the upstream's load is at the configured multiple of the fleet's
+	// mean.
 	LoadBound Code = "load_bound"
-	// Saturated: the upstream runs all it can at once.
+	// Saturated: the upstream runs as many requests as it can at once.
 	Saturated Code = "saturated"
-	// NotOwner: the router asked doesn't own the upstream now.
+	// NotOwner: the router that received the request doesn't own the upstream now.
 	NotOwner Code = "not_owner"
-	// UpstreamLeaving: the upstream takes no more work.
+	// UpstreamLeaving: the upstream accepts no more requests.
 	UpstreamLeaving Code = "upstream_leaving"
 	// UpstreamFailed: the connection to the upstream broke or was refused.
 	UpstreamFailed Code = "upstream_failed"
