--- a/coordination/explain/explain.go
+++ b/coordination/explain/explain.go
@@ -1,11 +1,10 @@
-// Package explain keeps the explained decisions of one router: a bounded ring
-// of typed events, newest last, that operators query by request, upstream,
-// customer or kind.
+// Package explain keeps the explained decisions of one router as a bounded ring of
+// typed events, which operators query by request, upstream, customer or kind.
 //
-// The ring's size is fixed, so explanations cost the same memory however busy
-// the router is. Under load the ring covers less time; events about failures
-// are kept apart from routine ones, so that a burst of ordinary placements
-// doesn't push out the one refusal somebody asks about.
+// Ring has a fixed size, so it uses the same memory however busy the router is; under
+// load it covers less time. It keeps events that come with every request in a buffer
+// of their own. Otherwise a burst of ordinary placements would overwrite the one
+// refusal that an operator asks about.
 package explain
 
 import (
@@ -24,30 +23,30 @@
 	Attempt  uint32              `json:"attempt,omitempty" msgpack:"a,omitempty"`
 	Customer protocol.CustomerID `json:"customer,omitempty" msgpack:"c,omitempty"`
 	Upstream protocol.UpstreamID `json:"upstream,omitempty" msgpack:"u,omitempty"`
-	// Peer is the other router of the decision.
+	// Peer is the other router that took part in the decision.
 	Peer protocol.RouterID `json:"peer,omitempty" msgpack:"p,omitempty"`
-	// What names the decision, as in placed or refused.
+	// What is the kind of decision, for example placed or refused.
 	What   string      `json:"what" msgpack:"w"`
 	Reason reason.Code `json:"reason" msgpack:"o"`
 	Detail string      `json:"detail,omitempty" msgpack:"d,omitempty"`
 	Trace  string      `json:"trace,omitempty" msgpack:"x,omitempty"`
 }
 
-// Query selects events. Empty fields match all.
+// Query selects events. An empty field matches all events.
 type Query struct {
 	Request  protocol.RequestID  `json:"request" msgpack:"q,omitempty"`
 	Customer protocol.CustomerID `json:"customer" msgpack:"c,omitempty"`
 	Upstream protocol.UpstreamID `json:"upstream" msgpack:"u,omitempty"`
 	What     string              `json:"what" msgpack:"w,omitempty"`
-	// Limit bounds the events returned, the newest ones.
+	// Limit is the largest number of events returned; the newest are returned.
 	Limit int `json:"limit" msgpack:"l"`
 }
 
-// MaxLimit is the most events one query returns; with events of about 200
-// bytes an answer stays under 50 KB.
+// MaxLimit is the largest number of events that one query returns. With events of
+// about 200 bytes an answer stays below 50 KB.
 const MaxLimit = 200
 
-// routine are the kinds of events that come with every request.
+// routine is the set of the kinds of events that come with every request.
 var routine = map[string]bool{"placed": true, "ended": true, "answered": true}
 
 // Ring keeps the newest events. It isn't safe for concurrent use.
@@ -62,7 +61,7 @@
 	return &Ring{routine: newBuffer(size), notable: newBuffer(size)}
 }
 
-// Add keeps an event and numbers it.
+// Add numbers an event and stores it.
 func (r *Ring) Add(event Event) {
 	r.sequence++
 	event.Sequence = r.sequence
@@ -122,7 +121,7 @@
 		(q.What == "" || q.What == event.What)
 }
 
-// merge joins two lists that are in order of their sequence.
+// merge merges two lists that are sorted by sequence.
 func merge(a, b []Event) []Event {
 	joined := make([]Event, 0, len(a)+len(b))
 	for len(a) > 0 && len(b) > 0 {
--- a/coordination/explain/explain_test.go
+++ b/coordination/explain/explain_test.go
@@ -6,8 +6,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// An operator asks why a request was refused. Since then thousands of
-// ordinary requests came by, which fill any ring; the refusal must be there.
+// An operator asks why a request was refused. Since then, thousands of ordinary
+// requests have filled the ring. The refusal must still be found.
 func TestRefusalOutlivesRoutineEvents(t *testing.T) {
 	ring := NewRing(4)
 	ring.Add(Event{Request: "a", What: "refused"})
@@ -18,6 +18,8 @@
 	assert.Equal(t, len(ring.Find(Query{Request: "b"})), 4)
 }
 
+// Events of both buffers match a query. They must come merged in their order, and the
+// limit must keep the newest.
 func TestFoundEventsAreInOrderAndBounded(t *testing.T) {
 	ring := NewRing(8)
 	for range 5 {
