--- a/coordination/loadbench/stall.go
+++ b/coordination/loadbench/stall.go
@@ -40,13 +40,13 @@
 func RunStall(config StallConfig) StallResult {
 	const tokensPerStream = 200
 	rng := rand.New(rand.NewPCG(config.Seed, 5))
-	pace := stream.NewPace(stallPace(config))
+	pace := stream.NewWaitEstimator(stallPace(config))
 	var result StallResult
 	tokens, falseAlarms, silent := 0, 0, 0
 	var detection time.Duration
 	for range config.Streams {
 		now := time.Duration(0)
-		watch := stream.NewWatch(now, stream.DefaultWatchConfig())
+		watch := stream.NewMonitor(now, stream.DefaultMonitorConfig())
 		silentAt := -1
 		if rng.Float64() < config.SilentShare {
 			silentAt = 1 + rng.IntN(tokensPerStream-1)
@@ -66,7 +66,7 @@
 			now += wait
 			if watch.Check(now-1, pace).Action != stream.Wait {
 				falseAlarms++
-				watch = stream.NewWatch(now, stream.DefaultWatchConfig())
+				watch = stream.NewMonitor(now, stream.DefaultMonitorConfig())
 				continue
 			}
 			tokens++
@@ -87,8 +87,8 @@
 	return time.Duration(float64(config.Median) * math.Exp(config.Sigma*rng.NormFloat64()))
 }
 
-func stallPace(config StallConfig) stream.PaceConfig {
-	pace := stream.DefaultPaceConfig()
+func stallPace(config StallConfig) stream.WaitEstimatorConfig {
+	pace := stream.DefaultWaitEstimatorConfig()
 	if config.Fixed > 0 {
 		for i := range pace.Phases {
 			pace.Phases[i] = stream.Limits{Initial: config.Fixed, Min: config.Fixed, Max: config.Fixed}
--- a/coordination/node/entry.go
+++ b/coordination/node/entry.go
@@ -85,7 +85,7 @@
 	reached bool
 	// limited means that the request was charged to its customer's limits.
 	limited bool
-	watch   *stream.Watch
+	watch   *stream.Monitor
 	order   *order
 }
 
@@ -115,8 +115,8 @@
 		n.startOrder(now, e)
 		return
 	}
-	e.watch = stream.NewWatch(now, stream.DefaultWatchConfig())
-	e.answer = stream.NewAssembler(e.request.ID, stream.DefaultWatchConfig().MaxHeld)
+	e.watch = stream.NewMonitor(now, stream.DefaultMonitorConfig())
+	e.answer = stream.NewAssembler(e.request.ID, stream.DefaultMonitorConfig().MaxHeld)
 	n.place(now, e)
 }
 
@@ -334,9 +334,9 @@
 // another one. A connection can go silent for good while new ones work, so a
 // stall is first blamed on the connection.
 func (n *Node) chooseAgain(now time.Duration, e *entry, why reason.Code) {
-	step := e.watch.Broken(now)
+	step := e.watch.ConnectionBroken(now)
 	if why == reason.OwnerLost {
-		step = e.watch.Lost(now)
+		step = e.watch.EngineLost(now)
 	}
 	e.again = nil
 	if step.Action == stream.Reconnect && why == reason.UpstreamStalled {
--- a/coordination/node/owner.go
+++ b/coordination/node/owner.go
@@ -50,7 +50,7 @@
 	sequence    uint64
 	announced   time.Duration
 	reported    upstreamapi.Load
-	pace        *stream.Pace
+	pace        *stream.WaitEstimator
 	// seen is the load of other upstreams as an entry heard it at seenAt.
 	seen   float64
 	seenAt time.Duration
@@ -93,7 +93,7 @@
 		queue:     admission.New(admission.DefaultConfig(queueRates(upstream))),
 		waiting:   map[protocol.RequestID]*relay{},
 		announced: now,
-		pace:      stream.NewPace(stream.DefaultPaceConfig()),
+		pace:      stream.NewWaitEstimator(stream.DefaultWaitEstimatorConfig()),
 		tokenTime: assumedTokenTime,
 	}
 }
--- a/coordination/node/relay.go
+++ b/coordination/node/relay.go
@@ -234,7 +234,7 @@
 	if r.chunks == 0 {
 		phase = stream.FirstToken
 	}
-	return target.pace.Allowed(phase)
+	return target.pace.MaxSilence(phase)
 }
 
 func (t *owned) runningInOrder() []*relay {
--- a/coordination/stream/assembler.go
+++ b/coordination/stream/assembler.go
@@ -2,7 +2,7 @@
 
 import "endiveplank/protocol"
 
-// Chunk is one piece of an answer on its way to the caller.
+// Chunk is one piece of an answer to be delivered to the caller.
 type Chunk struct {
 	Request protocol.RequestID
 	// Attempt is the attempt whose connection delivered the chunk. The
@@ -10,51 +10,51 @@
 	Attempt int
 	// Index counts the answer's tokens from 0.
 	Index int
-	// Data is passed on unread.
+	// Data is passed on unchanged and not parsed.
 	Data []byte
 	// Final marks the last chunk of the answer.
 	Final bool
 }
 
-// Verdict says what became of a chunk.
+// Verdict says how Accept treated a chunk.
 type Verdict uint8
 
 const (
-	// Delivered means that the chunk, and perhaps held ones after it, go to
-	// the caller.
+	// Delivered means that the chunk goes to the caller, with any held chunks that
+	// follow it.
 	Delivered Verdict = iota + 1
 	// Held means that an earlier index of this attempt is still missing.
 	Held
-	// Duplicate means that the index was delivered or is held already.
+	// Duplicate means that the index was already delivered or is already held.
 	Duplicate
 	// Abandoned means that the chunk's attempt was replaced.
 	Abandoned
-	// Foreign means that the chunk belongs to another request or to no
-	// attempt that was begun. It points at a fault in the sender.
+	// Foreign means that the chunk belongs to another request or to an attempt that
+	// hasn't begun. It indicates a fault in the sender.
 	Foreign
-	// Overrun means that too many chunks wait for a missing one, or that the
-	// index lies behind the final one. The attempt should be replaced.
+	// Overrun means that too many chunks are held for a missing one, or that the
+	// index is beyond that of the final chunk. The attempt should be replaced.
 	Overrun
 )
 
-// Accepted is the answer to Accept.
+// Accepted is the result of Assembler.Accept.
 type Accepted struct {
 	Verdict Verdict
 	// Deliver holds the chunks for the caller, in order. It is valid until
 	// the next call.
 	Deliver []Chunk
-	// Complete says that the caller now has the whole answer.
+	// Complete says that the caller has the whole answer with these chunks.
 	Complete bool
 }
 
-// Assembler passes each token of one answer on once and in order.
+// Assembler passes on each token of one answer once and in order. It is called for
+// every chunk of every stream.
 //
-// Load: every chunk of every stream. Harm prevented: a caller reads tokens
-// twice, out of order, or from another attempt or request. It would show as
-// a garbled answer after a reconnection, when the old connection wakes up and
-// delivers what it had buffered. The guard holds because a chunk passes only
-// with the current attempt's number and the one next index, and the number of
-// an abandoned attempt is never used again.
+// It prevents a caller from receiving tokens twice, out of order, or from another
+// attempt or request. That would garble the answer after a reconnection, when the old
+// connection resumes and delivers its buffered chunks. A chunk is passed on only with
+// the number of the current attempt and with the one next index, and the number of an
+// abandoned attempt is never used again.
 type Assembler struct {
 	request  protocol.RequestID
 	attempt  int
@@ -62,16 +62,16 @@
 	maxHeld  int
 	held     map[int]Chunk
 	complete bool
-	// finalIndex is the index of the final chunk once it was seen in the
-	// current attempt, else -1.
+	// finalIndex is the index of the final chunk if the current attempt has
+	// delivered it, else noFinal.
 	finalIndex int
 	deliver    []Chunk
 }
 
 const noFinal = -1
 
-// NewAssembler starts with attempt 1 at token 0. It holds back at most maxHeld
-// chunks; more than that means that a chunk was lost, not late.
+// NewAssembler returns an assembler for attempt 1 at token 0. It holds back at most
+// maxHeld chunks; if more wait, a chunk is lost and not merely late.
 func NewAssembler(request protocol.RequestID, maxHeld int) *Assembler {
 	return &Assembler{
 		request:    request,
@@ -82,10 +82,10 @@
 	}
 }
 
-// Begin starts a new attempt and returns the index it resumes at. Chunks held
-// from the old attempt are dropped: the new attempt sends them again, and mixing
-// two attempts' continuations could garble the answer. It panics when the number
-// does not grow, because late chunks could then not be told apart.
+// Begin starts a new attempt and returns the index at which it resumes. It drops the
+// chunks held from the old attempt: the new attempt sends them again, and a mixture of
+// two attempts' continuations could garble the answer. It panics if the attempt number
+// doesn't grow, because late chunks of the old attempt could then not be recognized.
 func (a *Assembler) Begin(attempt int) int {
 	if attempt <= a.attempt {
 		panic("stream: attempt numbers must grow")
@@ -96,7 +96,7 @@
 	return a.next
 }
 
-// Accept decides about one chunk.
+// Accept decides whether one chunk is delivered, held or rejected.
 func (a *Assembler) Accept(c Chunk) Accepted {
 	if verdict := a.reject(c); verdict != 0 {
 		return Accepted{Verdict: verdict, Complete: a.complete}
@@ -109,14 +109,14 @@
 		return Accepted{Verdict: Held}
 	}
 	a.deliver = a.deliver[:0]
-	a.pass(c)
+	a.deliverNext(c)
 	for !a.complete {
 		held, ok := a.held[a.next]
 		if !ok {
 			break
 		}
 		delete(a.held, a.next)
-		a.pass(held)
+		a.deliverNext(held)
 	}
 	return Accepted{Verdict: Delivered, Deliver: a.deliver, Complete: a.complete}
 }
@@ -124,10 +124,10 @@
 // Next returns the index of the first token not yet delivered.
 func (a *Assembler) Next() int { return a.next }
 
-// Complete says whether the caller has the whole answer.
+// Complete reports whether the caller has the whole answer.
 func (a *Assembler) Complete() bool { return a.complete }
 
-// reject returns why a chunk must not pass, or zero.
+// reject returns why a chunk must be rejected, or zero.
 func (a *Assembler) reject(c Chunk) Verdict {
 	_, isHeld := a.held[c.Index]
 	switch {
@@ -145,7 +145,8 @@
 	return 0
 }
 
-func (a *Assembler) pass(c Chunk) {
+// deliverNext adds the chunk with the next index to those for the caller.
+func (a *Assembler) deliverNext(c Chunk) {
 	a.deliver = append(a.deliver, c)
 	a.next = c.Index + 1
 	a.complete = c.Final
--- a/coordination/stream/stream_test.go
+++ b/coordination/stream/stream_test.go
@@ -12,8 +12,10 @@
 	"endiveplank/protocol"
 )
 
-func TestPaceFollowsTheEngine(t *testing.T) {
-	config := DefaultPaceConfig()
+// A fixed limit would be too short for a loaded engine and too long for a fast one.
+// The estimate must follow the engine's waits within the limits of the phase.
+func TestMaxSilenceFollowsTheEngine(t *testing.T) {
+	config := DefaultWaitEstimatorConfig()
 	limits := config.Phases[NextToken]
 	cases := []struct {
 		name     string
@@ -28,50 +30,49 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			pace := NewPace(config)
+			estimator := NewWaitEstimator(config)
 			for range c.samples {
-				pace.Observe(Sample{Phase: NextToken, Wait: c.wait})
+				estimator.Observe(Sample{Phase: NextToken, Wait: c.wait})
 			}
-			allowed := pace.Allowed(NextToken)
+			allowed := estimator.MaxSilence(NextToken)
 			assert.Assert(t, allowed >= c.min && allowed <= c.max, "%v", allowed)
 		})
 	}
 }
 
-// A caller's text stops in mid sentence and no error arrives. The connection
-// went silent because something on the way forgot it; the engine itself works.
-// The stream is resumed over a new connection and, when that is silent too,
-// on another engine, always at the first token the caller lacks.
+// A caller's text stops in mid sentence and no error arrives. The connection went
+// silent because its state was lost on the network path; the engine itself works. The
+// stream must be resumed over a new connection and, if that is silent too, on another
+// engine, always at the first token that the caller lacks.
 func TestSilentStreamIsResumedThenMoved(t *testing.T) {
-	pace := NewPace(DefaultPaceConfig())
-	w := NewWatch(0, DefaultWatchConfig())
-	_, ok := w.Progress(time.Second, 7)
+	estimator := NewWaitEstimator(DefaultWaitEstimatorConfig())
+	monitor := NewMonitor(0, DefaultMonitorConfig())
+	_, ok := monitor.Progress(time.Second, 7)
 	assert.Assert(t, ok)
-	step := w.Check(2*time.Second, pace)
+	step := monitor.Check(2*time.Second, estimator)
 	assert.Equal(t, step, Step{Action: Wait, CheckAt: 4 * time.Second})
-	step = w.Check(4*time.Second, pace)
+	step = monitor.Check(4*time.Second, estimator)
 	assert.Equal(t, step, Step{Action: Reconnect, Attempt: 2, ResumeAt: 7})
-	step = w.Check(12*time.Second, pace)
+	step = monitor.Check(12*time.Second, estimator)
 	assert.Equal(t, step, Step{Action: Move, Attempt: 3, ResumeAt: 7})
-	_, ok = w.Progress(13*time.Second, 9)
+	_, ok = monitor.Progress(13*time.Second, 9)
 	assert.Assert(t, ok)
-	assert.Equal(t, w.Broken(14*time.Second), Step{Action: Reconnect, Attempt: 4, ResumeAt: 9})
-	assert.Equal(t, w.Lost(15*time.Second), Step{Action: Move, Attempt: 5, ResumeAt: 9})
-	assert.Equal(t, w.Lost(16*time.Second), Step{Action: GiveUp, ResumeAt: 9})
+	assert.Equal(t, monitor.ConnectionBroken(14*time.Second), Step{Action: Reconnect, Attempt: 4, ResumeAt: 9})
+	assert.Equal(t, monitor.EngineLost(15*time.Second), Step{Action: Move, Attempt: 5, ResumeAt: 9})
+	assert.Equal(t, monitor.EngineLost(16*time.Second), Step{Action: GiveUp, ResumeAt: 9})
 }
 
-// answer is the true text of one token of one attempt's continuation. Attempts
-// word their continuation differently, as sampling engines do.
+// answer returns the text of one token of one attempt. Each attempt continues the
+// answer differently, as engines that sample do.
 func answer(attempt, index int) []byte {
 	return fmt.Appendf(nil, "%d/%d;", attempt, index)
 }
 
-// A caller reads doubled or foreign words after a reconnection. The old
-// connection woke up and delivered its buffered chunks late, twice and out of
-// order among the new ones. Whatever the order, the caller's text must be each
-// index once, in order, in the words of the attempt that was current when it was
-// delivered.
-func TestCallerReadsItsOwnAnswer(t *testing.T) {
+// A caller receives duplicate or foreign text after a reconnection, because the old
+// connection delivers its buffered chunks late, twice and out of order among the new
+// ones. In any order of delivery, the caller must receive each index once, in order,
+// with the text of the attempt that was current when it was delivered.
+func TestCallerReceivesEachTokenOnceAndInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const request = protocol.RequestID("r")
 		length := rapid.IntRange(1, 40).Draw(t, "length")
@@ -113,8 +114,8 @@
 				foreign.Request = "other"
 				assert.Equal(t, accept(foreign).Verdict, Foreign)
 			case op == 8:
-				// The old connection delivers the chunk after the next one and
-				// keeps the next one back.
+				// The old connection delivers the chunk after the next one and delays
+				// the next one.
 				if cursor < length-1 {
 					accept(Chunk{Request: request, Attempt: current, Index: cursor + 1, Data: answer(current, cursor+1)})
 				}
