--- a/coordination/registry/registry.go
+++ b/coordination/registry/registry.go
@@ -1,17 +1,18 @@
-// Package registry keeps what upstreams announced about themselves, as a part
-// of the replicated state: who they are, where they listen and what they
-// serve. Load and cache events are not in it; they change every second and
-// only the owning router needs them.
+// Package registry keeps what upstreams announced about themselves, as a part of the
+// replicated state: their IDs, their addresses and what they serve. It contains no
+// load and no cache events; these change every second, and only the owning router
+// needs them.
 //
-// There is no list of upstreams to configure. The first router that hears an
-// unknown or changed upstream proposes a Register; the owner proposes a Remove
-// when the upstream said goodbye or has been silent for long.
+// No configuration lists the upstreams. The first router that receives an
+// announcement of an unknown or changed upstream proposes a Register. The owner
+// proposes a Remove when the upstream has left or has been silent for long.
 //
-// Guards: a Register or Remove of an older incarnation than the known one is a
-// late message and changes nothing, so a restarted upstream isn't undone by
-// what routers said about its earlier life. An ID that comes back at another
-// address within the same incarnation is two upstreams under one name; the
-// first keeps it.
+// Failures guarded against:
+//
+//   - A Register or Remove of an earlier incarnation arrives late, after the upstream
+//     has restarted. It changes nothing, so the restarted upstream stays registered.
+//   - Two upstreams have the same ID. An ID with another address in the same
+//     incarnation must be a second upstream, so the first one keeps the ID.
 package registry
 
 import (
@@ -23,11 +24,11 @@
 	"endiveplank/protocol/upstreamapi"
 )
 
-// maxUpstreams bounds the state against a fault that announces ever new IDs.
-// It is far above 790 servers.
+// maxUpstreams bounds the state in case a fault announces ever new IDs. It is far
+// above 790 servers.
 const maxUpstreams = 20_000
 
-// Descriptor is what is known of one upstream.
+// Descriptor describes one upstream.
 type Descriptor struct {
 	ID          protocol.UpstreamID `msgpack:"i" json:"id"`
 	Incarnation uint64              `msgpack:"n" json:"incarnation"`
@@ -36,7 +37,7 @@
 	DataCentre  protocol.DataCentre `msgpack:"d" json:"data_centre"`
 	Models      []protocol.Model    `msgpack:"m,omitempty" json:"models,omitempty"`
 	Service     protocol.Service    `msgpack:"s,omitempty" json:"service,omitempty"`
-	// Capacity is in tokens a second for an engine.
+	// Capacity of an engine is in tokens a second.
 	Capacity      float64 `msgpack:"c" json:"capacity"`
 	MaxConcurrent int     `msgpack:"x" json:"max_concurrent"`
 	ChecksFence   bool    `msgpack:"f,omitempty" json:"checks_fence"`
@@ -44,7 +45,7 @@
 	Revision uint64 `msgpack:"v" json:"revision"`
 }
 
-// FromAnnouncement returns the descriptor that an announcement stands for.
+// FromAnnouncement returns the descriptor of the upstream that sent an announcement.
 func FromAnnouncement(a upstreamapi.Announcement) Descriptor {
 	return Descriptor{
 		ID:            a.ID,
@@ -60,7 +61,7 @@
 	}
 }
 
-// Same says whether two descriptors agree in all but revision.
+// Same reports whether two descriptors are equal in everything but their revision.
 func (d Descriptor) Same(other Descriptor) bool {
 	return d.ID == other.ID && d.Incarnation == other.Incarnation && d.Kind == other.Kind &&
 		d.Address == other.Address && d.DataCentre == other.DataCentre && slices.Equal(d.Models, other.Models) &&
@@ -68,12 +69,12 @@
 		d.MaxConcurrent == other.MaxConcurrent && d.ChecksFence == other.ChecksFence
 }
 
-// Register adds or changes one upstream.
+// Register is the command that adds or changes one upstream.
 type Register struct {
 	Descriptor Descriptor `msgpack:"d"`
 }
 
-// Remove takes one upstream out.
+// Remove is the command that removes one upstream.
 type Remove struct {
 	ID          protocol.UpstreamID `msgpack:"i"`
 	Incarnation uint64              `msgpack:"n"`
@@ -81,21 +82,21 @@
 	Why string `msgpack:"w,omitempty"`
 }
 
-// Outcome says what became of a command.
+// Outcome is the result of a command.
 type Outcome string
 
 const (
-	// Done means that the command took effect, or had before.
+	// Done means that the command took effect or had taken effect before.
 	Done Outcome = "done"
-	// Late means that a newer incarnation is known.
+	// Late means that a newer incarnation is registered.
 	Late Outcome = "late"
 	// Taken means that another upstream has the ID.
 	Taken Outcome = "taken"
-	// Full means that the registry is at its bound.
+	// Full means that the registry holds maxUpstreams already.
 	Full Outcome = "full"
 )
 
-// Answer is the result of a command.
+// Answer is the encoded result of a command.
 type Answer struct {
 	Outcome Outcome `msgpack:"o"`
 }
@@ -121,7 +122,8 @@
 	return slices.SortedFunc(maps.Values(s.descriptors), func(a, b Descriptor) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// Register runs a Register and says whether anything changed.
+// Register applies a Register command and reports whether anything changed. index is
+// the command's log index.
 func (s *State) Register(index uint64, command Register) (Answer, bool) {
 	fresh := command.Descriptor
 	known, exists := s.descriptors[fresh.ID]
@@ -140,7 +142,7 @@
 	return Answer{Outcome: Done}, true
 }
 
-// Remove runs a Remove and says whether anything changed.
+// Remove applies a Remove command and reports whether anything changed.
 func (s *State) Remove(command Remove) (Answer, bool) {
 	known, exists := s.descriptors[command.ID]
 	if !exists {
@@ -153,7 +155,7 @@
 	return Answer{Outcome: Done}, true
 }
 
-// FromSnapshot returns the registry that holds these descriptors.
+// FromSnapshot returns a registry with the descriptors of a snapshot.
 func FromSnapshot(descriptors []Descriptor) *State {
 	state := NewState()
 	for _, descriptor := range descriptors {
--- a/coordination/registry/registry_test.go
+++ b/coordination/registry/registry_test.go
@@ -10,10 +10,10 @@
 	return Register{Descriptor: Descriptor{ID: "e1", Incarnation: incarnation, Address: address, Capacity: 1}}
 }
 
-// An engine restarts and announces itself under a new incarnation. Words about
-// its earlier life are still on the way: a removal, and an old announcement.
-// Acting on either would take a healthy engine away.
-func TestLateWordsAboutAnEarlierLifeChangeNothing(t *testing.T) {
+// An engine restarts and announces itself under a new incarnation. Then two late
+// messages about its earlier incarnation arrive: a removal and an old announcement.
+// If either took effect, a healthy engine would be lost.
+func TestLateCommandsOfAnEarlierIncarnationChangeNothing(t *testing.T) {
 	state := NewState()
 	state.Register(1, descriptor(2, "a"))
 	answer, changed := state.Remove(Remove{ID: "e1", Incarnation: 1})
@@ -24,7 +24,7 @@
 	assert.Assert(t, !changed)
 }
 
-// Two engines are set up with the same ID. If each announcement replaced the
+// Two engines are configured with the same ID. If each announcement replaced the
 // other's address, work would go back and forth between them.
 func TestSecondUpstreamUnderOneIDIsRefused(t *testing.T) {
 	state := NewState()
@@ -36,6 +36,8 @@
 	assert.Equal(t, known.Address, "a")
 }
 
+// A repeated registration must not count as a change, and a snapshot must restore the
+// registry.
 func TestRepeatedRegistrationIsNoChange(t *testing.T) {
 	state := NewState()
 	_, first := state.Register(1, descriptor(1, "a"))
