--- a/coordination/revlog/revlog.go
+++ b/coordination/revlog/revlog.go
@@ -1,27 +1,26 @@
-// Package revlog keeps which items of a replicated state changed at which
-// revision, so that a reader that has everything up to some revision can be
-// sent only what is newer.
+// Package revlog records at which revision each item of a replicated state last
+// changed, so that a reader which has everything up to some revision can be sent only
+// the newer changes.
 //
-// Each item stands in the log once, at its newest revision, in the order
-// (revision, item). That order is the same on every replica and after a
-// restore, so a reader that was cut off in the middle of a long catch-up goes
-// on at its cursor with any leader.
+// Log yields each item once, at its newest revision, in the order (revision, item).
+// That order is the same on every replica and after a restore. So a reader whose
+// catch-up was interrupted resumes at its cursor with any leader.
 //
-// Removed items leave a tombstone, because a reader must be told about them.
-// Tombstones are bounded: when the oldest is dropped, the floor rises to its
-// revision, and a reader whose state is older than the floor has to start
-// from an empty state. Without the floor such a reader would keep a removed
-// item for ever.
+// A removed item leaves a tombstone, because readers must learn that it was removed.
+// The number of tombstones is bounded. When the oldest is dropped, the floor rises to
+// its revision, and a reader whose state is older than the floor has to start from an
+// empty state. Without the floor such a reader would keep a removed item for ever.
 package revlog
 
 import "slices"
 
-// compactFactor is how many log positions are kept for each live item before
-// superseded positions are dropped. Two keeps the amortised cost of a touch
-// constant and the memory at most double.
+// compactFactor is the number of log positions for each item above which superseded
+// positions are dropped. Two keeps the amortised cost of a change constant and the
+// memory at most double.
 const compactFactor = 2
 
-// compactMin avoids compacting short logs on nearly every touch.
+// compactMin is the length up to which the log is never compacted. Without it, short
+// logs would be compacted on nearly every change.
 const compactMin = 64
 
 // Entry is one position of the log.
@@ -60,8 +59,8 @@
 	return max(l.floor, l.entries[len(l.entries)-1].Revision)
 }
 
-// Record notes the changes of one revision, which must be above all earlier
-// ones. Items may be given in any order, each once.
+// Record records the changes of one revision, which must be higher than all earlier
+// ones. The items may be in any order, but each only once.
 func (l *Log[K]) Record(changes []Entry[K]) {
 	slices.SortFunc(changes, l.order)
 	for _, change := range changes {
@@ -73,8 +72,8 @@
 	}
 }
 
-// Since calls yield for each item changed after the given position, oldest
-// first, until yield returns false.
+// Since calls yield for each item that changed after the given position, oldest
+// change first, until yield returns false.
 func (l *Log[K]) Since(revision uint64, item K, yield func(Entry[K]) bool) {
 	after := Entry[K]{Revision: revision, Item: item}
 	start, found := slices.BinarySearchFunc(l.entries, after, l.order)
@@ -102,7 +101,8 @@
 	return out
 }
 
-// Restore replaces the log by the given entries, each item once, and floor.
+// Restore replaces the log by the given floor and entries, which must contain each
+// item only once.
 func (l *Log[K]) Restore(floor uint64, entries []Entry[K]) {
 	l.newest = make(map[K]Entry[K], len(entries))
 	l.entries = l.entries[:0]
