--- a/coordination/reason/reason.go
+++ b/coordination/reason/reason.go
@@ -8,8 +8,8 @@
 
 // Reasons for refusing a request, sent to callers.
 const (
-	// NoLease: this router holds no lease and must not serve, because its
-	// configuration may no longer be in force.
+	// NoLease: this router must not serve, because it can't confirm that its
+	// configuration is still in force.
 	NoLease Code = "no_lease"
 	// Draining: this router is stopping.
 	Draining Code = "draining"
@@ -70,7 +70,7 @@
 	QueueTurn Code = "queue_turn"
 	// ChatElsewhere: the chat last ran on another upstream, which is tried.
 	ChatElsewhere Code = "chat_elsewhere"
-	// ChatNotHere: the upstream has nothing of the chat in its cache.
+	// ChatNotHere: the upstream isn't known to hold anything of the chat in its cache.
 	ChatNotHere Code = "chat_not_here"
 	// OnTrial: the request was in flight at a crash and waits to run alone, or it
 	// waits until such a request has run.
