--- a/coordination/balance/balance_test.go
+++ b/coordination/balance/balance_test.go
@@ -328,7 +328,7 @@
 	first := pickAnswered(b, now, seeded(), prompt(7))
 	list := entries(2)
 	at := slices.IndexFunc(list, func(e roster.Entry) bool { return e.ID == first.ID })
-	list[at].Born = 99
+	list[at].StartedAt = 99
 	b.SetRoster(list)
 	assert.Equal(t, len(b.holdersOf(now, 7, b.services["s"])), 0)
 }
--- a/coordination/balance/cacheholders.go
+++ b/coordination/balance/cacheholders.go
@@ -79,7 +79,7 @@
 	source := ""
 	for _, k := range b.cacheHolders.byPrefix[prefix] {
 		u := b.upstreams[k.id]
-		if u == nil || u.entry.Born != k.born || now-k.usedAt > holderTTL || u.entry.State == roster.Gone || !k.confirmed {
+		if u == nil || u.entry.StartedAt != k.born || now-k.usedAt > holderTTL || u.entry.State == roster.Gone || !k.confirmed {
 			continue
 		}
 		if u == chosen {
@@ -118,7 +118,9 @@
 }
 
 // matches reports whether the holder is this incarnation of an upstream.
-func (k cacheHolder) matches(u *upstream) bool { return k.id == u.entry.ID && k.born == u.entry.Born }
+func (k cacheHolder) matches(u *upstream) bool {
+	return k.id == u.entry.ID && k.born == u.entry.StartedAt
+}
 
 // ConfirmCached records that an engine has begun to answer a prompt, so it holds the
 // prompt's prefix and the shorter ones.
@@ -193,7 +195,7 @@
 	if !known && len(k.byPrefix) >= maxPrefixes {
 		k.evict(now)
 	}
-	next := cacheHolder{id: u.entry.ID, born: u.entry.Born, usedAt: now}
+	next := cacheHolder{id: u.entry.ID, born: u.entry.StartedAt, usedAt: now}
 	at := slices.IndexFunc(list, func(old cacheHolder) bool { return old.matches(u) })
 	if at >= 0 {
 		next.announcedAt, next.confirmed = list[at].announcedAt, list[at].confirmed
--- a/coordination/control/announcements.go
+++ b/coordination/control/announcements.go
@@ -87,10 +87,10 @@
 	if !f.CanTakeHeartbeats(now) {
 		return false, 0, false
 	}
-	if f.roster.Confirm(now, e) {
+	if f.roster.ConfirmUnchanged(now, e) {
 		return true, 0, false
 	}
-	f.roster.Announced(now, e)
+	f.roster.RecordAnnouncement(now, e)
 	return false, f.Forward(e), true
 }
 
@@ -100,7 +100,7 @@
 	if now-f.heartbeatsSentAt < heartbeatReportInterval {
 		return nil
 	}
-	heard := f.roster.AnnouncedSince(f.heartbeatsSentAt)
+	heard := f.roster.HeartbeatsSince(f.heartbeatsSentAt)
 	f.heartbeatsSentAt = now
 	if len(heard) == 0 {
 		return nil
--- a/coordination/control/messages.go
+++ b/coordination/control/messages.go
@@ -128,7 +128,7 @@
 // Heartbeats tells a disk VM which upstreams have announced themselves to the sender
 // lately.
 type Heartbeats struct {
-	Upstreams []roster.Heard `msgpack:"u"`
+	Upstreams []roster.Heartbeat `msgpack:"u"`
 }
 
 // Put asks the leader to put a changed table in force.
--- a/coordination/control/startup_test.go
+++ b/coordination/control/startup_test.go
@@ -244,7 +244,7 @@
 func (w *startSim) handleAnnouncement(v *process, c *call) {
 	e := c.from.entry
 	if v.vm != nil {
-		if v.vm.roster.Announced(w.now, e) {
+		if v.vm.roster.RecordAnnouncement(w.now, e) {
 			v.vm.publisher.NoteChange(e.ID)
 		}
 		w.answer(v, c, true, v.vm.publisher.AnnounceAt(w.now, e))
