--- a/tool/certs_test.go
+++ b/tool/certs_test.go
@@ -25,18 +25,21 @@
 	return out.String(), err
 }
 
-// exitOf returns the exit status that an error asks for.
-func exitOf(t *testing.T, err error) int {
+// exitStatus returns the exit status that an error asks for.
+func exitStatus(t *testing.T, err error) int {
 	t.Helper()
 	var failed *Failure
 	assert.Assert(t, errors.As(err, &failed), "%v", err)
 	return failed.Status
 }
 
-func TestIssuedCertificatesAreTakenByThePeers(t *testing.T) {
+// A router loads the issued files and finds its own ID in the certificate.
+// Issuing without an authority is wrong usage, and the key is private to its
+// owner.
+func TestPeersAcceptIssuedCertificates(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "keys")
 	_, err := run("certs", "router", "r1", "--folder", folder)
-	assert.Equal(t, exitOf(t, err), ExitUsage)
+	assert.Equal(t, exitStatus(t, err), ExitUsage)
 	_, err = run("certs", "authority", "--folder", folder)
 	assert.NilError(t, err)
 	_, err = run("certs", "router", "r1", "--folder", folder)
@@ -53,16 +56,17 @@
 	assert.Equal(t, pair.Leaf.Subject.CommonName, "r1")
 }
 
-// An operator runs the command a second time. Were the authority replaced, the
-// routers would refuse each other at their next handshake.
-func TestKeysThatAreThereStay(t *testing.T) {
+// An operator runs the command a second time. If it replaced the authority, the
+// routers would reject each other at their next handshake. A router ID that
+// would write outside the folder or over the authority is refused too.
+func TestCertsKeepExistingFiles(t *testing.T) {
 	folder := t.TempDir()
 	_, err := run("certs", "authority", "--folder", folder)
 	assert.NilError(t, err)
 	before, err := os.ReadFile(filepath.Join(folder, "authority.pem"))
 	assert.NilError(t, err)
 	_, err = run("certs", "authority", "--folder", folder)
-	assert.Equal(t, exitOf(t, err), ExitUsage)
+	assert.Equal(t, exitStatus(t, err), ExitUsage)
 	after, err := os.ReadFile(filepath.Join(folder, "authority.pem"))
 	assert.NilError(t, err)
 	assert.DeepEqual(t, before, after)
--- a/tool/client.go
+++ b/tool/client.go
@@ -4,19 +4,19 @@
 	"bytes"
 	"context"
 	"encoding/json"
-	"errors"
+	"fmt"
 	"io"
 	"net/http"
 
 	"endiveplank/transport/admin"
 )
 
-// maxAnswer bounds an answer of the fleet in bytes.
-const maxAnswer = 64 << 20
+// maxResponseBytes is the most that is read of a response body.
+const maxResponseBytes = 64 << 20
 
-// call makes one call and decodes its answer into answer. body is nil for a
-// GET. It returns the HTTP status of answers that carry a typed body besides
-// success: conflict and invalid.
+// call sends one request to the admin address and decodes the response into
+// answer. body is nil for a GET. The returned HTTP status is 200, or 409
+// (conflict) or 422 (invalid), whose responses carry a typed answer as well.
 func (o *options) call(ctx context.Context, method, path string, body, answer any) (int, error) {
 	if o.admin == "" {
 		return 0, &Failure{Status: ExitUsage, What: "no admin address", Next: "set --admin, " + envAdmin + " or a profile"}
@@ -29,12 +29,12 @@
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return 0, unreachable(method, err)
+		return 0, noResponse(method, err)
 	}
 	defer response.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	raw, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return 0, unreachable(method, err)
+		return 0, noResponse(method, err)
 	}
 	return response.StatusCode, decodeAnswer(response.StatusCode, raw, answer)
 }
@@ -56,16 +56,17 @@
 	return request, nil
 }
 
-// unreachable tells a read, which changed nothing, from a change, whose
-// outcome is open.
-func unreachable(method string, err error) error {
+// noResponse returns the failure of a call that got no response. A read changed
+// nothing; the outcome of a change is unknown.
+func noResponse(method string, err error) error {
 	if method == http.MethodGet {
-		return &Failure{Status: ExitUnreachable, What: "the router can't be reached: " + err.Error(), Next: "try another router's admin address"}
+		return &Failure{Status: ExitUnreachable, What: "the router is unreachable: " + err.Error(), Next: "try another router's admin address"}
 	}
-	return &Failure{Status: ExitUnknown, What: "no answer came, and the change may have taken effect: " + err.Error(), Next: "send it again with the same --id; it is applied once"}
+	return &Failure{Status: ExitUnknown, What: "no response came, and the change may have taken effect: " + err.Error(), Next: "send it again with the same --id; it is applied once"}
 }
 
-// decodeAnswer reads a typed answer or an error body.
+// decodeAnswer decodes a response into answer, or returns the failure that its
+// error body describes. The outcome of a change is unknown after status 503.
 func decodeAnswer(status int, raw []byte, answer any) error {
 	typed := status == http.StatusOK || status == http.StatusConflict || status == http.StatusUnprocessableEntity
 	if typed {
@@ -77,7 +78,7 @@
 	}
 	var failed admin.ErrorBody
 	if err := json.Unmarshal(raw, &failed); err != nil {
-		return errors.New("the router's answer isn't JSON; is this an admin address?")
+		return fmt.Errorf("the response (HTTP status %d) isn't JSON; is this an admin address?", status)
 	}
 	exit := ExitRefused
 	if status == http.StatusServiceUnavailable {
--- a/tool/csv.go
+++ b/tool/csv.go
@@ -12,8 +12,9 @@
 	"endiveplank/transport/admin"
 )
 
-// tableExport writes a sheet as a CSV file with each row's revision, which an
-// import of the edited file sends back as what the operator saw.
+// tableExport writes a sheet as CSV with the revision of each row. An import of
+// the edited file sends these revisions as the ones that the operator saw, so
+// that a row changed since the export is a conflict.
 func tableExport(o *options) *cobra.Command {
 	return &cobra.Command{
 		Use:     "export SHEET",
@@ -36,7 +37,7 @@
 }
 
 // tableImport sends the rows of a file that differ from the table as one
-// change: all of them take hold or none.
+// change, which is applied whole or not at all.
 func tableImport(o *options) *cobra.Command {
 	flags := &changeFlags{}
 	command := &cobra.Command{
@@ -52,7 +53,7 @@
 				return err
 			}
 			if len(edits) == 0 {
-				fmt.Fprintln(command.ErrOrStderr(), "nothing to change: the table holds what the file says")
+				fmt.Fprintln(command.ErrOrStderr(), "nothing to change: the table already matches the file")
 				return nil
 			}
 			return o.sendChange(command, admin.ChangeRequest{ID: flags.changeID(), Why: flags.why, Edits: edits})
@@ -78,8 +79,8 @@
 	}
 }
 
-// compare reads a file and returns the edits that would change the table, and
-// the table's rows.
+// compare reads a CSV file and returns the edits that would change the table,
+// and the sheet's current rows.
 func (o *options) compare(command *cobra.Command, sheet, path string) ([]table.Edit, []table.Row, error) {
 	file, err := os.ReadFile(path)
 	if err != nil {
@@ -88,7 +89,7 @@
 	edits, problems := table.ImportCSV(table.Sheet(sheet), file)
 	if len(problems) > 0 {
 		writeAnswer(command.ErrOrStderr(), "", table.Answer{Problems: problems})
-		return nil, nil, &Failure{Status: ExitRefused, What: "nothing was changed", Next: "mend the file where it says so above"}
+		return nil, nil, &Failure{Status: ExitRefused, What: "nothing was changed", Next: "fix the problems in the file that are listed above"}
 	}
 	rows, err := o.fetchRows(command, sheet)
 	if err != nil {
@@ -97,18 +98,18 @@
 	return slices.DeleteFunc(edits, func(edit table.Edit) bool { return unchanged(edit, rows) }), rows, nil
 }
 
-// unchanged says whether the table holds what an edit writes.
+// unchanged reports whether the table already holds what an edit writes.
 func unchanged(edit table.Edit, rows []table.Row) bool {
 	found, _ := findRow(rows, edit.Key)
 	if found == nil {
 		return false
 	}
-	return slices.Equal(edited(edit, found), found.Cells)
+	return slices.Equal(cellsAfter(edit, found), found.Cells)
 }
 
-// edited returns a row's cells as an edit would leave them, those of a new row
-// without their defaults.
-func edited(edit table.Edit, before *table.Row) []string {
+// cellsAfter returns the cells of a row after an edit. before is nil for a new
+// row, whose unnamed cells stay empty here instead of getting their defaults.
+func cellsAfter(edit table.Edit, before *table.Row) []string {
 	cells := make([]string, len(table.Columns(edit.Sheet)))
 	if before != nil {
 		copy(cells, before.Cells)
@@ -124,15 +125,15 @@
 func writeEdits(w io.Writer, edits []table.Edit, rows []table.Row) {
 	for _, edit := range edits {
 		found, revision := findRow(rows, edit.Key)
-		diff := table.RowDiff{Sheet: edit.Sheet, Key: edit.Key, After: edited(edit, found)}
+		diff := table.RowDiff{Sheet: edit.Sheet, Key: edit.Key, After: cellsAfter(edit, found)}
 		switch {
 		case found == nil:
-			row(w, edit.Key+": new row")
+			printRow(w, edit.Key+": new row")
 		case revision != edit.Expect:
-			row(w, fmt.Sprintf("%s: edited since the export (revision %d, the file has %d); an import will conflict", edit.Key, revision, edit.Expect))
+			printRow(w, fmt.Sprintf("%s: edited since the export (revision %d, the file has %d); an import will conflict", edit.Key, revision, edit.Expect))
 			diff.Before = found.Cells
 		default:
-			row(w, edit.Key+": changed")
+			printRow(w, edit.Key+": changed")
 			diff.Before = found.Cells
 		}
 		writeDiff(w, diff)
--- a/tool/csv_test.go
+++ b/tool/csv_test.go
@@ -15,8 +15,8 @@
 	"endiveplank/transport/admin"
 )
 
-// fakeFleet answers with one sheet and takes changes like the leader does: a
-// row of another revision than expected is a conflict.
+// fakeFleet serves one sheet and accepts changes as the leader does: a row whose
+// revision differs from the expected one is a conflict.
 type fakeFleet struct {
 	rows    []table.Row
 	changes []admin.ChangeRequest
@@ -68,22 +68,24 @@
 	}
 }
 
-// write puts a CSV file where the tool can read it.
-func write(t *testing.T, content string) string {
+// writeCSV writes a CSV file and returns its path.
+func writeCSV(t *testing.T, content string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "sheet.csv")
 	assert.NilError(t, os.WriteFile(path, []byte(content), 0o600))
 	return path
 }
 
-func TestExportedSheetComesBackWithItsChangesOnly(t *testing.T) {
+// An import sends no change for an unedited export, and only the edited row,
+// with the revision of the export, for an edited one.
+func TestImportSendsOnlyChangedRows(t *testing.T) {
 	fleet, tool := startFleet(t)
 	exported, err := tool("table", "export", "routes")
 	assert.NilError(t, err)
-	_, err = tool("table", "import", "routes", write(t, exported))
+	_, err = tool("table", "import", "routes", writeCSV(t, exported))
 	assert.NilError(t, err)
 	assert.Equal(t, len(fleet.changes), 0)
-	_, err = tool("table", "import", "routes", write(t, strings.Replace(exported, ",b,", ",bee,", 1)), "--why", "w", "--id", "c1")
+	_, err = tool("table", "import", "routes", writeCSV(t, strings.Replace(exported, ",b,", ",bee,", 1)), "--why", "w", "--id", "c1")
 	assert.NilError(t, err)
 	assert.Equal(t, len(fleet.changes), 1)
 	change := fleet.changes[0]
@@ -93,24 +95,26 @@
 	assert.Equal(t, change.Edits[0].Expect, uint64(4))
 }
 
-// An operator edits an exported sheet over lunch while a colleague changes a
-// row. The import must not put the old row back, nor apply the file's others.
-func TestImportOfAnOldSheetConflicts(t *testing.T) {
+// Another operator changes a row between an export and the import of the edited
+// file. The import must not restore the old row, nor apply the file's other rows.
+func TestImportOfOutdatedExportConflicts(t *testing.T) {
 	fleet, tool := startFleet(t)
-	path := write(t, "key,revision,service\n/svc/a,2,old\n/svc/b,4,new\n")
+	path := writeCSV(t, "key,revision,service\n/svc/a,2,old\n/svc/b,4,new\n")
 	shown, err := tool("table", "diff", "routes", path)
 	assert.NilError(t, err)
 	assert.Assert(t, strings.Contains(shown, "/svc/a: edited since the export"), shown)
 	assert.Assert(t, strings.Contains(shown, `"b" -> "new"`), shown)
 	_, err = tool("table", "import", "routes", path)
-	assert.Equal(t, exitOf(t, err), ExitConflict)
+	assert.Equal(t, exitStatus(t, err), ExitConflict)
 	assert.Equal(t, len(fleet.changes), 1)
 	assert.Equal(t, len(fleet.changes[0].Edits), 2)
 }
 
-func TestExitStatusesSayWhatHappened(t *testing.T) {
+// Scripts tell by the exit status whether a call was refused, was wrong usage,
+// reached no router, or left the outcome of a change unknown.
+func TestExitStatuses(t *testing.T) {
 	_, tool := startFleet(t)
-	bad := write(t, "key,colour\n/svc/a,red\n")
+	bad := writeCSV(t, "key,colour\n/svc/a,red\n")
 	for name, tc := range map[string]struct {
 		args []string
 		want int
@@ -124,7 +128,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := tool(tc.args...)
-			assert.Equal(t, exitOf(t, err), tc.want)
+			assert.Equal(t, exitStatus(t, err), tc.want)
 		})
 	}
 	shown, err := tool("vm", "list")
--- a/tool/order.go
+++ b/tool/order.go
@@ -15,7 +15,7 @@
 )
 
 func orderCommand(o *options) *cobra.Command {
-	command := &cobra.Command{Use: "order", Short: "Look at orders that may run at most once"}
+	command := &cobra.Command{Use: "order", Short: "Show and settle orders, which may run at most once"}
 	command.AddCommand(orderShow(o), orderSettle(o))
 	return command
 }
@@ -23,7 +23,7 @@
 func orderShow(o *options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "show CUSTOMER KEY",
-		Short: "Show what became of an order",
+		Short: "Show the state of an order",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(command *cobra.Command, args []string) error {
 			var view admin.OrderView
@@ -37,13 +37,13 @@
 }
 
 func writeOrder(w io.Writer, view admin.OrderView) {
-	row(w, "customer", view.Customer)
-	row(w, "key", view.Key)
-	row(w, "state", view.State)
-	row(w, "dispatches", view.Attempts)
-	row(w, "reserved", time.UnixMilli(view.ReservedAt).UTC().Format(time.RFC3339))
+	printRow(w, "customer", view.Customer)
+	printRow(w, "key", view.Key)
+	printRow(w, "state", view.State)
+	printRow(w, "dispatches", view.Attempts)
+	printRow(w, "reserved", time.UnixMilli(view.ReservedAt).UTC().Format(time.RFC3339))
 	if view.Status != 0 {
-		row(w, "answer", fmt.Sprintf("%d %s", view.Status, view.Body))
+		printRow(w, "answer", fmt.Sprintf("%d %s", view.Status, view.Body))
 	}
 }
 
@@ -52,11 +52,11 @@
 	var notRun bool
 	command := &cobra.Command{
 		Use:   "settle CUSTOMER KEY (--ran --status N --body TEXT | --not-run)",
-		Short: "Record what the service itself says about an order that is unknown",
+		Short: "Record whether an order of unknown outcome ran, as the service's own records show",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(command *cobra.Command, args []string) error {
 			if request.Ran == notRun {
-				return &Failure{Status: ExitUsage, What: "say either --ran or --not-run, as the service's own records show"}
+				return &Failure{Status: ExitUsage, What: "give either --ran or --not-run, as the service's own records show"}
 			}
 			request.Customer, request.Key = protocol.CustomerID(args[0]), args[1]
 			var view admin.OrderView
@@ -68,8 +68,8 @@
 	}
 	command.Flags().BoolVar(&request.Ran, "ran", false, "the service ran it")
 	command.Flags().BoolVar(&notRun, "not-run", false, "the service did not run it")
-	command.Flags().IntVar(&request.Status, "status", http.StatusOK, "status that the service gave")
-	command.Flags().StringVar(&request.Body, "body", "", "body that the service gave")
+	command.Flags().IntVar(&request.Status, "status", http.StatusOK, "HTTP status that the service returned")
+	command.Flags().StringVar(&request.Body, "body", "", "body that the service returned")
 	return command
 }
 
@@ -91,7 +91,7 @@
 	var undo bool
 	drain := &cobra.Command{
 		Use:   "drain UPSTREAM",
-		Short: "Give an upstream no new work, and let it finish what it has",
+		Short: "Send an upstream no new requests and let it finish those in flight",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			value := "yes"
@@ -103,7 +103,7 @@
 		},
 	}
 	flags.add(drain)
-	drain.Flags().BoolVar(&undo, "undo", false, "give it work again")
+	drain.Flags().BoolVar(&undo, "undo", false, "send it requests again")
 	command.AddCommand(drain)
 	return command
 }
--- a/tool/quarantine.go
+++ b/tool/quarantine.go
@@ -14,7 +14,7 @@
 	command.AddCommand(
 		&cobra.Command{
 			Use:   "list",
-			Short: "List the requests that are refused for crashes of upstreams",
+			Short: "List the requests that are refused because they crashed upstreams",
 			Args:  cobra.NoArgs,
 			RunE: func(command *cobra.Command, _ []string) error {
 				return o.quarantineCall(command, http.MethodGet, "/admin/v1/quarantine", nil)
@@ -32,16 +32,16 @@
 	return command
 }
 
-// quarantineCall makes a call and shows what is quarantined after it.
+// quarantineCall makes a call and shows the requests that are quarantined after it.
 func (o *options) quarantineCall(command *cobra.Command, method, path string, body any) error {
 	var entries []admin.QuarantineEntry
 	if _, err := o.call(command.Context(), method, path, body, &entries); err != nil {
 		return err
 	}
 	return o.print(command.OutOrStdout(), entries, func(w io.Writer) {
-		row(w, "DIGEST", "CUSTOMER", "STRIKES", "SECONDS LEFT")
+		printRow(w, "DIGEST", "CUSTOMER", "STRIKES", "SECONDS LEFT")
 		for _, entry := range entries {
-			row(w, entry.Digest, entry.Customer, entry.Strikes, entry.Seconds)
+			printRow(w, entry.Digest, entry.Customer, entry.Strikes, entry.Seconds)
 		}
 	})
 }
--- a/tool/status.go
+++ b/tool/status.go
@@ -15,14 +15,14 @@
 	"endiveplank/transport/admin"
 )
 
-// watchInterval is how often status --watch asks.
+// watchInterval is the interval at which status --watch fetches the status.
 const watchInterval = 2 * time.Second
 
 func statusCommand(o *options) *cobra.Command {
 	var watch bool
 	command := &cobra.Command{
 		Use:   "status",
-		Short: "Show the fleet at a glance, what is wrong first",
+		Short: "Show the state of the fleet, problems first",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			for {
@@ -33,7 +33,7 @@
 			}
 		},
 	}
-	command.Flags().BoolVar(&watch, "watch", false, "show it again every two seconds")
+	command.Flags().BoolVar(&watch, "watch", false, "show the status again every two seconds")
 	return command
 }
 
@@ -47,38 +47,38 @@
 
 func writeStatus(w io.Writer, status admin.Status) {
 	if len(status.Problems) == 0 {
-		row(w, "all is well")
+		printRow(w, "no problems")
 	}
 	for _, problem := range status.Problems {
-		row(w, "! "+problem)
+		printRow(w, "! "+problem)
 	}
-	row(w, fmt.Sprintf("asked %s in %s, leader %s, revision %d", status.Router, status.DataCentre, status.Leader, status.Revision))
-	row(w)
-	row(w, "ROUTER", "DATA CENTRE", "ADDRESS", "UPSTREAMS", "STATE")
+	printRow(w, fmt.Sprintf("answered by %s in %s, leader %s, revision %d", status.Router, status.DataCentre, status.Leader, status.Revision))
+	printRow(w)
+	printRow(w, "ROUTER", "DATA CENTRE", "ADDRESS", "UPSTREAMS", "STATE")
 	for _, router := range status.Routers {
-		row(w, router.Router, router.DataCentre, router.Address, router.Upstreams, stateOf(router))
+		printRow(w, router.Router, router.DataCentre, router.Address, router.Upstreams, routerState(router))
 	}
 	if len(status.Voters) > 0 {
-		row(w)
-		row(w, "KEEPS STATE", "AS")
+		printRow(w)
+		printRow(w, "KEEPS STATE", "AS")
 	}
 	for _, voter := range status.Voters {
-		row(w, voter.Router, voter.Role)
+		printRow(w, voter.Router, voter.Role)
 	}
-	row(w)
-	row(w, "UPSTREAM", "KIND", "DATA CENTRE", "SERVES", "OWNER", "ADDRESS", "DRAIN")
+	printRow(w)
+	printRow(w, "UPSTREAM", "KIND", "DATA CENTRE", "SERVES", "OWNER", "ADDRESS", "DRAIN")
 	for _, upstream := range status.Upstreams {
-		row(w, upstream.Upstream, upstream.Kind, upstream.DataCentre, upstream.Serves, upstream.Owner, upstream.Address, upstream.Drain)
+		printRow(w, upstream.Upstream, upstream.Kind, upstream.DataCentre, upstream.Serves, upstream.Owner, upstream.Address, upstream.Drain)
 	}
 }
 
 func explainCommand(o *options) *cobra.Command {
 	command := &cobra.Command{
 		Use:   "explain",
-		Short: "Tell why a request, customer or upstream got what it got",
+		Short: "Explain the decisions about a request, customer or upstream",
 	}
 	for _, subject := range []struct{ name, short string }{
-		{"request", "Tell the story of one request over all routers"},
+		{"request", "Show the timeline of one request across all routers"},
 		{"customer", "Show recent decisions about a customer"},
 		{"upstream", "Show recent decisions about an upstream"},
 	} {
@@ -88,15 +88,15 @@
 	return command
 }
 
-// errNoStory is the error for a request that no line is about.
-var errNoStory = eris.New("no line of these logs is about this request")
+// errRequestNotInLogs means that the logs hold no line of the request.
+var errRequestNotInLogs = eris.New("no line of these logs is about this request")
 
-// explainLogsCommand tells a request's story from log files, for fleets whose
-// routers send to upstreams themselves and for processes that are gone.
+// explainLogsCommand shows a request's timeline from log files. It serves fleets
+// whose routers send to upstreams directly, and processes that have ended.
 func explainLogsCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "logs ID [FILE...]",
-		Short:   "Tell the story of one request from log files, or from standard input",
+		Short:   "Show the timeline of one request from log files, or from standard input",
 		Example: "  endiveplank explain logs 9c41d07be2a35f68 /var/log/endiveplank/*.log\n  journal | endiveplank explain logs 9c41d07be2a35f68",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
@@ -106,14 +106,14 @@
 			}
 			found, err := logs.Tell(command.OutOrStdout(), args[0])
 			if err == nil && !found {
-				return errNoStory
+				return errRequestNotInLogs
 			}
 			return err
 		},
 	}
 }
 
-// readLogs reads files, or standard input where none is named.
+// readLogs reads the named files, or input if none is named.
 func readLogs(logs *story.Logs, input io.Reader, files []string) error {
 	if len(files) == 0 {
 		return logs.Read(input)
@@ -129,7 +129,7 @@
 func readLog(logs *story.Logs, name string) error {
 	file, err := os.Open(name)
 	if err != nil {
-		return eris.Wrap(err, "open a log")
+		return eris.Wrap(err, "open log file")
 	}
 	defer func() { _ = file.Close() }()
 	return eris.Wrapf(logs.Read(file), "read %s", name)
@@ -153,9 +153,9 @@
 
 func writeEvents(w io.Writer, answer admin.EventsAnswer) {
 	for _, silent := range answer.Silent {
-		row(w, fmt.Sprintf("! router %s did not answer; its part is missing", silent))
+		printRow(w, fmt.Sprintf("! router %s did not answer; its events are missing", silent))
 	}
-	row(w, "TIME", "ROUTER", "REQUEST", "ATTEMPT", "UPSTREAM", "WHAT", "WHY", "DETAIL")
+	printRow(w, "TIME", "ROUTER", "REQUEST", "ATTEMPT", "UPSTREAM", "WHAT", "WHY", "DETAIL")
 	for _, event := range answer.Events {
 		writeEvent(w, event)
 	}
@@ -163,5 +163,5 @@
 
 func writeEvent(w io.Writer, event explain.Event) {
 	at := time.UnixMilli(event.UnixMS).UTC().Format("15:04:05.000")
-	row(w, at, event.Router, event.Request, event.Attempt, event.Upstream, event.What, event.Reason, event.Detail)
+	printRow(w, at, event.Router, event.Request, event.Attempt, event.Upstream, event.What, event.Reason, event.Detail)
 }
--- a/tool/table.go
+++ b/tool/table.go
@@ -21,13 +21,13 @@
 func tableCommand(o *options) *cobra.Command {
 	command := &cobra.Command{
 		Use:   "table",
-		Short: "Read and edit the table that drives the fleet",
+		Short: "Read and edit the table that configures the fleet",
 	}
 	command.AddCommand(tableGet(o), tableSet(o), tableDelete(o), tableExport(o), tableImport(o), tableDiff(o), tableHistory(o), tableUndo(o))
 	return command
 }
 
-// fetchRows reads a sheet.
+// fetchRows fetches all rows of a sheet.
 func (o *options) fetchRows(command *cobra.Command, sheet string) ([]table.Row, error) {
 	var rows []table.Row
 	_, err := o.call(command.Context(), http.MethodGet, "/admin/v1/table/"+url.PathEscape(sheet), nil, &rows)
@@ -61,26 +61,28 @@
 	for _, column := range table.Columns(sheet) {
 		head = append(head, strings.ToUpper(column.Name))
 	}
-	row(w, head...)
+	printRow(w, head...)
 	for _, line := range rows {
 		cells := []any{line.Key, line.Revision}
 		for _, cell := range line.Cells {
-			cells = append(cells, shorten(cell))
+			cells = append(cells, truncateCell(cell))
 		}
-		row(w, cells...)
+		printRow(w, cells...)
 	}
 }
 
-// shownCell is how much of a long cell, such as a key's digest, is shown.
-const shownCell = 24
+// maxCellBytes is how many bytes of a long cell, such as a key's digest, are shown.
+const maxCellBytes = 24
 
-func shorten(cell string) string {
-	if len(cell) <= shownCell {
+func truncateCell(cell string) string {
+	if len(cell) <= maxCellBytes {
 		return cell
 	}
-	return cell[:shownCell] + "…"
+	return cell[:maxCellBytes] + "…"
 }
 
+// findRow returns the row with a key and its revision, or nil and 0, which is the
+// revision to expect of a row that never existed.
 func findRow(rows []table.Row, key string) (*table.Row, uint64) {
 	for i := range rows {
 		if rows[i].Key == key {
@@ -103,7 +105,8 @@
 	command.Flags().Int64Var(&f.expect, "expect", -1, "revision that the row must have; default: as it is now")
 }
 
-// changeID returns the given ID or a fresh one.
+// changeID returns the ID given by the operator, or a new one that begins with the
+// time.
 func (f *changeFlags) changeID() string {
 	if f.id != "" {
 		return f.id
@@ -150,7 +153,8 @@
 	return command
 }
 
-// sendEdit fills in the expected revision and sends a change of one row.
+// sendEdit sends a change of one row. Without --expect it fetches the row's
+// current revision as the expected one.
 func (o *options) sendEdit(command *cobra.Command, flags *changeFlags, edit table.Edit) error {
 	if flags.expect >= 0 {
 		edit.Expect = uint64(flags.expect)
@@ -168,13 +172,14 @@
 func (o *options) sendChange(command *cobra.Command, request admin.ChangeRequest) error {
 	var answer table.Answer
 	if _, err := o.call(command.Context(), http.MethodPost, "/admin/v1/changes", request, &answer); err != nil {
-		return withID(err, request.ID)
+		return addChangeID(err, request.ID)
 	}
 	return o.showAnswer(command, request.ID, answer)
 }
 
-// withID adds the change ID to a failure whose outcome is open.
-func withID(err error, id string) error {
+// addChangeID names the change ID in the next step of a failure that leaves the
+// outcome unknown.
+func addChangeID(err error, id string) error {
 	if failure, ok := err.(*Failure); ok && failure.Status == ExitUnknown {
 		failure.Next = "send it again with --id " + id + "; it is applied once"
 	}
@@ -190,20 +195,20 @@
 	case table.Committed:
 		return nil
 	case table.Invalid:
-		return &Failure{Status: ExitRefused, What: "nothing was changed", Next: "mend the cells listed above"}
+		return &Failure{Status: ExitRefused, What: "nothing was changed", Next: "fix the cells listed above"}
 	}
-	return &Failure{Status: ExitConflict, What: "another change won", Next: "look at the row above and decide again"}
+	return &Failure{Status: ExitConflict, What: "another change won", Next: "check the current row above and decide again"}
 }
 
 func writeAnswer(w io.Writer, id string, answer table.Answer) {
 	if answer.Outcome == table.Committed {
-		row(w, fmt.Sprintf("in force everywhere at revision %d (change %s)", answer.Revision, id))
+		printRow(w, fmt.Sprintf("in force everywhere at revision %d (change %s)", answer.Revision, id))
 	}
 	for _, problem := range answer.Problems {
-		row(w, fmt.Sprintf("%s %s %s: %s", problem.Sheet, problem.Key, problem.Column, problem.Text))
+		printRow(w, fmt.Sprintf("%s %s %s: %s", problem.Sheet, problem.Key, problem.Column, problem.Text))
 	}
 	for _, conflict := range answer.Conflicts {
-		row(w, fmt.Sprintf("%s %s: expected revision %d, found %d, written by %s (%s)",
+		printRow(w, fmt.Sprintf("%s %s: expected revision %d, found %d, written by %s (%s)",
 			conflict.Sheet, conflict.Key, conflict.Expected, conflict.Found, conflict.By, conflict.Why))
 		if conflict.Winner != nil {
 			writeRows(w, conflict.Sheet, []table.Row{*conflict.Winner})
@@ -238,19 +243,19 @@
 func writeHistory(w io.Writer, entries []table.HistoryEntry) {
 	for _, entry := range entries {
 		at := time.UnixMilli(entry.At).UTC().Format(time.RFC3339)
-		row(w, fmt.Sprintf("%s  revision %d  by %s  change %s  %s", at, entry.Revision, entry.Who, entry.ID, entry.Why))
+		printRow(w, fmt.Sprintf("%s  revision %d  by %s  change %s  %s", at, entry.Revision, entry.Who, entry.ID, entry.Why))
 		for _, diff := range entry.Rows {
 			writeDiff(w, diff)
 		}
 	}
 }
 
-// writeDiff shows the cells that a change wrote.
+// writeDiff writes the cells that differ before and after a change.
 func writeDiff(w io.Writer, diff table.RowDiff) {
 	for i, column := range table.Columns(diff.Sheet) {
 		before, after := cellAt(diff.Before, i), cellAt(diff.After, i)
 		if before != after {
-			row(w, fmt.Sprintf("    %s %s %s: %q -> %q", diff.Sheet, diff.Key, column.Name, shorten(before), shorten(after)))
+			printRow(w, fmt.Sprintf("    %s %s %s: %q -> %q", diff.Sheet, diff.Key, column.Name, truncateCell(before), truncateCell(after)))
 		}
 	}
 }
@@ -266,13 +271,13 @@
 	flags := &changeFlags{}
 	command := &cobra.Command{
 		Use:   "undo CHANGE-ID",
-		Short: "Take a past change back by a new change",
+		Short: "Revert a past change by a new change",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			request := admin.UndoRequest{Change: args[0], ID: flags.changeID(), Why: flags.why}
 			var answer table.Answer
 			if _, err := o.call(command.Context(), http.MethodPost, "/admin/v1/undo", request, &answer); err != nil {
-				return withID(err, request.ID)
+				return addChangeID(err, request.ID)
 			}
 			return o.showAnswer(command, request.ID, answer)
 		},
@@ -281,12 +286,12 @@
 	return command
 }
 
-// keyCommand makes a bearer key and its digest. Only the digest goes into the
-// table or the settings.
+// keyCommand generates a bearer key and its digest. Only the digest goes into
+// the table or the settings.
 func keyCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "key",
-		Short: "Make a new bearer key and show its digest for the table or settings",
+		Short: "Generate a bearer key and show its digest for the table or settings",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			var random [24]byte
--- a/tool/tool.go
+++ b/tool/tool.go
@@ -1,10 +1,15 @@
-// Package tool is the operators' command line: status, table, explanations,
-// orders. It talks to the admin listener of any router and prints tables for
-// people or JSON for programs.
+// Package tool implements the operators' command line, endiveplank: the fleet's
+// status, its table, explanations of requests, orders, quarantines, certificates
+// and load runs. NewCommand returns its root command. It calls the admin listener
+// of any router and prints tables for people or JSON for programs.
 //
-// Exit statuses: 0 done; 1 the fleet refused, with the reason; 2 wrong use;
-// 3 the fleet could not be reached; 4 another change won a race; 5 the outcome
-// of a change isn't known, and it may be sent again under the same ID.
+// Every change carries an ID and the revision that the operator saw. So a change
+// that is sent again, because its response was lost, is applied once, and a
+// change based on an outdated row is refused as a conflict.
+//
+// Exit statuses: 0 done; 1 the fleet refused, and the reason is printed; 2 wrong
+// usage; 3 the router is unreachable; 4 a concurrent change won; 5 the outcome of
+// a change is unknown, and it may be sent again under the same ID.
 package tool
 
 import (
@@ -22,7 +27,7 @@
 	"endiveplank/report"
 )
 
-// Exit statuses.
+// Exit statuses, as the package comment describes them.
 const (
 	ExitRefused     = 1
 	ExitUsage       = 2
@@ -31,15 +36,16 @@
 	ExitUnknown     = 5
 )
 
-// Failure is an error with an exit status and a next step.
+// Failure is an error with an exit status and a next step for the operator.
 type Failure struct {
 	Status int
-	What   string
-	// Next says what the operator can do.
+	// What describes the failure.
+	What string
+	// Next says what the operator can do; it may be empty.
 	Next string
 }
 
-// Error gives the cause and the next step.
+// Error returns the description and the next step.
 func (f *Failure) Error() string {
 	if f.Next == "" {
 		return f.What
@@ -47,7 +53,7 @@
 	return f.What + "\nnext: " + f.Next
 }
 
-// options are the flags that all commands share.
+// options holds the flags that all commands share.
 type options struct {
 	profile string
 	admin   string
@@ -56,25 +62,26 @@
 	timeout time.Duration
 }
 
-// profileFile is the form of a profile: the admin address and key.
+// profileFile is the JSON content of a profile: the admin address and the
+// operator's key.
 type profileFile struct {
 	Admin string `json:"admin"`
 	Key   string `json:"key"`
 }
 
-// Environment variables that stand for flags.
+// Environment variables that set the defaults of flags.
 const (
 	envAdmin   = "ENDIVEPLANK_ADMIN"
 	envKey     = "ENDIVEPLANK_KEY"
 	envProfile = "ENDIVEPLANK_PROFILE"
 )
 
-// NewCommand returns the whole command line.
+// NewCommand returns the root command with all its subcommands.
 func NewCommand() *cobra.Command {
 	o := &options{}
 	root := &cobra.Command{
 		Use:   "endiveplank",
-		Short: "Drive a router fleet: table, status, explanations, orders",
+		Short: "Operate a router fleet: status, table, explanations, orders",
 		Example: `  endiveplank status
   endiveplank table get customers
   endiveplank table set customers depot-clerks weight=200 --why "winter season"
@@ -88,16 +95,17 @@
 	flags.StringVar(&o.admin, "admin", os.Getenv(envAdmin), "admin address of any router, IP:port ("+envAdmin+")")
 	flags.StringVar(&o.key, "key", os.Getenv(envKey), "operator's key ("+envKey+")")
 	flags.StringVar(&o.output, "output", "table", "table or json")
-	flags.DurationVar(&o.timeout, "timeout", 15*time.Second, "time for one call")
+	flags.DurationVar(&o.timeout, "timeout", 15*time.Second, "timeout of one call")
 	root.PersistentPreRunE = func(*cobra.Command, []string) error { return o.complete() }
 	root.AddCommand(statusCommand(o), tableCommand(o), explainCommand(o), orderCommand(o), upstreamCommand(o), quarantineCommand(o), vmCommand(o), keyCommand(), certsCommand(), loadgen.NewCommand(), report.NewCommand())
 	return root
 }
 
-// complete fills in what flags and environment left open.
+// complete checks --output and takes what flags and environment leave empty from
+// the profile.
 func (o *options) complete() error {
 	if o.output != "table" && o.output != "json" {
-		return &Failure{Status: ExitUsage, What: "--output must be table or json"}
+		return &Failure{Status: ExitUsage, What: fmt.Sprintf("--output must be table or json, not %q", o.output)}
 	}
 	if o.profile == "" {
 		return nil
@@ -108,7 +116,7 @@
 	}
 	var profile profileFile
 	if err := json.Unmarshal(raw, &profile); err != nil {
-		return &Failure{Status: ExitUsage, What: "the profile isn't JSON with admin and key: " + err.Error()}
+		return &Failure{Status: ExitUsage, What: fmt.Sprintf("profile %q isn't a JSON object with admin and key: %v", o.profile, err)}
 	}
 	if o.admin == "" {
 		o.admin = profile.Admin
@@ -119,7 +127,7 @@
 	return nil
 }
 
-// print writes a value as JSON, or calls table to write it for people.
+// print writes a value as JSON, or calls table to write it as columns for people.
 func (o *options) print(w io.Writer, value any, table func(w io.Writer)) error {
 	if o.output == "json" {
 		encoder := json.NewEncoder(w)
@@ -131,8 +139,8 @@
 	return columns.Flush()
 }
 
-// row writes one line of a table.
-func row(w io.Writer, cells ...any) {
+// printRow writes one row of a table, its cells separated by tabs.
+func printRow(w io.Writer, cells ...any) {
 	texts := make([]string, 0, len(cells))
 	for _, cell := range cells {
 		texts = append(texts, fmt.Sprint(cell))
--- a/tool/vm.go
+++ b/tool/vm.go
@@ -33,17 +33,17 @@
 	for _, voter := range status.Voters {
 		roles[string(voter.Router)] = voter.Role
 	}
-	row(w, "VM", "DATA CENTRE", "ADDRESS", "SESSION", "STATE", "KEEPS STATE", "UPSTREAMS")
+	printRow(w, "VM", "DATA CENTRE", "ADDRESS", "SESSION", "STATE", "KEEPS STATE", "UPSTREAMS")
 	for _, router := range status.Routers {
 		role := roles[string(router.Router)]
 		if router.Router == status.Leader {
 			role = "leader"
 		}
-		row(w, router.Router, router.DataCentre, router.Address, router.Session, stateOf(router), role, router.Upstreams)
+		printRow(w, router.Router, router.DataCentre, router.Address, router.Session, routerState(router), role, router.Upstreams)
 	}
 }
 
-func stateOf(router admin.RouterStatus) string {
+func routerState(router admin.RouterStatus) string {
 	if router.Stopping {
 		return "stopping"
 	}
