--- a/report/command.go
+++ b/report/command.go
@@ -11,7 +11,7 @@
 	var out, format string
 	command := &cobra.Command{
 		Use:   "report RESULT.json...",
-		Short: "Draw plots and a table from the results of load runs",
+		Short: "Draw plots and write tables from the results of load runs",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(command *cobra.Command, paths []string) error {
 			var runs []Run
--- a/report/markdown.go
+++ b/report/markdown.go
@@ -7,8 +7,9 @@
 	"endiveplank/loadgen"
 )
 
-// Markdown returns the page: one row for each phase of each run, what the fleet
-// added, the orders, and the plots.
+// Markdown returns the report page: a table with a row for each phase of each
+// run, the latency that the fleet added, the audits of orders, the costs of
+// processes, and links to the plots.
 func Markdown(runs []Run, format string) string {
 	var page strings.Builder
 	page.WriteString("# Load runs\n\n")
@@ -53,7 +54,8 @@
 	return decimals(skew.TimeAverage, skew.P95)
 }
 
-// writeAdded writes what the fleet added, for runs that had a direct phase.
+// writeAdded writes the latency that the fleet added, for runs that had a direct
+// phase.
 func writeAdded(page *strings.Builder, runs []Run) {
 	var rows [][]string
 	for _, run := range runs {
@@ -68,7 +70,7 @@
 	}
 }
 
-// writeOrders writes the audits.
+// writeOrders writes the audits of orders.
 func writeOrders(page *strings.Builder, runs []Run) {
 	var rows [][]string
 	for _, run := range runs {
@@ -83,7 +85,8 @@
 	}
 }
 
-// writeProcesses writes what the processes spent, for runs that read them.
+// writeProcesses writes the processor time and memory of processes, for runs that
+// measured them.
 func writeProcesses(page *strings.Builder, runs []Run) {
 	var rows [][]string
 	for _, run := range runs {
@@ -100,7 +103,7 @@
 	}
 }
 
-// writeRun writes a run's settings, verdict and plots.
+// writeRun writes a run's settings, its broken guarantees and links to its plots.
 func writeRun(page *strings.Builder, run Run, format string) {
 	s := run.Result.Settings
 	fmt.Fprintf(page, "\n## %s\n\n%s: seed %d, %g arrivals/s for %g s, %d customers, %d targets, %d engines.\n\n",
@@ -111,7 +114,7 @@
 	}
 	page.WriteString(verdict + "\n\n")
 	for _, figure := range figures {
-		fmt.Fprintf(page, "![%s](%s)\n", figure.name, figure.file(run, format))
+		fmt.Fprintf(page, "![%s](%s)\n", figure.name, figure.fileName(run, format))
 	}
 }
 
--- a/report/plots.go
+++ b/report/plots.go
@@ -11,14 +11,13 @@
 	"endiveplank/loadgen"
 )
 
-// Size of a plot.
 const (
 	plotWidth  = 18 * vg.Centimeter
 	plotHeight = 11 * vg.Centimeter
 )
 
-// reuseWindow is the number of readings over which reuse is taken, so that one
-// long prompt does not hide the rest.
+// reuseWindow is the number of readings over which cache reuse is computed, so
+// that one long prompt does not dominate a point.
 const reuseWindow = 8
 
 // figure is one kind of plot.
@@ -33,13 +32,13 @@
 	{name: "reuse", draw: drawReuse},
 }
 
-// file names a run's plot.
-func (f figure) file(run Run, format string) string {
+// fileName returns the name of the file that holds a run's plot.
+func (f figure) fileName(run Run, format string) string {
 	return run.Name + "-" + f.name + "." + format
 }
 
-// drawLatency plots latency over quantile for each phase, both on a
-// logarithmic scale: each step to the right is ten times rarer.
+// drawLatency plots latency over the share of slower values for each phase, both
+// on a logarithmic scale: each step to the right is ten times rarer.
 func drawLatency(result loadgen.Result) (*plot.Plot, error) {
 	p := newPlot(result.Title+": latency", "share of the slowest", "ms")
 	p.X.Scale = plot.InvertedScale{Normalizer: plot.LogScale{}}
@@ -56,8 +55,9 @@
 	return p, addCurves(p, curves)
 }
 
-// quantilePoints leaves out the maximum, which has no place on the scale, and
-// values of zero.
+// quantilePoints returns the points of a latency curve. A logarithmic scale can't
+// show the maximum, whose share of slower values is zero, nor latencies of zero,
+// so it leaves these out.
 func quantilePoints(q loadgen.Quantiles) plotter.XYs {
 	var points plotter.XYs
 	for _, point := range q.Points {
@@ -95,7 +95,8 @@
 	return p, err
 }
 
-// reusePoints adds all engines up and takes the share over a sliding window.
+// reusePoints returns the share of cached prompt tokens of all engines together,
+// over a sliding window of reuseWindow readings.
 func reusePoints(engines []loadgen.EngineSeries) plotter.XYs {
 	var points plotter.XYs
 	if len(engines) == 0 {
@@ -115,7 +116,7 @@
 	return points
 }
 
-// lastPhase returns the fleet's phase, or the direct one of a direct run.
+// lastPhase returns the fleet's phase, or the direct one if the run had no other.
 func lastPhase(result loadgen.Result) loadgen.Phase {
 	if len(result.Phases) == 0 {
 		return loadgen.Phase{}
@@ -140,8 +141,8 @@
 	return p
 }
 
-// addCurves draws the curves that have points. Without any, it sets ranges that
-// every scale can draw.
+// addCurves adds the curves that have points to a plot. If none has any, it sets
+// axis ranges that every scale can draw, since an empty plot has infinite ones.
 func addCurves(p *plot.Plot, curves []curve) error {
 	for i, c := range curves {
 		if len(c.points) == 0 {
--- a/report/report.go
+++ b/report/report.go
@@ -1,9 +1,10 @@
-// Package report draws the results of load runs: latency by quantile, load of
-// each engine and reuse over time, and one table in Markdown.
+// Package report turns the results of load runs into plots, of latency by
+// quantile and of each engine's load and cache reuse over time, and one Markdown
+// page with tables. Read reads a result into a Run, and Write writes the report.
 //
-// A report depends on the results alone. It holds no time of day and no name of
-// a machine, and the same results give the same bytes, so that a report can be
-// committed beside its results and CI can check that the two agree.
+// A report depends only on the results. It holds no time of day and no machine
+// name, and the same results give the same bytes. So a report can be committed
+// next to its results, and CI can check that the two agree.
 package report
 
 import (
@@ -22,17 +23,17 @@
 	FormatPNG = "png"
 )
 
-// tableFile is the name of the Markdown page in the report's directory.
-const tableFile = "report.md"
+// pageFile is the name of the Markdown page in the report's directory.
+const pageFile = "report.md"
 
-// Run is one result with the name that its plots carry.
+// Run is the result of one load run, with the name that its plots carry.
 type Run struct {
 	Name   string
 	Result loadgen.Result
 }
 
-// Read reads one result. Its name is that of the file without extension. It
-// refuses a file of another schema.
+// Read reads one result. The run is named after the file, without its extension.
+// Read refuses a file of another schema.
 func Read(path string) (Run, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -50,10 +51,10 @@
 }
 
 // Write writes the page and the plots of all runs into a directory, which it
-// makes when it is missing.
+// creates if it is missing.
 func Write(directory, format string, runs []Run) error {
 	if format != FormatSVG && format != FormatPNG {
-		return eris.Errorf("format %q is not known; svg and png are", format)
+		return eris.Errorf("format %q is unknown; the formats are svg and png", format)
 	}
 	if err := os.MkdirAll(directory, 0o755); err != nil {
 		return eris.Wrap(err, "make directory")
@@ -64,12 +65,12 @@
 			if err != nil {
 				return eris.Wrapf(err, "draw %s of %s", figure.name, run.Name)
 			}
-			path := filepath.Join(directory, figure.file(run, format))
+			path := filepath.Join(directory, figure.fileName(run, format))
 			if err := drawn.Save(plotWidth, plotHeight, path); err != nil {
 				return eris.Wrapf(err, "save %s of %s", figure.name, run.Name)
 			}
 		}
 	}
-	page := filepath.Join(directory, tableFile)
+	page := filepath.Join(directory, pageFile)
 	return eris.Wrap(os.WriteFile(page, []byte(Markdown(runs, format)), 0o644), "write page")
 }
--- a/report/report_test.go
+++ b/report/report_test.go
@@ -69,8 +69,9 @@
 	golden.Assert(t, report.Markdown([]report.Run{{Name: "sample", Result: sample()}}, "svg"), "report.md")
 }
 
-// A committed report must not change when it is drawn again.
-func TestSameResultSameBytes(t *testing.T) {
+// CI draws committed reports again and compares them, so the same result must
+// always give the same bytes.
+func TestSameResultGivesSameBytes(t *testing.T) {
 	for _, format := range []string{report.FormatSVG, report.FormatPNG} {
 		one, two := write(t, sample(), format), write(t, sample(), format)
 		files, err := filepath.Glob(filepath.Join(one, "*"))
@@ -86,7 +87,9 @@
 	}
 }
 
-func TestResultsOutOfShape(t *testing.T) {
+// A result without phases or readings still gets a report. A result
+// of another schema and an unknown plot format are refused.
+func TestEmptyResultAndRefusedInputs(t *testing.T) {
 	write(t, loadgen.Result{Schema: loadgen.Schema}, report.FormatSVG)
 	path := filepath.Join(t.TempDir(), "old.json")
 	assert.NilError(t, os.WriteFile(path, []byte(`{"schema":"other/v1"}`), 0o600))
--- a/report/story/story.go
+++ b/report/story/story.go
@@ -1,10 +1,11 @@
-// Package story joins the log lines of several processes into the story of one
-// request: what its router decided, by what, and what the processes believed of
-// the upstreams concerned around that time.
+// Package story joins the log lines of several processes into the timeline of one
+// request: what its router decided and why, and which state the processes logged
+// for the upstreams involved around that time. Logs reads the lines and writes the
+// timeline.
 //
-// It reads lines of JSON as the processes write them, also behind other text as a
-// log collector may add it. It needs no process to be alive: of a request whose
-// router died it tells where it was sent last.
+// It reads lines of JSON as the processes write them, also after other text that
+// a log collector may put in front. No process needs to be alive: for a request
+// whose router died, the timeline shows where the request was sent last.
 package story
 
 import (
@@ -20,47 +21,48 @@
 )
 
 const (
-	// maxLine is the longest line read.
-	maxLine = 1 << 20
-	// around is how long before and after a request beliefs are of interest:
-	// outcomes of other requests are forgotten after some seconds.
-	around = 5 * time.Second
+	// maxLineBytes is the length of the longest line that can be read.
+	maxLineBytes = 1 << 20
+	// contextWindow is how long before and after a request other log lines are
+	// part of its timeline. Routers forget the outcomes of other requests after
+	// some seconds, so older lines explain nothing.
+	contextWindow = 5 * time.Second
 )
 
-// line is one log line.
-type line struct {
-	at     time.Time
-	node   string
-	event  string
-	fields map[string]any
+// logLine is one parsed log line. process is the value of its field "node".
+type logLine struct {
+	at      time.Time
+	process string
+	event   string
+	fields  map[string]any
 }
 
-// Logs are the lines of some processes.
+// Logs holds the log lines of any number of processes.
 type Logs struct {
-	lines []line
-	// last is the time of each process's last line.
-	last map[string]time.Time
+	lines []logLine
+	// lastSeen is the time of the last line of each process.
+	lastSeen map[string]time.Time
 }
 
-// timeForms are the forms of the time in a line: of routers and disk VMs that are
-// run directly, and of the other processes.
-var timeForms = []string{time.RFC3339Nano, "2006-01-02T15:04:05.000Z07:00", "15:04:05.000"}
+// timeFormats are the formats of the time in a line: those of routers and disk
+// VMs that run directly, and that of the other processes.
+var timeFormats = []string{time.RFC3339Nano, "2006-01-02T15:04:05.000Z07:00", "15:04:05.000"}
 
-// Read takes lines until the end of a log. Lines that aren't JSON are left out.
+// Read reads lines until the end of a log. It skips lines that aren't JSON.
 func (l *Logs) Read(reader io.Reader) error {
-	if l.last == nil {
-		l.last = map[string]time.Time{}
+	if l.lastSeen == nil {
+		l.lastSeen = map[string]time.Time{}
 	}
 	scanner := bufio.NewScanner(reader)
-	scanner.Buffer(make([]byte, 0, 64<<10), maxLine)
+	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	for scanner.Scan() {
-		l.take(scanner.Bytes())
+		l.addLine(scanner.Bytes())
 	}
 	return scanner.Err()
 }
 
-// take adds one line.
-func (l *Logs) take(text []byte) {
+// addLine parses one line and adds it.
+func (l *Logs) addLine(text []byte) {
 	start := bytes.IndexByte(text, '{')
 	if start < 0 {
 		return
@@ -76,17 +78,17 @@
 	if !known {
 		return
 	}
-	one := line{at: at, node: word(fields, "node"), event: word(fields, "event"), fields: fields}
-	l.lines = append(l.lines, one)
-	if last, known := l.last[one.node]; !known || one.at.After(last) {
-		l.last[one.node] = one.at
+	entry := logLine{at: at, process: textField(fields, "node"), event: textField(fields, "event"), fields: fields}
+	l.lines = append(l.lines, entry)
+	if last, known := l.lastSeen[entry.process]; !known || entry.at.After(last) {
+		l.lastSeen[entry.process] = entry.at
 	}
 }
 
-// timeOf reads the time of a line.
+// timeOf returns the time of a line, and false if it has none in a known format.
 func timeOf(fields map[string]any) (time.Time, bool) {
-	text := word(fields, "time")
-	for _, form := range timeForms {
+	text := textField(fields, "time")
+	for _, form := range timeFormats {
 		if at, err := time.Parse(form, text); err == nil {
 			return at, true
 		}
@@ -94,136 +96,141 @@
 	return time.Time{}, false
 }
 
-// word returns a field's text, "" if there is none.
-func word(fields map[string]any, name string) string {
+// textField returns the text of a field, or "" if there is none.
+func textField(fields map[string]any, name string) string {
 	text, _ := fields[name].(string)
 	return text
 }
 
-// Tell writes the story of a request. It reports false if no line is about it.
-func (l *Logs) Tell(w io.Writer, request string) (bool, error) {
-	own := l.about(request)
-	if len(own) == 0 {
+// WriteTimeline writes the timeline of the request with this ID. It returns false
+// if no line belongs to the request.
+func (l *Logs) WriteTimeline(w io.Writer, request string) (bool, error) {
+	requestLog := l.requestLines(request)
+	if len(requestLog) == 0 {
 		return false, nil
 	}
-	upstreams := upstreamsOf(own)
-	from, to := own[0].at.Add(-around), own[len(own)-1].at.Add(around)
-	var told []line
-	for _, one := range l.lines {
-		inTime := !one.at.Before(from) && !one.at.After(to)
-		if isAbout(one, request) || inTime && l.concerns(one, own[0].node, upstreams) {
-			told = append(told, one)
+	upstreams := upstreamsOf(requestLog)
+	from, to := requestLog[0].at.Add(-contextWindow), requestLog[len(requestLog)-1].at.Add(contextWindow)
+	var selected []logLine
+	for _, entry := range l.lines {
+		inTime := !entry.at.Before(from) && !entry.at.After(to)
+		if isOf(entry, request) || inTime && l.isContext(entry, requestLog[0].process, upstreams) {
+			selected = append(selected, entry)
 		}
 	}
-	slices.SortStableFunc(told, func(a, b line) int { return a.at.Compare(b.at) })
-	for _, one := range told {
-		if _, err := fmt.Fprintln(w, one.text(isAbout(one, request))); err != nil {
+	slices.SortStableFunc(selected, func(a, b logLine) int { return a.at.Compare(b.at) })
+	for _, entry := range selected {
+		if _, err := fmt.Fprintln(w, entry.format(isOf(entry, request))); err != nil {
 			return true, err
 		}
 	}
-	return true, l.conclude(w, own)
+	return true, l.writeMissingEnd(w, requestLog)
 }
 
-// about returns the lines of a request, in time.
-func (l *Logs) about(request string) []line {
-	var own []line
-	for _, one := range l.lines {
-		if isAbout(one, request) {
-			own = append(own, one)
+// requestLines returns the lines of a request in time order.
+func (l *Logs) requestLines(request string) []logLine {
+	var requestLog []logLine
+	for _, entry := range l.lines {
+		if isOf(entry, request) {
+			requestLog = append(requestLog, entry)
 		}
 	}
-	slices.SortStableFunc(own, func(a, b line) int { return a.at.Compare(b.at) })
-	return own
+	slices.SortStableFunc(requestLog, func(a, b logLine) int { return a.at.Compare(b.at) })
+	return requestLog
 }
 
-func isAbout(one line, request string) bool { return word(one.fields, "request") == request }
+func isOf(entry logLine, request string) bool { return textField(entry.fields, "request") == request }
 
 // upstreamsOf returns the upstreams that a request was sent to.
-func upstreamsOf(own []line) map[string]bool {
+func upstreamsOf(requestLog []logLine) map[string]bool {
 	upstreams := map[string]bool{}
-	for _, one := range own {
-		if name := word(one.fields, "upstream"); name != "" {
+	for _, entry := range requestLog {
+		if name := textField(entry.fields, "upstream"); name != "" {
 			upstreams[name] = true
 		}
-		attempts, _ := one.fields["attempts"].([]any)
+		attempts, _ := entry.fields["attempts"].([]any)
 		for _, attempt := range attempts {
 			if fields, is := attempt.(map[string]any); is {
-				upstreams[word(fields, "upstream")] = true
+				upstreams[textField(fields, "upstream")] = true
 			}
 		}
 	}
 	return upstreams
 }
 
-// requestEvents are the events of single requests.
+// requestEvents are the events that belong to single requests.
 var requestEvents = []string{"request", "sent"}
 
-// concerns reports whether a belief matters to a request: one about its upstreams,
-// on any process, or any of its own router's.
-func (l *Logs) concerns(one line, router string, upstreams map[string]bool) bool {
-	if slices.Contains(requestEvents, one.event) {
+// isContext reports whether a line that belongs to no single request matters to
+// this one: a line of any process about its upstreams, or any line of its router.
+func (l *Logs) isContext(entry logLine, router string, upstreams map[string]bool) bool {
+	if slices.Contains(requestEvents, entry.event) {
 		return false
 	}
-	return upstreams[word(one.fields, "upstream")] || one.node == router
+	return upstreams[textField(entry.fields, "upstream")] || entry.process == router
 }
 
-// conclude says how the request ended, also where no line tells it.
-func (l *Logs) conclude(w io.Writer, own []line) error {
-	end := own[len(own)-1]
+// writeMissingEnd says what is known of the end of a request whose router logged
+// none: that the router restarted, or when it logged last.
+func (l *Logs) writeMissingEnd(w io.Writer, requestLog []logLine) error {
+	end := requestLog[len(requestLog)-1]
 	if end.event == "request" {
 		return nil
 	}
-	if again, before, found := l.restart(end); found {
+	if restartedAt, lastBefore, found := l.findRestart(end); found {
 		_, err := fmt.Fprintf(w, "=> no end was logged; %s started again at %s and its last line before is of %s: the request ended with the process\n",
-			end.node, again.Format(clock), before.Format(clock))
+			end.process, restartedAt.Format(clockFormat), lastBefore.Format(clockFormat))
 		return err
 	}
 	_, err := fmt.Fprintf(w, "=> no end was logged; the last line of %s is of %s: it died, or was cut off from the log\n",
-		end.node, l.last[end.node].Format(clock))
+		end.process, l.lastSeen[end.process].Format(clockFormat))
 	return err
 }
 
-// restart returns when a line's process next started, and the time of its last
-// line before.
-func (l *Logs) restart(since line) (again, before time.Time, found bool) {
-	for _, one := range l.lines {
-		isStart := one.node == since.node && one.event == "started" && one.at.After(since.at)
-		if isStart && (!found || one.at.Before(again)) {
-			again, found = one.at, true
+// findRestart returns when a line's process next started, and the time of the last
+// line that it logged before that.
+func (l *Logs) findRestart(since logLine) (restartedAt, lastBefore time.Time, found bool) {
+	for _, entry := range l.lines {
+		isStart := entry.process == since.process && entry.event == "started" && entry.at.After(since.at)
+		if isStart && (!found || entry.at.Before(restartedAt)) {
+			restartedAt, found = entry.at, true
 		}
 	}
-	before = since.at
-	for _, one := range l.lines {
-		if one.node == since.node && one.at.Before(again) && one.at.After(before) {
-			before = one.at
+	lastBefore = since.at
+	for _, entry := range l.lines {
+		if entry.process == since.process && entry.at.Before(restartedAt) && entry.at.After(lastBefore) {
+			lastBefore = entry.at
 		}
 	}
-	return again, before, found
+	return restartedAt, lastBefore, found
 }
 
-// clock is the form of the time in a story.
-const clock = "15:04:05.000"
+// clockFormat is the format of times in a timeline.
+const clockFormat = "15:04:05.000"
 
-// text returns the line of a story. Lines of the request itself are marked.
-func (one line) text(own bool) string {
+// format returns the line as it stands in a timeline. Lines of the request itself
+// are marked with an asterisk.
+func (entry logLine) format(ofRequest bool) string {
 	mark := "  "
-	if own {
+	if ofRequest {
 		mark = "* "
 	}
 	var words []string
-	for _, name := range slices.SortedFunc(keysOf(one.fields), cmp.Compare[string]) {
-		if !slices.Contains(framing, name) {
-			words = append(words, fmt.Sprintf("%s=%s", name, plain(one.fields[name])))
+	for _, name := range slices.SortedFunc(fieldNames(entry.fields), cmp.Compare[string]) {
+		if !slices.Contains(prefixFields, name) {
+			words = append(words, fmt.Sprintf("%s=%s", name, formatValue(entry.fields[name])))
 		}
 	}
-	return fmt.Sprintf("%s%s %-20s %-18s %s", mark, one.at.Format(clock), one.node, one.event, strings.Join(words, " "))
+	return fmt.Sprintf("%s%s %-20s %-18s %s", mark, entry.at.Format(clockFormat), entry.process, entry.event, strings.Join(words, " "))
 }
 
-// framing are the fields that stand at the beginning of a story's line.
-var framing = []string{"time", "node", "event", "level"}
+// prefixFields are the fields that a timeline prints first, without their names,
+// and the level, which it leaves out.
+var prefixFields = []string{"time", "node", "event", "level"}
 
-// plain returns a field's value on one line.
-func plain(value any) string {
+// formatValue returns the value of a field on one line, as JSON unless it is a
+// plain word.
+func formatValue(value any) string {
 	if text, is := value.(string); is && text != "" && !strings.ContainsAny(text, " =") {
 		return text
 	}
@@ -234,8 +241,8 @@
 	return string(text)
 }
 
-// keysOf returns the names of fields.
-func keysOf(fields map[string]any) func(func(string) bool) {
+// fieldNames iterates over the names of fields.
+func fieldNames(fields map[string]any) func(func(string) bool) {
 	return func(yield func(string) bool) {
 		for name := range fields {
 			if !yield(name) {
--- a/tool/status.go
+++ b/tool/status.go
@@ -104,7 +104,7 @@
 			if err := readLogs(logs, command.InOrStdin(), args[1:]); err != nil {
 				return err
 			}
-			found, err := logs.Tell(command.OutOrStdout(), args[0])
+			found, err := logs.WriteTimeline(command.OutOrStdout(), args[0])
 			if err == nil && !found {
 				return errRequestNotInLogs
 			}
