--- a/loadgen/attempt.go
+++ b/loadgen/attempt.go
@@ -18,27 +18,27 @@
 	"endiveplank/standin/desk"
 )
 
-// maxErrorBody bounds what is read of an error answer, in bytes.
+// maxErrorBody is the most that is read of an error response, in bytes.
 const maxErrorBody = 64 << 10
 
-// attempt sends a request once to one target and judges the answer.
-func (r *runner) attempt(ctx context.Context, target string, item trace.Item) reply {
+// attempt sends a request once to one target and checks the answer.
+func (r *runner) attempt(ctx context.Context, target string, item trace.Item) attemptResult {
 	ctx, cancel := context.WithTimeout(ctx, r.options.Timeout)
 	defer cancel()
-	request, err := r.build(ctx, target, item)
+	request, err := r.buildRequest(ctx, target, item)
 	if err != nil {
-		return reply{verdict: failed}
+		return attemptResult{verdict: failed}
 	}
 	began := time.Now()
 	response, err := r.client.Do(request)
 	if err != nil {
-		return reply{verdict: failed, retry: true}
+		return attemptResult{verdict: failed, retry: true}
 	}
 	defer response.Body.Close()
-	got := reply{
-		status:  response.StatusCode,
-		outcome: response.Header.Get(protocol.RunOutcomeHeader),
-		request: response.Header.Get(protocol.RequestIDHeader),
+	got := attemptResult{
+		status:    response.StatusCode,
+		outcome:   response.Header.Get(protocol.RunOutcomeHeader),
+		requestID: response.Header.Get(protocol.RequestIDHeader),
 	}
 	switch {
 	case response.StatusCode != http.StatusOK:
@@ -48,12 +48,12 @@
 	default:
 		got.readStream(response.Body, item.Request, began)
 	}
-	got.took = time.Since(began)
+	got.duration = time.Since(began)
 	return got
 }
 
-// build makes the HTTP request of an item.
-func (r *runner) build(ctx context.Context, target string, item trace.Item) (*http.Request, error) {
+// buildRequest returns the HTTP request of an item.
+func (r *runner) buildRequest(ctx context.Context, target string, item trace.Item) (*http.Request, error) {
 	url, body := "http://"+target+"/v1/chat/completions", []byte(nil)
 	if item.Order != nil {
 		url, body = "http://"+target+r.options.OrderPath, item.Order.Body
@@ -76,14 +76,14 @@
 	return request, nil
 }
 
-// readRefusal reads an error answer. Another attempt is made where the answer
-// says when to come back, or where the target itself failed.
-func (g *reply) readRefusal(response *http.Response) {
+// readRefusal reads an error response. Another attempt is allowed if the response
+// has a Retry-After header or the target itself failed (status 500 or above).
+func (g *attemptResult) readRefusal(response *http.Response) {
 	g.verdict = refused
 	text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBody))
 	var body chat.ErrorBody
 	if json.Unmarshal(text, &body) == nil {
-		g.code = body.Error.Code
+		g.reasonCode = body.Error.Code
 	}
 	seconds, err := strconv.Atoi(response.Header.Get("Retry-After"))
 	if err == nil {
@@ -92,23 +92,23 @@
 	g.retry = err == nil || response.StatusCode >= http.StatusInternalServerError
 }
 
-// readOrder compares the answer to an order with the one that the desk gives
-// to this key and body.
-func (g *reply) readOrder(body io.Reader, order *trace.Order) {
+// readOrder compares the answer to an order with the one that the order desk
+// gives for this key and body.
+func (g *attemptResult) readOrder(body io.Reader, order *trace.Order) {
 	text, err := io.ReadAll(body)
 	if err != nil {
 		g.verdict, g.retry = cut, true
 		return
 	}
-	var told desk.Answer
-	if json.Unmarshal(text, &told) != nil || told != desk.AnswerFor(order.Key, order.Body) {
+	var answered desk.Answer
+	if json.Unmarshal(text, &answered) != nil || answered != desk.AnswerFor(order.Key, order.Body) {
 		g.verdict = wrong
 	}
 }
 
-// readStream reads a streamed answer to its end marker and compares it with
-// the one that package answer gives.
-func (g *reply) readStream(body io.Reader, request chat.Request, began time.Time) {
+// readStream reads a streamed answer up to its end marker and compares it with
+// the one that package answer computes for the request.
+func (g *attemptResult) readStream(body io.Reader, request chat.Request, began time.Time) {
 	var text strings.Builder
 	last := began
 	lines := bufio.NewReader(body)
@@ -129,27 +129,28 @@
 		if !g.readChunk(data, &text) {
 			return
 		}
-		last = g.noteToken(began, last)
+		last = g.recordToken(began, last)
 	}
 	if text.String() != answer.For(request).Text() {
 		g.verdict = wrong
 	}
 }
 
-// readChunk adds one event's text. It returns false for an error in the stream.
-func (g *reply) readChunk(data string, text *strings.Builder) bool {
+// readChunk appends the text of one event and counts its tokens. It returns false
+// for an error in the stream.
+func (g *attemptResult) readChunk(data string, text *strings.Builder) bool {
 	var chunk struct {
 		chat.Chunk
 		chat.ErrorBody
 	}
 	if json.Unmarshal([]byte(data), &chunk) != nil || chunk.Error.Message != "" {
 		g.verdict = cut
-		g.code = chunk.Error.Code
+		g.reasonCode = chunk.Error.Code
 		return false
 	}
 	if chunk.Usage != nil {
-		g.prompt = chunk.Usage.PromptTokens
-		g.cached = chunk.Usage.Details.CachedTokens
+		g.promptTokens = chunk.Usage.PromptTokens
+		g.cachedTokens = chunk.Usage.Details.CachedTokens
 	}
 	for _, choice := range chunk.Choices {
 		if choice.Delta.Content != "" {
@@ -160,15 +161,16 @@
 	return true
 }
 
-// noteToken times a token that has just been counted. The event that ends the
-// answer brings none.
-func (g *reply) noteToken(began, last time.Time) time.Time {
+// recordToken records the time of the token that has just been counted, and
+// returns the current time. It records nothing for an event without a token, such
+// as the one that ends the answer.
+func (g *attemptResult) recordToken(began, last time.Time) time.Time {
 	now := time.Now()
 	switch {
 	case g.tokens == 1 && g.firstToken == 0:
 		g.firstToken = now.Sub(began)
-	case g.tokens == len(g.between)+2:
-		g.between = append(g.between, now.Sub(last))
+	case g.tokens == len(g.tokenGaps)+2:
+		g.tokenGaps = append(g.tokenGaps, now.Sub(last))
 	}
 	return now
 }
--- a/loadgen/audit.go
+++ b/loadgen/audit.go
@@ -8,29 +8,32 @@
 	"endiveplank/standin/desk"
 )
 
-// auditTimeout bounds the read of one desk's runs.
+// auditTimeout is the timeout of fetching one order desk's runs.
 const auditTimeout = 10 * time.Second
 
-// Audit compares what callers were told about their orders with what the desks
-// ran. Each order key counts once.
+// Audit compares the outcomes that callers got for their orders with what the
+// order desks ran. Each order key counts once.
 type Audit struct {
 	Keys     int `json:"keys"`
 	Accepted int `json:"accepted"`
 	NotRun   int `json:"not_run"`
 	Unknown  int `json:"unknown"`
-	// UnknownRan are those of Unknown that did run, once.
+	// UnknownRan are the orders among Unknown that ran, once.
 	UnknownRan int `json:"unknown_ran"`
 	// Lost orders were accepted and did not run.
 	Lost int `json:"lost"`
 	// Doubled orders ran more than once.
 	Doubled int `json:"doubled"`
-	// FalseNotRun orders ran, and the caller was told last that they had not.
+	// FalseNotRun orders ran, although the caller's last answer said that they had
+	// not.
 	FalseNotRun int `json:"false_not_run"`
-	// Missing desks did not answer.
+	// Missing is the number of order desks that did not answer. If it isn't zero,
+	// no order counts as lost.
 	Missing int `json:"missing_desks"`
 }
 
-// fetchRuns adds up the runs by key over all desks.
+// fetchRuns returns the number of runs of each key at all order desks together,
+// and how many desks did not answer.
 func fetchRuns(ctx context.Context, desks []string) (runs map[string]int, missing int) {
 	client := &http.Client{Timeout: auditTimeout}
 	runs = make(map[string]int)
@@ -47,26 +50,26 @@
 	return runs, missing
 }
 
-// auditOrders judges the orders of a run.
-func auditOrders(told map[string]orderTold, runs map[string]int, missing int) *Audit {
-	audit := &Audit{Keys: len(told), Missing: missing}
-	for key, last := range told {
+// auditOrders compares the outcomes that callers got with the runs at the desks.
+func auditOrders(outcomes map[string]reportedOutcome, runs map[string]int, missing int) *Audit {
+	audit := &Audit{Keys: len(outcomes), Missing: missing}
+	for key, last := range outcomes {
 		count := runs[key]
 		if count > 1 {
 			audit.Doubled++
 		}
 		switch last {
-		case toldAccepted:
+		case reportedAccepted:
 			audit.Accepted++
 			if count == 0 && missing == 0 {
 				audit.Lost++
 			}
-		case toldNotRun:
+		case reportedNotRun:
 			audit.NotRun++
 			if count > 0 {
 				audit.FalseNotRun++
 			}
-		case toldUnknown:
+		case reportedUnknown:
 			audit.Unknown++
 			if count == 1 {
 				audit.UnknownRan++
--- a/loadgen/engines.go
+++ b/loadgen/engines.go
@@ -13,16 +13,17 @@
 	"endiveplank/standin/engine"
 )
 
-// pollTimeout bounds one read of an engine's totals.
+// pollTimeout is the timeout of one read of an engine's counters.
 const pollTimeout = time.Second
 
-// EngineSeries is what one engine said about itself over a phase.
+// EngineSeries holds the readings of one engine over a phase.
 type EngineSeries struct {
 	ID      string         `json:"id"`
 	Samples []EngineSample `json:"samples"`
 }
 
-// EngineSample is one reading. Token counts are since the start of the phase.
+// EngineSample is one reading of an engine's load and counters. Its token counts
+// start at zero with the phase.
 type EngineSample struct {
 	AtS               float64 `json:"at_s"`
 	Running           int     `json:"running"`
@@ -35,33 +36,33 @@
 
 // Skew compares the engines' outstanding tokens over a phase.
 type Skew struct {
-	// TimeAverage is the highest time average of an engine over the mean of
-	// all engines' time averages.
+	// TimeAverage is the highest time average of any engine divided by the mean
+	// of all engines' time averages.
 	TimeAverage float64 `json:"time_average"`
-	// P50 and P95 are quantiles over the readings of the highest load over the
-	// mean load, for the readings in which the mean is at least one running or
-	// waiting request.
+	// P50 and P95 are quantiles, over the readings, of the highest load divided
+	// by the mean load. Only those readings count in which the engines have a
+	// mean of at least one running or waiting request.
 	P50      float64 `json:"p50"`
 	P95      float64 `json:"p95"`
 	Readings int     `json:"readings"`
 }
 
-// enginePoll reads all engines' totals in step, so that reading i of one
-// engine belongs to reading i of the others.
-type enginePoll struct {
+// enginePoller reads the counters of all engines at the same times, so that
+// reading i of one engine belongs to reading i of the others.
+type enginePoller struct {
 	addresses []string
-	processes *processPoll
+	processes *processPoller
 	client    *http.Client
 	base      []engine.Stats
 	series    []EngineSeries
 }
 
-// startPoll reads the engines and processes every so often until stop is
-// called. An engine that does not answer repeats its last reading.
-func startPoll(addresses []string, processes []Process, every time.Duration) (stop func() *enginePoll) {
-	p := &enginePoll{
+// startPolling reads the engines and processes at an interval until stop is
+// called. For an engine that does not answer, the last reading is repeated.
+func startPolling(addresses []string, processes []Process, every time.Duration) (stop func() *enginePoller) {
+	p := &enginePoller{
 		addresses: addresses,
-		processes: newProcessPoll(processes),
+		processes: newProcessPoller(processes),
 		client:    &http.Client{Timeout: pollTimeout},
 	}
 	p.series = make([]EngineSeries, len(addresses))
@@ -83,7 +84,7 @@
 			}
 		}
 	})
-	return func() *enginePoll {
+	return func() *enginePoller {
 		close(done)
 		polling.Wait()
 		return p
@@ -91,7 +92,7 @@
 }
 
 // sample adds one reading of every engine and process.
-func (p *enginePoll) sample(at time.Duration) {
+func (p *enginePoller) sample(at time.Duration) {
 	p.processes.sample()
 	p.read(func(i int, stats engine.Stats, ok bool) {
 		series := &p.series[i]
@@ -108,8 +109,8 @@
 	})
 }
 
-// sampleOf takes the totals at the start of the phase off. A restarted engine
-// counts from zero.
+// sampleOf subtracts the counters at the start of the phase. The counters of an
+// engine that has restarted since then began at zero, so nothing is subtracted.
 func sampleOf(stats, base engine.Stats) EngineSample {
 	now, before := stats.Counters, base.Counters
 	if now.PromptTokens < before.PromptTokens {
@@ -125,8 +126,9 @@
 	}
 }
 
-// read fetches every engine's totals at once.
-func (p *enginePoll) read(each func(i int, stats engine.Stats, ok bool)) {
+// read fetches the counters of all engines in parallel and calls each for every
+// engine; ok is false for one that did not answer.
+func (p *enginePoller) read(each func(i int, stats engine.Stats, ok bool)) {
 	stats := make([]engine.Stats, len(p.addresses))
 	errs := make([]error, len(p.addresses))
 	var reading sync.WaitGroup
@@ -141,7 +143,8 @@
 	}
 }
 
-// skewOf compares the engines' series; nil without a comparable reading.
+// skewOf compares the engines' loads. It returns nil if no reading has enough
+// requests to compare.
 func skewOf(series []EngineSeries) *Skew {
 	if len(series) == 0 {
 		return nil
@@ -173,7 +176,8 @@
 	}
 }
 
-// maxOverMean returns 1 for no load at all.
+// maxOverMean returns the highest load divided by the mean load, or 1 if there is
+// no load at all.
 func maxOverMean(loads []float64) float64 {
 	total := 0.0
 	for _, load := range loads {
@@ -185,11 +189,11 @@
 	return slices.Max(loads) * float64(len(loads)) / total
 }
 
-// getJSON reads one JSON document.
+// getJSON fetches a JSON document and decodes it into target.
 func getJSON(ctx context.Context, client *http.Client, url string, target any) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return eris.Wrap(err, "build request")
+		return eris.Wrapf(err, "build request for %s", url)
 	}
 	response, err := client.Do(request)
 	if err != nil {
--- a/loadgen/loadgen.go
+++ b/loadgen/loadgen.go
@@ -1,23 +1,25 @@
-// Package loadgen drives a fleet with a seeded trace of requests and judges
-// what callers get.
+// Package loadgen sends a seeded trace of requests to a fleet and checks what
+// callers get. Run takes Options and returns a Result with a Phase for each kind
+// of target.
 //
-// Each answer to a chat is compared byte for byte with the one that package
-// answer gives to that request, and each order with what the order desks say
-// they ran. So a run finds answers that were cut, mixed up or repeated in part,
-// and orders that were lost, doubled or falsely told as not run. Besides, it
-// measures: time to the first token, between tokens and to the end by
-// HdrHistogram, the engines' loads over time, and the share of prompt tokens
-// that came from a cache.
+// It compares each answer to a chat byte for byte with the one that package
+// answer computes for that request, and the outcome of each order with what the
+// order desks say they ran. So a run finds answers that were truncated, mixed up
+// or repeated in part, and orders that were lost, run twice or falsely reported
+// as not run. It also measures, with HDR histograms, the time to the first token,
+// between tokens and to the end of an answer; the engines' loads over time; and
+// the share of prompt tokens that came from a cache.
 //
-// Arrivals follow the trace's clock and do not wait for answers, up to
-// MaxInFlight. Latency counts from the moment a request is sent; an arrival
-// that could not be sent in time counts as late. A refused caller waits as
-// long as Retry-After says and tries again a few times.
+// The load is open-loop: requests arrive at the times of the trace and do not
+// wait for earlier answers, as long as fewer than MaxInFlight are in flight.
+// Latency counts from the moment a request is sent; an arrival that could not be
+// sent in time counts as late. A refused caller waits as long as Retry-After says
+// and retries a few times.
 //
-// With direct targets, the same trace first goes to the engines themselves,
-// each chat always to the same one. Its figures are the baseline for what the
-// fleet adds. The two phases use different texts, so that the second finds no
-// cache of the first.
+// With direct targets, the same trace first goes to the engines themselves, each
+// chat always to the same engine. This phase is the baseline for the latency that
+// the fleet adds. The two phases use different texts, so that the second phase
+// finds nothing of the first in the engines' caches.
 package loadgen
 
 import (
@@ -33,30 +35,32 @@
 	"endiveplank/loadgen/trace"
 )
 
-// Names of phases.
+// Names of phases: requests go to the engines directly, or through the fleet.
 const (
 	PhaseDirect = "direct"
 	PhaseFleet  = "fleet"
 )
 
-// Options say what to run. Start from DefaultOptions.
+// Options configures a run. Start from DefaultOptions.
 type Options struct {
 	Title string
 	// Targets are the fleet's caller addresses, host:port.
 	Targets []string
-	// Direct are engines' addresses for the baseline; empty for none.
+	// Direct are the engines' addresses for the baseline; empty for no baseline.
 	Direct []string
-	// Engines are the addresses whose totals are read; Direct when empty.
+	// Engines are the addresses of the engines whose counters are read; Direct if
+	// empty.
 	Engines []string
-	// Desks are the order desks' addresses for the audit. Without them no
-	// orders are sent.
+	// Desks are the order desks' addresses for the audit. If empty, no orders are
+	// sent.
 	Desks []string
-	// Processes on this machine whose processor time and memory are read.
+	// Processes are those on this machine whose processor time and memory are
+	// measured.
 	Processes []Process
-	// OrderPath is the fleet's path of the order service.
+	// OrderPath is the path of the order service at the fleet.
 	OrderPath string
-	// KeyPattern makes a customer's bearer key from its name, and
-	// CustomerPattern the name from its number, counted from 1.
+	// KeyPattern is the bearer key of a customer with %s for its name, and
+	// CustomerPattern the name with %d for the customer's number, counted from 1.
 	KeyPattern      string
 	CustomerPattern string
 	Seed            uint64
@@ -68,11 +72,12 @@
 	Timeout      time.Duration
 	Retries      int
 	MaxRetryWait time.Duration
-	// PollEvery is the interval of the engines' readings.
+	// PollEvery is the interval at which the engines' counters are read.
 	PollEvery     time.Duration
 	ProgressEvery time.Duration
-	// AuditSettle is the time given to orders on their way before the audit.
-	AuditSettle time.Duration
+	// AuditDelay is the time between the fleet's phase and the audit, in which
+	// orders that are still in flight can reach the desks.
+	AuditDelay time.Duration
 }
 
 // DefaultOptions returns the options that docs/LOAD.md documents.
@@ -91,30 +96,30 @@
 		MaxRetryWait:    5 * time.Second,
 		PollEvery:       250 * time.Millisecond,
 		ProgressEvery:   2 * time.Second,
-		AuditSettle:     time.Second,
+		AuditDelay:      time.Second,
 	}
 }
 
-// key returns the bearer key of a customer given by its rank.
+// key returns the bearer key of a customer, given by its rank from 0.
 func (o Options) key(customer int) string {
 	name := fmt.Sprintf(o.CustomerPattern, customer+1)
 	return strings.ReplaceAll(o.KeyPattern, "%s", name)
 }
 
-// Run carries out the phases, the audit and the comparison. It returns an
-// error only where the options do not allow a run; broken promises are in the
-// result.
+// Run runs the phases, audits the orders and compares the phases. It returns an
+// error only if the options do not allow a run; broken guarantees are listed in
+// the result.
 func Run(ctx context.Context, options Options, progress io.Writer) (*Result, error) {
 	if len(options.Targets)+len(options.Direct) == 0 {
 		return nil, eris.New("no targets: name the fleet's caller addresses, or engines for a direct run")
 	}
 	if options.Trace.Rate <= 0 || options.Trace.Customers < 1 || len(options.Trace.Models) == 0 {
-		return nil, eris.New("the rate, the customers and the models must not be empty")
+		return nil, eris.Errorf("the rate (%g), the customers (%d) and the models (%d) must not be empty", options.Trace.Rate, options.Trace.Customers, len(options.Trace.Models))
 	}
 	if len(options.Engines) == 0 {
 		options.Engines = options.Direct
 	}
-	result := &Result{Schema: Schema, Title: options.Title, Settings: options.summary()}
+	result := &Result{Schema: Schema, Title: options.Title, Settings: options.runSettings()}
 	if len(options.Direct) > 0 {
 		r := newRunner(options, PhaseDirect, options.Direct, progress)
 		r.sticky = true
@@ -125,7 +130,7 @@
 		r.withOrders = len(options.Desks) > 0
 		result.Phases = append(result.Phases, r.measure(ctx))
 		if r.withOrders {
-			sleepUntil(ctx, time.Now().Add(options.AuditSettle))
+			sleepUntil(ctx, time.Now().Add(options.AuditDelay))
 			runs, missing := fetchRuns(ctx, options.Desks)
 			result.Audit = auditOrders(r.recorder.orders, runs, missing)
 		}
@@ -133,12 +138,12 @@
 	if len(result.Phases) == 2 {
 		result.Added = compare(result.Phases[0].Latency, result.Phases[1].Latency)
 	}
-	result.Broken = result.broken()
+	result.Broken = result.brokenGuarantees()
 	return result, nil
 }
 
-func (o Options) summary() Summary {
-	return Summary{
+func (o Options) runSettings() RunSettings {
+	return RunSettings{
 		Seed:        o.Seed,
 		Run:         o.Trace.Run,
 		Rate:        o.Trace.Rate,
@@ -165,9 +170,9 @@
 	}
 }
 
-// measure runs the phase while it reads the engines and processes.
+// measure runs the phase and meanwhile reads the engines and processes.
 func (r *runner) measure(ctx context.Context) Phase {
-	stop := startPoll(r.options.Engines, r.options.Processes, r.options.PollEvery)
+	stop := startPolling(r.options.Engines, r.options.Processes, r.options.PollEvery)
 	phase := r.run(ctx)
 	r.client.CloseIdleConnections()
 	readings := stop()
--- a/loadgen/loadgen_test.go
+++ b/loadgen/loadgen_test.go
@@ -18,42 +18,43 @@
 	"endiveplank/standin/engine"
 )
 
-// fakeFleet passes requests on to one engine and one desk, and does wrong to
-// one request in every so many.
+// fakeFleet forwards requests to one engine and one order desk, and injects its
+// fault into one request in every faultEvery.
 type fakeFleet struct {
 	engine, desk string
 	fault        string
-	served       atomic.Int64
+	requests     atomic.Int64
 }
 
-// faultEvery is the share of requests that the fleet harms: one in this many.
+// faultEvery is how often the fleet injects its fault: into one request in this
+// many.
 const faultEvery = 5
 
 func (f *fakeFleet) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
-	harm := f.served.Add(1)%faultEvery == 0
+	inject := f.requests.Add(1)%faultEvery == 0
 	target := "http://" + f.engine + r.URL.Path
 	if strings.HasPrefix(r.URL.Path, "/svc/orders") {
 		target = "http://" + f.desk + strings.TrimPrefix(r.URL.Path, "/svc/orders")
 	}
 	order := strings.Contains(target, f.desk)
 	switch {
-	case harm && f.fault == "lose" && order:
+	case inject && f.fault == "lose" && order:
 		answer := desk.AnswerFor(r.Header.Get(protocol.IdempotencyKeyHeader), body)
 		_, _ = w.Write([]byte(`{"key":"` + answer.Key + `","digest":"` + answer.Digest + `","status":"accepted"}`))
 		return
-	case harm && f.fault == "double" && order:
+	case inject && f.fault == "double" && order:
 		_, _ = forward(r, target, body)
-	case harm && f.fault == "deny" && order:
+	case inject && f.fault == "deny" && order:
 		_, _ = forward(r, target, body)
 		w.Header().Set(protocol.RunOutcomeHeader, string(protocol.NotRun))
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
-	case harm && f.fault == "mix" && !order:
+	case inject && f.fault == "mix" && !order:
 		body = bytes.Replace(body, []byte("turn"), []byte("burn"), 1)
 	}
 	status, answer := forward(r, target, body)
-	if harm && f.fault == "cut" && !order {
+	if inject && f.fault == "cut" && !order {
 		answer = answer[:len(answer)/2]
 	}
 	w.Header().Set(protocol.RequestIDHeader, "q1")
@@ -74,8 +75,10 @@
 	return reply.StatusCode, answer
 }
 
-// Each fault of a fleet that the brief forbids must turn the run's verdict, and
-// a fleet without fault must pass.
+// A load run must report each kind of fault that a fleet may not have, and must
+// pass a fleet without fault. The faults are: an answer to another prompt, a
+// truncated answer, an order that is acknowledged but not run, an order that is
+// run twice, and an order that is reported as not run after it ran.
 func TestVerdictFindsEachFault(t *testing.T) {
 	cases := map[string]string{
 		"":       "",
@@ -95,7 +98,7 @@
 			assert.Equal(t, len(fleet.Slowest), 10)
 			assert.Assert(t, fleet.Slowest[0].FirstTokenMs >= fleet.Slowest[9].FirstTokenMs)
 			if fault == "mix" || fault == "cut" {
-				assert.Equal(t, len(fleet.Harmed), min(c.Wrong+c.Cut, 10))
+				assert.Equal(t, len(fleet.NotWhole), min(c.Wrong+c.Cut, 10))
 			}
 			if fault != "" {
 				return
@@ -136,7 +139,7 @@
 	options.Trace.PauseMin, options.Trace.PauseMax = time.Millisecond, 50*time.Millisecond
 	options.Trace.OrderShare = 0.4
 	options.Trace.ResendShare = 0
-	options.AuditSettle = 0
+	options.AuditDelay = 0
 	result, err := loadgen.Run(t.Context(), options, io.Discard)
 	assert.NilError(t, err)
 	return result
--- a/loadgen/processes.go
+++ b/loadgen/processes.go
@@ -10,18 +10,18 @@
 	"github.com/rotisserie/eris"
 )
 
-// ticksPerSecond is the unit of processor time in /proc on Linux, which is the
+// ticksPerSecond is the resolution of processor time in /proc on Linux. It is the
 // same on every architecture that Go supports.
 const ticksPerSecond = 100
 
-// Process names a process on this machine whose processor time and memory are
-// read from /proc over each phase. It works on Linux only.
+// Process is a process on this machine whose processor time and memory are read
+// from /proc during each phase. This works on Linux only.
 type Process struct {
 	Name string
 	PID  int
 }
 
-// ParseProcess reads NAME=PID.
+// ParseProcess parses NAME=PID.
 func ParseProcess(text string) (Process, error) {
 	name, number, found := strings.Cut(text, "=")
 	pid, err := strconv.Atoi(number)
@@ -31,31 +31,32 @@
 	return Process{Name: name, PID: pid}, nil
 }
 
-// ProcessCost is what one process spent over a phase.
+// ProcessCost is the processor time and memory that one process used in a phase.
 type ProcessCost struct {
 	Name string `json:"name"`
 	// CPUS is processor time in seconds, in steps of 10 ms.
 	CPUS float64 `json:"cpu_s"`
-	// CPUPerTokenUs is CPUS over the phase's tokens, in microseconds. It holds
-	// all that the process did, not the relay of tokens alone.
+	// CPUPerTokenUs is CPUS divided by the phase's tokens, in microseconds. It
+	// includes all that the process did, not just the relaying of tokens.
 	CPUPerTokenUs float64 `json:"cpu_per_token_us"`
-	// Resident memory at the start, at the end and at the highest reading.
+	// Resident memory at the start, at the end and at its highest reading.
 	MemoryStartMB float64 `json:"memory_start_mb"`
 	MemoryEndMB   float64 `json:"memory_end_mb"`
 	MemoryPeakMB  float64 `json:"memory_peak_mb"`
-	// Ended says that the process was gone at the end of the phase; its costs
-	// are then those up to the last reading.
+	// Ended means that the process no longer existed at the end of the phase. Its
+	// costs are then those up to the last reading.
 	Ended bool `json:"ended,omitempty"`
 }
 
-// usage is one reading of a process.
+// usage is one reading of a process: its processor time so far and its resident
+// memory.
 type usage struct {
 	cpu      time.Duration
 	memoryMB float64
 }
 
-// processPoll reads processes over a phase.
-type processPoll struct {
+// processPoller reads processes during a phase.
+type processPoller struct {
 	processes []Process
 	first     []usage
 	last      []usage
@@ -63,8 +64,8 @@
 	ended     []bool
 }
 
-func newProcessPoll(processes []Process) *processPoll {
-	p := &processPoll{
+func newProcessPoller(processes []Process) *processPoller {
+	p := &processPoller{
 		processes: processes,
 		first:     make([]usage, len(processes)),
 		last:      make([]usage, len(processes)),
@@ -77,7 +78,7 @@
 }
 
 // sample reads every process once.
-func (p *processPoll) sample() {
+func (p *processPoller) sample() {
 	for i, process := range p.processes {
 		now, err := readUsage(process.PID)
 		p.ended[i] = err != nil
@@ -88,8 +89,9 @@
 	}
 }
 
-// costs returns what the processes spent on a number of tokens.
-func (p *processPoll) costs(tokens int) []ProcessCost {
+// costs returns the costs of the processes so far, for a phase in which answers
+// had this many tokens.
+func (p *processPoller) costs(tokens int) []ProcessCost {
 	var costs []ProcessCost
 	for i, process := range p.processes {
 		cpu := p.last[i].cpu - p.first[i].cpu
@@ -109,34 +111,35 @@
 	return costs
 }
 
-// readUsage reads one process from /proc.
+// readUsage reads the usage of one process from /proc.
 func readUsage(pid int) (usage, error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
-		return usage{}, eris.Wrap(err, "read process")
+		return usage{}, eris.Wrapf(err, "read process %d", pid)
 	}
 	return parseStat(string(stat), os.Getpagesize())
 }
 
-// Fields of /proc/PID/stat after the command's name, counted from 0.
+// Indexes of the fields of /proc/PID/stat that follow the command's name, from 0.
 const (
 	fieldUserTicks   = 11
 	fieldSystemTicks = 12
 	fieldPages       = 21
 )
 
-// parseStat reads /proc/PID/stat. The command's name is in brackets and may
-// itself hold brackets and spaces.
+// parseStat parses /proc/PID/stat. The command's name is in parentheses and may
+// itself hold parentheses and spaces, so the fields are counted from the last
+// closing one.
 func parseStat(stat string, pageSize int) (usage, error) {
 	fields := strings.Fields(stat[strings.LastIndexByte(stat, ')')+1:])
 	if len(fields) <= fieldPages {
-		return usage{}, eris.New("process status is too short")
+		return usage{}, eris.Errorf("process status is too short: %q", stat)
 	}
 	var values [3]int
 	for i, field := range []int{fieldUserTicks, fieldSystemTicks, fieldPages} {
 		value, err := strconv.Atoi(fields[field])
 		if err != nil {
-			return usage{}, eris.Wrap(err, "process status")
+			return usage{}, eris.Wrapf(err, "process status, field %d", field)
 		}
 		values[i] = value
 	}
--- a/loadgen/processes_test.go
+++ b/loadgen/processes_test.go
@@ -7,6 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
+// The command's name may hold spaces and parentheses, which must not shift the
+// fields of processor time and memory.
 func TestProcessStatus(t *testing.T) {
 	got, err := parseStat("42 (a) b (c) S 1 42 42 0 -1 4194304 500 0 0 0 150 50 0 0 20 0 9 0 100 2000000 256 18446744073709551615", 4096)
 	assert.NilError(t, err)
--- a/loadgen/recorder.go
+++ b/loadgen/recorder.go
@@ -12,10 +12,12 @@
 	"endiveplank/loadgen/trace"
 )
 
-// firstTokenGoal is the time within which callers hope for a first token.
+// firstTokenGoal is the time to the first token that counts as good. Results name
+// it in the counter FirstTokenInGoal.
 const firstTokenGoal = 500 * time.Millisecond
 
-// verdict says how a request ended.
+// verdict is the result of checking a request's answer. The fields of Counts
+// describe the values.
 type verdict int
 
 const (
@@ -26,71 +28,73 @@
 	failed
 )
 
-// verdictNames are the names of the counts that verdicts go into.
+// verdictNames are the names of the verdicts of bad answers, as in the JSON keys of
+// Counts.
 var verdictNames = map[verdict]string{wrong: "wrong", cut: "cut", refused: "refused", failed: "failed"}
 
-// reply is what one attempt of a request brought.
-type reply struct {
+// attemptResult is the result of one attempt of a request.
+type attemptResult struct {
 	verdict verdict
-	// status is the HTTP status, zero without an answer.
-	status  int
+	// status is the HTTP status, or zero if no response came.
+	status int
+	// outcome is the value of the run outcome header.
 	outcome string
-	// request is the fleet's name of the request.
-	request string
-	// code is the reason code of a refusal.
-	code       string
+	// requestID is the ID that the fleet gave the request.
+	requestID string
+	// reasonCode is the code of a refusal.
+	reasonCode string
 	retryAfter time.Duration
-	// retry says that another attempt may help.
-	retry      bool
-	firstToken time.Duration
-	between    []time.Duration
-	took       time.Duration
-	tokens     int
-	prompt     int
-	cached     int
+	// retry means that another attempt may succeed.
+	retry        bool
+	firstToken   time.Duration
+	tokenGaps    []time.Duration
+	duration     time.Duration
+	tokens       int
+	promptTokens int
+	cachedTokens int
 }
 
-// recorder gathers the replies of one phase.
+// recorder collects the results of one phase. It is safe for concurrent use.
 type recorder struct {
-	mu        sync.Mutex
-	counts    Counts
-	inFlight  int
-	byStatus  map[string]int
-	byOutcome map[string]int
-	byCode    map[string]int
-	first     *hdrhistogram.Histogram
-	between   *hdrhistogram.Histogram
-	whole     *hdrhistogram.Histogram
-	order     *hdrhistogram.Histogram
-	orders    map[string]orderTold
-	slowest   []NamedRequest
-	harmed    []NamedRequest
+	mu            sync.Mutex
+	counts        Counts
+	inFlight      int
+	byStatus      map[string]int
+	byOutcome     map[string]int
+	byCode        map[string]int
+	firstToken    *hdrhistogram.Histogram
+	betweenTokens *hdrhistogram.Histogram
+	whole         *hdrhistogram.Histogram
+	order         *hdrhistogram.Histogram
+	orders        map[string]reportedOutcome
+	slowest       []ListedRequest
+	notWhole      []ListedRequest
 }
 
-// orderTold is what the caller of an order was told last.
-type orderTold int
+// reportedOutcome is the outcome that the caller of an order got last.
+type reportedOutcome int
 
 const (
-	toldUnknown orderTold = iota
-	toldAccepted
-	toldNotRun
+	reportedUnknown reportedOutcome = iota
+	reportedAccepted
+	reportedNotRun
 )
 
 func newRecorder() *recorder {
 	return &recorder{
-		byStatus:  make(map[string]int),
-		byOutcome: make(map[string]int),
-		byCode:    make(map[string]int),
-		first:     newHistogram(),
-		between:   newHistogram(),
-		whole:     newHistogram(),
-		order:     newHistogram(),
-		orders:    make(map[string]orderTold),
+		byStatus:      make(map[string]int),
+		byOutcome:     make(map[string]int),
+		byCode:        make(map[string]int),
+		firstToken:    newHistogram(),
+		betweenTokens: newHistogram(),
+		whole:         newHistogram(),
+		order:         newHistogram(),
+		orders:        make(map[string]reportedOutcome),
 	}
 }
 
-// sent notes that a request is on its way.
-func (r *recorder) sent(item trace.Item, late bool) {
+// recordSent records a request that is sent for the first time.
+func (r *recorder) recordSent(item trace.Item, late bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.inFlight++
@@ -106,20 +110,20 @@
 	}
 }
 
-// retried notes an attempt that is followed by another.
-func (r *recorder) retried(got reply) {
+// recordRetry records an attempt that is followed by another.
+func (r *recorder) recordRetry(got attemptResult) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.counts.Retries++
-	r.noteCode(got)
+	r.countCode(got)
 }
 
-// ended notes the last attempt of a request.
-func (r *recorder) ended(item trace.Item, got reply) {
+// recordEnd records the last attempt of a request.
+func (r *recorder) recordEnd(item trace.Item, got attemptResult) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.inFlight--
-	r.noteCode(got)
+	r.countCode(got)
 	status := "none"
 	if got.status > 0 {
 		status = strconv.Itoa(got.status)
@@ -129,22 +133,22 @@
 		got.outcome = "none"
 	}
 	r.byOutcome[got.outcome]++
-	r.noteVerdict(got)
-	r.noteName(got)
+	r.countVerdict(got)
+	r.listRequest(got)
 	if item.Order != nil {
-		r.noteOrder(item.Order.Key, got)
+		r.recordOrder(item.Order.Key, got)
 		return
 	}
-	r.noteChat(got)
+	r.recordChat(got)
 }
 
-func (r *recorder) noteCode(got reply) {
-	if got.code != "" {
-		r.byCode[got.code]++
+func (r *recorder) countCode(got attemptResult) {
+	if got.reasonCode != "" {
+		r.byCode[got.reasonCode]++
 	}
 }
 
-func (r *recorder) noteVerdict(got reply) {
+func (r *recorder) countVerdict(got attemptResult) {
 	switch got.verdict {
 	case whole:
 		r.counts.Whole++
@@ -159,72 +163,75 @@
 	}
 }
 
-// noteName keeps the names of the requests that someone will ask about.
-func (r *recorder) noteName(got reply) {
-	if got.request == "" {
+// listRequest keeps the IDs of requests that are worth explaining: the first
+// maxListedRequests that did not end whole, and those with the slowest first
+// tokens.
+func (r *recorder) listRequest(got attemptResult) {
+	if got.requestID == "" {
 		return
 	}
-	named := NamedRequest{Request: got.request, FirstTokenMs: round(float64(got.firstToken.Microseconds()) / 1000)}
-	if got.verdict != whole && len(r.harmed) < namedRequests {
+	named := ListedRequest{Request: got.requestID, FirstTokenMs: round(float64(got.firstToken.Microseconds()) / 1000)}
+	if got.verdict != whole && len(r.notWhole) < maxListedRequests {
 		named.Verdict = verdictNames[got.verdict]
-		r.harmed = append(r.harmed, named)
+		r.notWhole = append(r.notWhole, named)
 	}
 	if got.tokens == 0 {
 		return
 	}
-	at, _ := slices.BinarySearchFunc(r.slowest, named, func(a, b NamedRequest) int {
+	at, _ := slices.BinarySearchFunc(r.slowest, named, func(a, b ListedRequest) int {
 		return cmp.Compare(b.FirstTokenMs, a.FirstTokenMs)
 	})
-	if at < namedRequests {
+	if at < maxListedRequests {
 		r.slowest = slices.Insert(r.slowest, at, named)
-		r.slowest = r.slowest[:min(len(r.slowest), namedRequests)]
+		r.slowest = r.slowest[:min(len(r.slowest), maxListedRequests)]
 	}
 }
 
-// noteOrder remembers the best that a caller was told: when an order was sent
-// twice at once, an acceptance to either caller counts.
-func (r *recorder) noteOrder(key string, got reply) {
-	told := toldUnknown
+// recordOrder records the outcome that the caller of an order got. If an order was
+// sent twice at once, an acceptance of either counts, and an unknown outcome takes
+// precedence over "not run".
+func (r *recorder) recordOrder(key string, got attemptResult) {
+	outcome := reportedUnknown
 	switch {
 	case got.verdict == whole:
-		told = toldAccepted
-		record(r.order, got.took)
+		outcome = reportedAccepted
+		recordDuration(r.order, got.duration)
 	case got.outcome == "not-run":
-		told = toldNotRun
+		outcome = reportedNotRun
 	}
 	before, seen := r.orders[key]
 	switch {
-	case !seen, told == toldAccepted:
-		r.orders[key] = told
-	case before == toldNotRun && told == toldUnknown:
-		r.orders[key] = toldUnknown
+	case !seen, outcome == reportedAccepted:
+		r.orders[key] = outcome
+	case before == reportedNotRun && outcome == reportedUnknown:
+		r.orders[key] = reportedUnknown
 	}
 }
 
-func (r *recorder) noteChat(got reply) {
+func (r *recorder) recordChat(got attemptResult) {
 	r.counts.Tokens += got.tokens
 	if got.tokens > 0 {
-		record(r.first, got.firstToken)
+		recordDuration(r.firstToken, got.firstToken)
 		if got.firstToken <= firstTokenGoal {
 			r.counts.FirstTokenInGoal++
 		}
 	}
-	for _, gap := range got.between {
-		record(r.between, gap)
+	for _, gap := range got.tokenGaps {
+		recordDuration(r.betweenTokens, gap)
 	}
 	if got.verdict != whole {
 		return
 	}
-	record(r.whole, got.took)
-	r.counts.PromptTokens += got.prompt
-	r.counts.CachedTokens += got.cached
+	recordDuration(r.whole, got.duration)
+	r.counts.PromptTokens += got.promptTokens
+	r.counts.CachedTokens += got.cachedTokens
 }
 
-func record(h *hdrhistogram.Histogram, value time.Duration) {
+func recordDuration(h *hdrhistogram.Histogram, value time.Duration) {
 	_ = h.RecordValue(min(max(value.Microseconds(), lowestMicros), highestMicros))
 }
 
-// phase reads the recorder out.
+// phase returns what was recorded, as the result of a phase.
 func (r *recorder) phase(name string, took time.Duration) Phase {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -236,12 +243,12 @@
 		ByOutcome: r.byOutcome,
 		ByCode:    r.byCode,
 		Slowest:   r.slowest,
-		Harmed:    r.harmed,
+		NotWhole:  r.notWhole,
 		Latency: Latency{
-			FirstToken:    summarise(r.first),
-			BetweenTokens: summarise(r.between),
-			Whole:         summarise(r.whole),
-			Order:         summarise(r.order),
+			FirstToken:    quantilesOf(r.firstToken),
+			BetweenTokens: quantilesOf(r.betweenTokens),
+			Whole:         quantilesOf(r.whole),
+			Order:         quantilesOf(r.order),
 		},
 	}
 	if r.counts.PromptTokens > 0 {
--- a/loadgen/result.go
+++ b/loadgen/result.go
@@ -7,26 +7,27 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Schema names the layout of Result. It changes when a field changes its
-// meaning or goes; new fields leave it as it is.
+// Schema names the version of Result's layout. It changes when a field is removed
+// or changes its meaning, but not when a field is added.
 const Schema = "endiveplank/load/v1"
 
 // Result is the outcome of a load run. docs/LOAD.md explains each field.
 type Result struct {
-	Schema   string  `json:"schema"`
-	Title    string  `json:"title"`
-	Settings Summary `json:"settings"`
-	// Phases are the runs in their order: direct when asked for, then fleet.
+	Schema   string      `json:"schema"`
+	Title    string      `json:"title"`
+	Settings RunSettings `json:"settings"`
+	// Phases are in the order in which they ran: direct, if asked for, then fleet.
 	Phases []Phase `json:"phases"`
-	// Added is the fleet's latency less the direct one.
+	// Added is the latency of the fleet's phase minus that of the direct one.
 	Added *Added `json:"added,omitempty"`
 	Audit *Audit `json:"audit,omitempty"`
-	// Broken lists the promises that the run saw broken; empty is a pass.
+	// Broken lists the guarantees that the run found broken. The run passed if it
+	// is empty.
 	Broken []string `json:"broken"`
 }
 
-// Summary says what the run was asked to do.
-type Summary struct {
+// RunSettings are the main options of the run.
+type RunSettings struct {
 	Seed        uint64  `json:"seed"`
 	Run         string  `json:"run"`
 	Rate        float64 `json:"rate_per_s"`
@@ -37,53 +38,55 @@
 	MaxInFlight int     `json:"max_in_flight"`
 }
 
-// Phase is one pass of the trace against one kind of target.
+// Phase is the result of sending the trace to one kind of target.
 type Phase struct {
 	Name      string  `json:"name"`
 	DurationS float64 `json:"duration_s"`
 	Counts    Counts  `json:"counts"`
-	// ByStatus counts the final answers by HTTP status; "none" is no answer.
+	// ByStatus counts the final answers by HTTP status; "none" means no answer.
 	ByStatus map[string]int `json:"by_status"`
-	// ByOutcome counts the final answers by outcome header.
+	// ByOutcome counts the final answers by run outcome header; "none" means that
+	// it is missing.
 	ByOutcome map[string]int `json:"by_outcome"`
-	// ByCode counts the refusals of every attempt by reason code.
+	// ByCode counts refusals by reason code, over all attempts.
 	ByCode  map[string]int `json:"by_code"`
 	Latency Latency        `json:"latency"`
-	// Slowest names the requests whose first token took longest, the slowest
-	// first, and Harmed those that did not end whole, for endiveplank explain.
-	Slowest []NamedRequest `json:"slowest,omitempty"`
-	Harmed  []NamedRequest `json:"harmed,omitempty"`
-	// ReusePct is the share of prompt tokens that came from engines' caches,
-	// as the answers' usage says.
+	// Slowest lists the requests whose first token took longest, the slowest
+	// first, and NotWhole those that did not end whole. Their IDs can be given to
+	// endiveplank explain.
+	Slowest  []ListedRequest `json:"slowest,omitempty"`
+	NotWhole []ListedRequest `json:"harmed,omitempty"`
+	// ReusePct is the percentage of prompt tokens that came from engines' caches,
+	// according to the usage that answers report.
 	ReusePct float64        `json:"reuse_pct"`
 	Engines  []EngineSeries `json:"engines"`
 	Skew     *Skew          `json:"skew,omitempty"`
-	// Processes are what the processes named in the options spent.
+	// Processes are the costs of the processes named in the options.
 	Processes []ProcessCost `json:"processes,omitempty"`
 }
 
-// namedRequests bounds each list of named requests.
-const namedRequests = 10
+// maxListedRequests bounds each of the lists Slowest and NotWhole.
+const maxListedRequests = 10
 
-// NamedRequest is a request by the name that the fleet gave it.
-type NamedRequest struct {
+// ListedRequest identifies a request by the ID that the fleet gave it.
+type ListedRequest struct {
 	Request      string  `json:"request"`
 	Verdict      string  `json:"verdict,omitempty"`
 	FirstTokenMs float64 `json:"first_token_ms"`
 }
 
-// Counts of one phase. Each request ends in one of whole, wrong, cut, refused
-// and failed.
+// Counts are the counters of one phase. Each request ends as exactly one of whole,
+// wrong, cut, refused and failed.
 type Counts struct {
 	Sent int `json:"sent"`
-	// Whole answers agree with package answer byte for byte; orders with
-	// package desk.
+	// Whole answers to chats are those that package answer computes, byte for
+	// byte; those to orders are what package desk answers.
 	Whole int `json:"whole"`
-	// Wrong answers are complete but not the caller's own.
+	// Wrong answers are complete but differ from the expected one.
 	Wrong int `json:"wrong"`
-	// Cut answers began and did not end.
+	// Cut answers began but broke off or ended with an error.
 	Cut int `json:"cut"`
-	// Refused requests got an error answer at the last attempt.
+	// Refused requests got an error status at the last attempt.
 	Refused int `json:"refused"`
 	// Failed requests got no answer at the last attempt.
 	Failed int `json:"failed"`
@@ -93,19 +96,19 @@
 	Returning int `json:"returning"`
 	// Orders are among Sent; an order that is sent twice at once counts twice.
 	Orders int `json:"orders"`
-	// Tokens are those of all answers, whole or not.
+	// Tokens is the number of tokens in all answers, whole or not.
 	Tokens int `json:"tokens"`
-	// PromptTokens and CachedTokens are those of whole answers.
+	// PromptTokens and CachedTokens are taken from the usage of whole answers.
 	PromptTokens int `json:"prompt_tokens"`
 	CachedTokens int `json:"cached_tokens"`
 	// LateArrivals could not be sent in time, because MaxInFlight was reached
-	// or the load tool was too slow.
+	// or the load generator was too slow.
 	LateArrivals int `json:"late_arrivals"`
 	// FirstTokenInGoal got their first token within 500 ms.
 	FirstTokenInGoal int `json:"first_token_in_goal"`
 }
 
-// Latency of one phase. Chats only, but for Order.
+// Latency is the latency of one phase: Order for orders, the rest for chats.
 type Latency struct {
 	FirstToken    Quantiles `json:"first_token"`
 	BetweenTokens Quantiles `json:"between_tokens"`
@@ -113,7 +116,7 @@
 	Order         Quantiles `json:"order"`
 }
 
-// Quantiles describe a distribution of times in milliseconds.
+// Quantiles describes a distribution of times in milliseconds.
 type Quantiles struct {
 	Count  int64   `json:"count"`
 	MeanMs float64 `json:"mean_ms"`
@@ -121,17 +124,17 @@
 	Points []Point `json:"points"`
 }
 
-// Point says that the share Q of the values is at most Ms.
+// Point is one quantile: the share Q of the values is at most Ms.
 type Point struct {
 	Q  float64 `json:"q"`
 	Ms float64 `json:"ms"`
 }
 
-// quantiles are the points that results hold.
+// quantiles are the quantiles that results hold.
 var quantiles = []float64{0.05, 0.1, 0.25, 0.5, 0.75, 0.9, 0.95, 0.98, 0.99, 0.995, 0.999, 1}
 
-// At returns the value in milliseconds at a quantile that results hold, zero
-// for any other.
+// At returns the value in milliseconds at a quantile that results hold, or zero
+// for any other quantile.
 func (q Quantiles) At(quantile float64) float64 {
 	for _, point := range q.Points {
 		if point.Q == quantile {
@@ -141,7 +144,7 @@
 	return 0
 }
 
-// Histograms count microseconds up to ten minutes in three digits.
+// Histograms hold microseconds up to ten minutes, with three significant digits.
 const (
 	lowestMicros  = 1
 	highestMicros = int64(10 * time.Minute / time.Microsecond)
@@ -152,8 +155,8 @@
 	return hdrhistogram.New(lowestMicros, highestMicros, digits)
 }
 
-// summarise reads a histogram out.
-func summarise(h *hdrhistogram.Histogram) Quantiles {
+// quantilesOf returns the quantiles of a histogram.
+func quantilesOf(h *hdrhistogram.Histogram) Quantiles {
 	summary := Quantiles{Count: h.TotalCount()}
 	if summary.Count == 0 {
 		return summary
@@ -167,13 +170,13 @@
 	return summary
 }
 
-// round keeps three decimals, which is a microsecond in a value in ms.
+// round rounds to three decimals, which are microseconds in a value in ms.
 func round(value float64) float64 {
 	return math.Round(value*1000) / 1000
 }
 
-// Added is what the fleet adds to the direct latency, in milliseconds. It is a
-// difference of quantiles, not a quantile of differences.
+// Added is the latency that the fleet adds to the direct one, in milliseconds. It
+// holds differences of quantiles, not quantiles of differences.
 type Added struct {
 	FirstTokenP50Ms    float64 `json:"first_token_p50_ms"`
 	FirstTokenP99Ms    float64 `json:"first_token_p99_ms"`
@@ -181,7 +184,7 @@
 	BetweenTokensP99Ms float64 `json:"between_tokens_p99_ms"`
 }
 
-// compare returns what the fleet's phase adds to the direct one.
+// compare returns the latency that the fleet's phase adds to the direct one.
 func compare(direct, fleet Latency) *Added {
 	diff := func(of func(Latency) Quantiles, q float64) float64 {
 		return round(of(fleet).At(q) - of(direct).At(q))
@@ -196,8 +199,8 @@
 	}
 }
 
-// broken lists the promises that a result shows broken.
-func (r *Result) broken() []string {
+// brokenGuarantees lists the guarantees that a result shows to be broken.
+func (r *Result) brokenGuarantees() []string {
 	list := []string{}
 	add := func(count int, what string) {
 		if count > 0 {
--- a/loadgen/runner.go
+++ b/loadgen/runner.go
@@ -13,12 +13,12 @@
 	"endiveplank/loadgen/trace"
 )
 
-// lateAfter is how late an arrival is sent before it counts as late.
-const lateAfter = 50 * time.Millisecond
+// lateThreshold is the delay after which an arrival counts as late.
+const lateThreshold = 50 * time.Millisecond
 
-// pauseWithoutHint is the pause before another attempt where the answer did
-// not say when to come back.
-const pauseWithoutHint = 50 * time.Millisecond
+// minRetryPause is the shortest pause before another attempt. It applies when the
+// answer did not say when to come back.
+const minRetryPause = 50 * time.Millisecond
 
 // runner sends one phase's trace to its targets.
 type runner struct {
@@ -27,17 +27,19 @@
 	targets  []string
 	client   *http.Client
 	recorder *recorder
-	turn     atomic.Uint64
-	// sticky sends all requests of a chat to one target, as an all-knowing
-	// router before idle engines would.
+	// nextTarget counts attempts, for round robin over the targets.
+	nextTarget atomic.Uint64
+	// sticky sends all requests of a chat to one target, as an ideal router
+	// would do in front of idle engines.
 	sticky bool
-	// withOrders is false where the targets take no orders.
+	// withOrders is false if the targets accept no orders.
 	withOrders bool
 	progress   io.Writer
 }
 
-// run sends arrivals until the duration or the number of requests is reached,
-// waits for the answers, and returns the phase without the engines' series.
+// run sends arrivals until the duration or the number of requests is reached, and
+// waits for the answers. The phase that it returns lacks the engines' readings and
+// the processes' costs, which measure adds.
 func (r *runner) run(ctx context.Context) Phase {
 	model := r.options.Trace
 	model.Run = r.options.Trace.Run + "-" + r.name
@@ -46,7 +48,7 @@
 	}
 	generator := trace.New(model, rand.New(rand.NewPCG(r.options.Seed, 0)))
 	slots := make(chan struct{}, r.options.MaxInFlight)
-	var flying sync.WaitGroup
+	var pending sync.WaitGroup
 	began := time.Now()
 	stopProgress := r.reportProgress(began)
 	for n := 0; r.options.Requests == 0 || n < r.options.Requests; n++ {
@@ -54,53 +56,54 @@
 		if item.At > r.options.Duration || !sleepUntil(ctx, began.Add(item.At)) {
 			break
 		}
-		r.launch(ctx, &flying, slots, item, began)
+		r.launch(ctx, &pending, slots, item, began)
 		if item.Order != nil && item.Order.Resend {
-			r.launch(ctx, &flying, slots, item, began)
+			r.launch(ctx, &pending, slots, item, began)
 		}
 	}
-	flying.Wait()
+	pending.Wait()
 	stopProgress()
 	return r.recorder.phase(r.name, time.Since(began))
 }
 
-// launch sends one request as soon as a slot is free.
-func (r *runner) launch(ctx context.Context, flying *sync.WaitGroup, slots chan struct{}, item trace.Item, began time.Time) {
+// launch waits for a free slot and then sends one request in the background.
+func (r *runner) launch(ctx context.Context, pending *sync.WaitGroup, slots chan struct{}, item trace.Item, began time.Time) {
 	slots <- struct{}{}
-	r.recorder.sent(item, time.Since(began)-item.At > lateAfter)
-	flying.Go(func() {
+	r.recorder.recordSent(item, time.Since(began)-item.At > lateThreshold)
+	pending.Go(func() {
 		defer func() { <-slots }()
-		r.recorder.ended(item, r.send(ctx, item))
+		r.recorder.recordEnd(item, r.send(ctx, item))
 	})
 }
 
-// send makes attempts until one settles the request. A chat whose answer began
-// is not asked for again: the caller has seen part of it. An order is sent
-// again under the same key.
-func (r *runner) send(ctx context.Context, item trace.Item) reply {
+// send makes attempts until the request has ended, and returns the result of the
+// last one. A chat whose answer began is not retried, because the caller has seen
+// part of it. An order is retried under the same key.
+func (r *runner) send(ctx context.Context, item trace.Item) attemptResult {
 	for attempt := 0; ; attempt++ {
 		got := r.attempt(ctx, r.target(item, attempt), item)
 		if !got.retry || attempt >= r.options.Retries {
 			return got
 		}
-		r.recorder.retried(got)
-		pause := min(max(got.retryAfter, pauseWithoutHint), r.options.MaxRetryWait)
+		r.recorder.recordRetry(got)
+		pause := min(max(got.retryAfter, minRetryPause), r.options.MaxRetryWait)
 		if !sleepUntil(ctx, time.Now().Add(pause)) {
 			return got
 		}
 	}
 }
 
-// target picks the target of an attempt: in turn, or by chat when sticky.
+// target returns the target of an attempt: by round robin, or by chat if the
+// runner is sticky.
 func (r *runner) target(item trace.Item, attempt int) string {
 	if r.sticky {
 		return r.targets[(item.Chat+uint64(attempt))%uint64(len(r.targets))]
 	}
-	return r.targets[r.turn.Add(1)%uint64(len(r.targets))]
+	return r.targets[r.nextTarget.Add(1)%uint64(len(r.targets))]
 }
 
-// reportProgress prints a line every so often until the returned function is
-// called.
+// reportProgress prints a progress line at an interval until the returned function
+// is called, and one more then.
 func (r *runner) reportProgress(began time.Time) (stop func()) {
 	ticker := time.NewTicker(r.options.ProgressEvery)
 	done := make(chan struct{})
@@ -127,13 +130,13 @@
 	r.recorder.mu.Lock()
 	defer r.recorder.mu.Unlock()
 	c := r.recorder.counts
-	p99 := float64(r.recorder.first.ValueAtQuantile(99)) / 1000
+	p99 := float64(r.recorder.firstToken.ValueAtQuantile(99)) / 1000
 	_, _ = fmt.Fprintf(r.progress,
 		"load: %s %3.0f s: %d sent, %d whole, %d refused, %d failed, %d cut, %d wrong, %d in flight, first token p99 %.1f ms\n",
 		r.name, time.Since(began).Seconds(), c.Sent, c.Whole, c.Refused, c.Failed, c.Cut, c.Wrong, r.recorder.inFlight, p99)
 }
 
-// sleepUntil returns false when ctx ends first.
+// sleepUntil waits until a point in time. It returns false if ctx ends first.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	wait := time.Until(at)
 	if wait <= 0 {
--- a/loadgen/trace/trace.go
+++ b/loadgen/trace/trace.go
@@ -1,20 +1,20 @@
 // Package trace generates the requests of a load run from a seed.
 //
-// Requests arrive as a Poisson process at Rate. Customers are drawn from a Zipf
-// distribution, so a few of them are large. An arrival continues a chat that is
-// due to return, or else begins a new one; a chat returns with probability
-// ReturnShare after each turn, after a pause drawn evenly on a logarithmic
-// scale. Its prompt holds the whole history, so prompts grow. Every chat of a
-// customer begins with that customer's own system message. Most requests are
-// short; LongShare of them have a long prompt and a long answer. Now and then
-// one customer surges: for BurstLength in every BurstEvery, arrivals come
-// BurstFactor times as often and the surplus is all that customer's. OrderShare
-// of the arrivals are orders with an idempotency key, and ResendShare of these
-// are sent a second time at once.
+// A Generator draws Items, the arrivals, as its Model says. Requests arrive as a
+// Poisson process at Rate. Customers are drawn from a Zipf distribution, so a few
+// of them are large. An arrival continues a chat whose pause is over, or else
+// begins a new one. After each turn a chat returns with probability ReturnShare,
+// after a pause drawn from a log-uniform distribution. Its prompt holds the whole
+// history, so prompts grow. Every chat of a customer begins with that customer's
+// own system message. Most requests are short; LongShare of them have a long
+// prompt and a long answer. In bursts, for BurstLength in every BurstEvery,
+// arrivals come BurstFactor times as often, and all the additional ones belong to
+// one customer. OrderShare of the arrivals are orders with an idempotency key, and
+// ResendShare of these are sent a second time at once.
 //
-// The assistant's turns in a history come from package answer, so the generator
-// needs no answers and the same seed gives the same requests against any
-// target.
+// The assistant's turns in a history are computed by package answer. So the
+// generator needs no real answers, and the same seed gives the same requests
+// against any target.
 package trace
 
 import (
@@ -29,7 +29,8 @@
 	"endiveplank/standin/answer"
 )
 
-// Lengths of prompts in words and of answers in tokens: from, and spread above.
+// Lengths of prompts in words and of answers in tokens. A length is drawn between
+// a minimum and that minimum plus its spread.
 const (
 	systemWords       = 120
 	shortWords        = 10
@@ -42,23 +43,24 @@
 	longTokensSpread  = 120
 )
 
-// Model is what a trace is drawn from.
+// Model holds the parameters of a trace.
 type Model struct {
-	// Run goes into every text and key, so that two runs share no prefix.
+	// Run is part of every text and key, so that two runs share no prefix.
 	Run string
-	// Rate is the mean number of arrivals a second outside bursts.
+	// Rate is the mean number of arrivals per second outside bursts.
 	Rate float64
-	// Customers is their number; customer i of n has a share of about
-	// 1/(i+1)^ZipfExponent.
+	// Customers is the number of customers. The share of customer i, counted from
+	// 0, is proportional to 1/(i+1)^ZipfExponent.
 	Customers    int
 	ZipfExponent float64
 	Models       []string
 	ReturnShare  float64
 	PauseMin     time.Duration
 	PauseMax     time.Duration
-	// MaxTurns ends a chat; MaxWaiting bounds the chats that may return.
+	// MaxTurns is the number of requests after which a chat ends, and MaxPaused the
+	// number of paused chats from which on no further chat returns.
 	MaxTurns    int
-	MaxWaiting  int
+	MaxPaused   int
 	LongShare   float64
 	OrderShare  float64
 	ResendShare float64
@@ -67,7 +69,7 @@
 	BurstFactor float64
 }
 
-// DefaultModel returns the trace that docs/LOAD.md documents.
+// DefaultModel returns the parameters that docs/LOAD.md documents.
 func DefaultModel() Model {
 	return Model{
 		Run:          "run",
@@ -79,7 +81,7 @@
 		PauseMin:     time.Second,
 		PauseMax:     30 * time.Second,
 		MaxTurns:     8,
-		MaxWaiting:   20_000,
+		MaxPaused:    20_000,
 		LongShare:    0.1,
 		OrderShare:   0.05,
 		ResendShare:  0.1,
@@ -89,11 +91,11 @@
 	}
 }
 
-// Order is an order to a plain service.
+// Order is an order for the order service.
 type Order struct {
 	Key  string
 	Body []byte
-	// Resend asks the caller to send the order a second time at once.
+	// Resend means that the caller sends the order a second time at once.
 	Resend bool
 }
 
@@ -102,26 +104,26 @@
 	At time.Duration
 	// Customer is the customer's rank, from 0.
 	Customer int
-	// Chat numbers the chat and Turn its requests, from 0.
+	// Chat is the number of the chat, from 1, and Turn that of its request, from 0.
 	Chat    uint64
 	Turn    int
 	Request chat.Request
 	Order   *Order
 }
 
-// Generator draws a trace. It is not safe for concurrent use.
+// Generator draws the arrivals of a trace. It is not safe for concurrent use.
 type Generator struct {
-	model   Model
-	rng     *rand.Rand
-	shares  []float64 // cumulative shares of customers
-	now     time.Duration
-	chats   uint64
-	orders  uint64
-	waiting returns
+	model            Model
+	rng              *rand.Rand
+	cumulativeShares []float64 // of customers, by rank
+	now              time.Duration
+	chats            uint64
+	orders           uint64
+	paused           pausedChats
 }
 
-// session is a chat between two of its turns.
-type session struct {
+// pausedChat is a chat between two of its turns. due is when it returns.
+type pausedChat struct {
 	due      time.Duration
 	id       uint64
 	customer int
@@ -130,16 +132,16 @@
 	messages []chat.Message
 }
 
-// New returns a generator that draws from rng.
+// New returns a generator that takes its random numbers from rng.
 func New(model Model, rng *rand.Rand) *Generator {
 	g := &Generator{model: model, rng: rng}
 	total := 0.0
 	for i := range model.Customers {
 		total += math.Pow(float64(i+1), -model.ZipfExponent)
-		g.shares = append(g.shares, total)
+		g.cumulativeShares = append(g.cumulativeShares, total)
 	}
-	for i := range g.shares {
-		g.shares[i] /= total
+	for i := range g.cumulativeShares {
+		g.cumulativeShares[i] /= total
 	}
 	return g
 }
@@ -148,19 +150,19 @@
 func (g *Generator) Next() Item {
 	surplus := g.advance()
 	if g.rng.Float64() < g.model.OrderShare {
-		return g.order()
+		return g.newOrder()
 	}
 	if surplus {
-		return g.begin(g.surgingCustomer())
+		return g.startChat(g.burstCustomer())
 	}
-	if len(g.waiting) > 0 && g.waiting[0].due <= g.now {
-		return g.turn(heap.Pop(&g.waiting).(*session))
+	if len(g.paused) > 0 && g.paused[0].due <= g.now {
+		return g.nextTurn(heap.Pop(&g.paused).(*pausedChat))
 	}
-	return g.begin(g.customer())
+	return g.startChat(g.drawCustomer())
 }
 
-// advance moves the clock to the next arrival and says whether it belongs to
-// the surplus of a burst.
+// advance moves the clock to the next arrival and reports whether it is one of the
+// additional arrivals of a burst.
 func (g *Generator) advance() (surplus bool) {
 	rate := g.model.Rate
 	burst := g.inBurst()
@@ -171,7 +173,8 @@
 	return burst && g.rng.Float64() > 1/g.model.BurstFactor
 }
 
-// inBurst says whether a customer surges now. The first BurstEvery is calm.
+// inBurst reports whether the clock is in a burst. There is none in the first
+// BurstEvery.
 func (g *Generator) inBurst() bool {
 	if g.model.BurstEvery <= 0 || g.now < g.model.BurstEvery {
 		return false
@@ -179,25 +182,25 @@
 	return g.now%g.model.BurstEvery < g.model.BurstLength
 }
 
-// surgingCustomer returns the customer of the current burst: each burst the
-// next one in rank.
-func (g *Generator) surgingCustomer() int {
+// burstCustomer returns the customer of the current burst. Each burst belongs to
+// the next customer by rank.
+func (g *Generator) burstCustomer() int {
 	return int(g.now/g.model.BurstEvery) % g.model.Customers
 }
 
-func (g *Generator) customer() int {
+func (g *Generator) drawCustomer() int {
 	drawn := g.rng.Float64()
-	for i, share := range g.shares {
+	for i, share := range g.cumulativeShares {
 		if drawn < share {
 			return i
 		}
 	}
-	return len(g.shares) - 1
+	return len(g.cumulativeShares) - 1
 }
 
-func (g *Generator) order() Item {
+func (g *Generator) newOrder() Item {
 	g.orders++
-	customer := g.customer()
+	customer := g.drawCustomer()
 	order := &Order{
 		Key:    fmt.Sprintf("order-%s-%d", g.model.Run, g.orders),
 		Resend: g.rng.Float64() < g.model.ResendShare,
@@ -207,11 +210,12 @@
 	return Item{At: g.now, Customer: customer, Order: order}
 }
 
-// begin starts a chat with its customer's system message.
-func (g *Generator) begin(customer int) Item {
+// startChat begins a chat with its customer's system message and returns its first
+// request.
+func (g *Generator) startChat(customer int) Item {
 	g.chats++
-	system := fmt.Sprintf("%s customer %d. %s", g.model.Run, customer, words(uint64(customer), systemWords))
-	return g.turn(&session{
+	system := fmt.Sprintf("%s customer %d. %s", g.model.Run, customer, randomWords(uint64(customer), systemWords))
+	return g.nextTurn(&pausedChat{
 		id:       g.chats,
 		customer: customer,
 		model:    g.model.Models[g.rng.IntN(len(g.model.Models))],
@@ -219,15 +223,15 @@
 	})
 }
 
-// turn makes a chat's next request and may schedule the one after.
-func (g *Generator) turn(s *session) Item {
+// nextTurn returns a chat's next request and may schedule the one after it.
+func (g *Generator) nextTurn(s *pausedChat) Item {
 	length := shortWords + g.rng.IntN(shortWordsSpread)
 	tokens := shortTokens + g.rng.IntN(shortTokensSpread)
 	if g.rng.Float64() < g.model.LongShare {
 		length = longWords + g.rng.IntN(longWordsSpread)
 		tokens = longTokens + g.rng.IntN(longTokensSpread)
 	}
-	text := fmt.Sprintf("chat %d turn %d. %s", s.id, s.turn, words(g.rng.Uint64(), length))
+	text := fmt.Sprintf("chat %d turn %d. %s", s.id, s.turn, randomWords(g.rng.Uint64(), length))
 	s.messages = append(s.messages, chat.Message{Role: "user", Content: text})
 	request := chat.Request{
 		Model:     s.model,
@@ -240,36 +244,37 @@
 	return item
 }
 
-// schedule puts a chat among those that return, unless it has ended.
-func (g *Generator) schedule(s *session, request chat.Request) {
+// schedule adds a chat to the paused ones with the time of its return, unless the
+// chat ends here.
+func (g *Generator) schedule(s *pausedChat, request chat.Request) {
 	s.turn++
-	if s.turn >= g.model.MaxTurns || len(g.waiting) >= g.model.MaxWaiting || g.rng.Float64() >= g.model.ReturnShare {
+	if s.turn >= g.model.MaxTurns || len(g.paused) >= g.model.MaxPaused || g.rng.Float64() >= g.model.ReturnShare {
 		return
 	}
 	reply := chat.Message{Role: "assistant", Content: answer.For(request).Text()}
 	s.messages = append(s.messages, reply)
 	ratio := float64(g.model.PauseMax) / float64(g.model.PauseMin)
 	s.due = g.now + time.Duration(float64(g.model.PauseMin)*math.Pow(ratio, g.rng.Float64()))
-	heap.Push(&g.waiting, s)
+	heap.Push(&g.paused, s)
 }
 
-// words returns n made-up words drawn from a seed.
-func words(seed uint64, n int) string {
+// randomWords returns n pseudo-random words that depend only on the seed.
+func randomWords(seed uint64, n int) string {
 	prompt := chat.Request{Messages: []chat.Message{{Content: fmt.Sprint(seed)}}, MaxTokens: n}
 	return strings.TrimSpace(answer.For(prompt).Text())
 }
 
-// returns is a heap of chats, the one that returns first on top.
-type returns []*session
+// pausedChats is a heap of chats, with the earliest return on top.
+type pausedChats []*pausedChat
 
-func (r returns) Len() int           { return len(r) }
-func (r returns) Less(i, j int) bool { return r[i].due < r[j].due }
-func (r returns) Swap(i, j int)      { r[i], r[j] = r[j], r[i] }
-func (r *returns) Push(s any)        { *r = append(*r, s.(*session)) }
-func (r *returns) Pop() any {
-	old := *r
+func (c pausedChats) Len() int           { return len(c) }
+func (c pausedChats) Less(i, j int) bool { return c[i].due < c[j].due }
+func (c pausedChats) Swap(i, j int)      { c[i], c[j] = c[j], c[i] }
+func (c *pausedChats) Push(s any)        { *c = append(*c, s.(*pausedChat)) }
+func (c *pausedChats) Pop() any {
+	old := *c
 	last := old[len(old)-1]
 	old[len(old)-1] = nil
-	*r = old[:len(old)-1]
+	*c = old[:len(old)-1]
 	return last
 }
--- a/loadgen/trace/trace_test.go
+++ b/loadgen/trace/trace_test.go
@@ -24,11 +24,14 @@
 	return drawn
 }
 
+// Two runs with the same seed are only comparable if they send the same requests.
 func TestSameSeedSameTrace(t *testing.T) {
 	assert.DeepEqual(t, draw(trace.DefaultModel()), draw(trace.DefaultModel()))
 }
 
-// The shares that the model promises, by count.
+// The trace must have the shares of large customers, orders, resent orders,
+// returning chats and bursts that the model asks for, and a returning chat must
+// carry its whole history.
 func TestShapeOfTheTrace(t *testing.T) {
 	model := trace.DefaultModel()
 	customers := make([]int, model.Customers)
--- a/report/report_test.go
+++ b/report/report_test.go
@@ -43,7 +43,7 @@
 	}
 	return loadgen.Result{
 		Schema: loadgen.Schema, Title: "sample",
-		Settings: loadgen.Summary{Seed: 1, Rate: 50, DurationS: 5, Customers: 10, Targets: 3, Engines: 2},
+		Settings: loadgen.RunSettings{Seed: 1, Rate: 50, DurationS: 5, Customers: 10, Targets: 3, Engines: 2},
 		Phases:   []loadgen.Phase{phase("direct", 10), phase("fleet", 11)},
 		Added:    &loadgen.Added{FirstTokenP50Ms: 1, FirstTokenP99Ms: 3, BetweenTokensP50Ms: 0.1, BetweenTokensP99Ms: 0.3},
 		Audit:    &loadgen.Audit{Keys: 7, Accepted: 6, Unknown: 1},
