--- a/daemon/metricstext/metricstext.go
+++ b/daemon/metricstext/metricstext.go
@@ -1,4 +1,4 @@
-// Package metricstext writes a metrics registry in the Prometheus text form.
+// Package metricstext writes a metrics registry in the Prometheus text format.
 package metricstext
 
 import (
@@ -14,13 +14,13 @@
 // Prefix starts every metric's name.
 const Prefix = "endiveplank_"
 
-// quantiles are written of each histogram: the middle, and what one caller in
-// ten, in a hundred and in a thousand gets at the worst.
+// quantiles are written for each histogram: the median, and the value that one caller in ten,
+// in a hundred and in a thousand exceeds.
 var quantiles = []float64{0.5, 0.9, 0.99, 0.999}
 
-// Write writes all metrics, sorted by name. labels names the label that the part
-// of a metric's name after the dot becomes, by the part before it; the registry
-// has no labels of its own.
+// Write writes all metrics, sorted by name. The registry has no labels, so a dot in a metric's
+// name separates the name from the value of its only label. labels maps the part before the
+// dot to the name of that label.
 func Write(w io.Writer, registry metrics.Registry, labels map[string]string) error {
 	var lines []string
 	registry.Each(func(name string, metric any) {
@@ -54,11 +54,11 @@
 	return nil
 }
 
-// histogramLines returns quantiles and count.
+// histogramLines returns the lines of a histogram: its quantiles and its count.
 func histogramLines(family, label string, h metrics.Histogram) []string {
 	lines := []string{line(family+"_count", label, float64(h.Count()))}
-	for at, value := range h.Percentiles(quantiles) {
-		quantile := fmt.Sprintf("quantile=\"%g\"", quantiles[at])
+	for i, value := range h.Percentiles(quantiles) {
+		quantile := fmt.Sprintf("quantile=\"%g\"", quantiles[i])
 		if label != "" {
 			quantile = label + "," + quantile
 		}
--- a/daemon/metricstext/metricstext_test.go
+++ b/daemon/metricstext/metricstext_test.go
@@ -9,6 +9,7 @@
 )
 
 func TestFormOfEachKindOfMetric(t *testing.T) {
+	// Guards against lines of counters, gauges or histograms that Prometheus can't read.
 	registry := metrics.NewRegistry()
 	metrics.GetOrRegisterCounter("refused_total.no-table", registry).Inc(3)
 	metrics.GetOrRegisterGauge("ready", registry).Update(1)
