--- a/daemon/diskvm/vm.go
+++ b/daemon/diskvm/vm.go
@@ -131,7 +131,7 @@
 			return
 		case <-changed:
 		case <-ticker.C:
-			pace.Note(tickInterval)
+			pace.Tick(tickInterval)
 			vm.tick()
 		}
 		vm.publishTable()
--- a/daemon/lateness/lateness.go
+++ b/daemon/lateness/lateness.go
@@ -1,6 +1,6 @@
-// Package lateness tells in the log when a process was held up: its VM was
-// suspended, its processor was taken, or it did too much at once. Whoever looks
-// for the cause of a late answer or an election finds it there.
+// Package lateness logs when a process was delayed: its VM was suspended, its processor was
+// taken by others, or it did too much at once. An operator who looks for the cause of a late
+// answer or an election finds it in the log.
 package lateness
 
 import (
@@ -10,49 +10,49 @@
 	"golang.org/x/sys/unix"
 )
 
-// tolerated is how late a tick may come without a line: several times what a
-// busy VM's scheduler takes, and half of what consensus bears.
-const tolerated = 350 * time.Millisecond
+// tolerance is how late a tick may come without a log line: several times the delay of a
+// busy VM's scheduler, and half of the delay that consensus tolerates.
+const tolerance = 350 * time.Millisecond
 
-// Pace compares ticks with clocks. It is not safe for concurrent use.
-type Pace struct {
+// Monitor compares the times of ticks with two clocks. It is not safe for concurrent use.
+type Monitor struct {
 	log      zerolog.Logger
 	last     time.Time
 	lastBoot time.Duration
 }
 
-// New starts at the present moment.
-func New(log zerolog.Logger) *Pace {
-	return &Pace{log: log, last: time.Now(), lastBoot: bootTime()}
+// New returns a Monitor that expects its first tick one interval from now.
+func New(log zerolog.Logger) *Monitor {
+	return &Monitor{log: log, last: time.Now(), lastBoot: bootTime()}
 }
 
-// bootTime is the time since the VM's start, with the time of suspension, which
-// Go's own clock leaves out.
+// bootTime returns the time since the VM's boot, including the time that the VM was suspended,
+// which Go's monotonic clock leaves out.
 func bootTime() time.Duration {
 	var at unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &at); err != nil {
-		// Without the clock a suspension shows as no time at all.
+		// Without this clock no suspension is detected.
 		return 0
 	}
 	return time.Duration(at.Nano())
 }
 
-// Note takes a tick that should come an interval after the one before.
-func (p *Pace) Note(interval time.Duration) {
+// Tick records a tick that is due one interval after the one before.
+func (m *Monitor) Tick(interval time.Duration) {
 	now, boot := time.Now(), bootTime()
-	ran := now.Sub(p.last)
-	passed := boot - p.lastBoot
-	p.last, p.lastBoot = now, boot
-	p.note(interval, ran, passed)
+	ran := now.Sub(m.last)
+	passed := boot - m.lastBoot
+	m.last, m.lastBoot = now, boot
+	m.check(interval, ran, passed)
 }
 
-// note writes a line if the process was held up: it ran, or waited for its
-// processor, for some time since the tick before, while on the VM another time
-// passed.
-func (p *Pace) note(interval, ran, passed time.Duration) {
+// check writes a line if the process was delayed since the tick before. ran is the time by
+// Go's monotonic clock, during which the process ran or waited for its processor. passed is
+// the time on the VM, including suspension.
+func (m *Monitor) check(interval, ran, passed time.Duration) {
 	late := max(ran-interval, 0)
 	suspended := max(passed-ran, 0)
-	if late > tolerated || suspended > tolerated {
-		p.log.Warn().Str("event", "held-up").Int64("late_ms", late.Milliseconds()).Int64("suspended_ms", suspended.Milliseconds()).Send()
+	if late > tolerance || suspended > tolerance {
+		m.log.Warn().Str("event", "held-up").Int64("late_ms", late.Milliseconds()).Int64("suspended_ms", suspended.Milliseconds()).Send()
 	}
 }
--- a/daemon/lateness/lateness_test.go
+++ b/daemon/lateness/lateness_test.go
@@ -10,10 +10,10 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestOnlyWhatHeldTheProcessUpIsTold(t *testing.T) {
-	// An operator looks for the cause of a late answer. The router's VM was
-	// suspended for two seconds, which Go's own clock doesn't show, or its
-	// processor was taken for one. Ticks that are a little late tell nothing.
+func TestOnlyDelaysAboveTheToleranceAreLogged(t *testing.T) {
+	// Guards against delays that an operator can't find in the log: a VM was suspended for two
+	// seconds, which Go's monotonic clock doesn't show, or its processor was taken for one.
+	// Ticks that are only a little late write no line.
 	tests := map[string]struct {
 		ran, passed time.Duration
 		line        string
@@ -30,8 +30,8 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			var lines bytes.Buffer
-			p := &Pace{log: zerolog.New(&lines)}
-			p.note(50*time.Millisecond, test.ran, test.passed)
+			m := &Monitor{log: zerolog.New(&lines)}
+			m.check(50*time.Millisecond, test.ran, test.passed)
 			if test.line == "" {
 				assert.Equal(t, lines.String(), "")
 				return
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -159,7 +159,7 @@
 		case <-r.quit:
 			return
 		case <-ticker.C:
-			pace.Note(tickInterval)
+			pace.Tick(tickInterval)
 			r.tick()
 		}
 	}
