--- a/cmd/endiveplankd/direct.go
+++ b/cmd/endiveplankd/direct.go
@@ -171,7 +171,7 @@
 	}
 	return router.New(router.Options{
 		Settings: settings, Tracer: tracer, Dialect: platform.Dialect{}, Log: logs.log, RequestLog: logs.requests, Random: random,
-		ReadTable: func(_ uint64, body []byte) (*routing.Table, error) { return platform.ReadTable(body) },
+		ParseTable: func(_ uint64, body []byte) (*routing.Table, error) { return platform.ReadTable(body) },
 		AnnouncementHandler: func(take func(context.Context, roster.Entry) bool) http.Handler {
 			return platform.NewAnnouncementHandler(take, logs.log)
 		},
--- a/daemon/router/announcements.go
+++ b/daemon/router/announcements.go
@@ -7,46 +7,49 @@
 	"endiveplank/coordination/roster"
 )
 
-// announcementPatience is how long an upstream waits until a disk VM has taken what
-// it says. It calls somebody else after a second.
-const announcementPatience = 800 * time.Millisecond
+// announcementTimeout is how long an upstream waits for a disk VM to acknowledge its
+// announcement. An upstream that has no answer after a second announces itself elsewhere.
+const announcementTimeout = 800 * time.Millisecond
 
-// announcements are those that a disk VM has been told of, by the number of the
-// message. The router's lock is held for all that is done with them.
-type announcements struct {
-	waiting map[uint64]*forwarded
+// pendingAnnouncements are the messages with announcements that this router has sent to a
+// disk VM, by message number, until the disk VM acknowledges them. The router's lock is held
+// for all of its methods.
+type pendingAnnouncements struct {
+	waiting map[uint64]*forwardedMessage
 }
 
-// forwarded is a message to a disk VM and those who wait for its word.
-type forwarded struct {
-	taken   chan struct{}
+// forwardedMessage is a message to a disk VM and the number of upstreams that wait for its
+// acknowledgement. acked is closed when it arrives.
+type forwardedMessage struct {
+	acked   chan struct{}
 	waiters int
 }
 
-// await returns what is closed once the message of a number is acknowledged.
-func (a *announcements) await(number uint64) *forwarded {
+// await adds a waiter for a message. The message's acked channel is closed when a disk VM
+// acknowledges it. The waiter must call release.
+func (a *pendingAnnouncements) await(number uint64) *forwardedMessage {
 	if a.waiting == nil {
-		a.waiting = map[uint64]*forwarded{}
+		a.waiting = map[uint64]*forwardedMessage{}
 	}
 	message := a.waiting[number]
 	if message == nil {
-		message = &forwarded{taken: make(chan struct{})}
+		message = &forwardedMessage{acked: make(chan struct{})}
 		a.waiting[number] = message
 	}
 	message.waiters++
 	return message
 }
 
-// acknowledged tells all who wait for a message that a disk VM has it.
-func (a *announcements) acknowledged(number uint64) {
+// ack wakes all that wait for a message, which a disk VM has acknowledged.
+func (a *pendingAnnouncements) ack(number uint64) {
 	if message := a.waiting[number]; message != nil {
-		close(message.taken)
+		close(message.acked)
 		delete(a.waiting, number)
 	}
 }
 
-// forget ends a wait; the last one takes the message with it.
-func (a *announcements) forget(number uint64) {
+// release ends one wait for a message. The last one removes the message.
+func (a *pendingAnnouncements) release(number uint64) {
 	message := a.waiting[number]
 	if message == nil {
 		return
@@ -57,41 +60,42 @@
 	}
 }
 
-// takeAnnouncement takes an upstream's announcement. It reports true once the disk
-// VMs know what it says, or will by what this router tells them in time; see
-// control.Publisher.AnnounceAt.
-func (r *Router) takeAnnouncement(ctx context.Context, e roster.Entry) bool {
-	known, number, message := r.noteAnnouncement(e)
+// handleAnnouncement processes an upstream's announcement. It returns true once the disk
+// VMs know what it says, or, for a heartbeat, if this router's messages will tell them in
+// time; see control.Publisher.AnnounceAt.
+func (r *Router) handleAnnouncement(ctx context.Context, e roster.Entry) bool {
+	known, number, message := r.mergeAnnouncement(e)
 	if message == nil {
 		return known
 	}
 	defer func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.announcements.forget(number)
+		r.announcements.release(number)
 	}()
 	select {
-	case <-message.taken:
+	case <-message.acked:
 		return true
 	case <-ctx.Done():
 		return false
-	case <-time.After(announcementPatience):
+	case <-time.After(announcementTimeout):
 		return false
 	}
 }
 
-// noteAnnouncement merges an announcement. It returns what to wait for where a disk
-// VM has to be told first.
-func (r *Router) noteAnnouncement(e roster.Entry) (known bool, number uint64, message *forwarded) {
+// mergeAnnouncement merges an announcement into the roster. If a disk VM has to receive it
+// first, mergeAnnouncement returns the message to wait for. Otherwise message is nil, and
+// known is the answer to the upstream.
+func (r *Router) mergeAnnouncement(e roster.Entry) (known bool, number uint64, message *forwardedMessage) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.leaving.Load() {
+	if r.stopping.Load() {
 		return false, 0, nil
 	}
 	known, number, waits := r.follower.HandleAnnouncement(r.now(), e)
 	if !waits {
 		return known, 0, nil
 	}
-	r.takeRoster()
+	r.applyRoster()
 	return false, number, r.announcements.await(number)
 }
--- a/daemon/router/fleet.go
+++ b/daemon/router/fleet.go
@@ -17,23 +17,24 @@
 // Table implements forward.Fleet.
 func (r *Router) Table() *routing.Index { return r.table.Load() }
 
-// settlingFor is how long after its start a router may still learn what it needs
-// at any moment: an election of the disk VMs and two announcements of upstreams.
-const settlingFor = 4 * time.Second
+// settlingPeriod is how long after its start a router may still be about to learn what
+// it lacks: an election of the disk VMs and two announcements of the upstreams fit into it.
+const settlingPeriod = 4 * time.Second
 
 // Settling implements forward.Fleet.
 func (r *Router) Settling() bool {
-	if r.now() >= settlingFor {
+	if r.now() >= settlingPeriod {
 		return false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.knewEnough = r.knewEnough || r.knowsEnough()
-	return !r.knewEnough
+	r.initialized = r.initialized || r.hasTableAndUpstreams()
+	return !r.initialized
 }
 
-// knowsEnough reports whether callers can be served well. The lock is held.
-func (r *Router) knowsEnough() bool {
+// hasTableAndUpstreams reports whether the router knows a table, an upstream that is
+// ready and most of the upstreams that the disk VMs list. The lock is held.
+func (r *Router) hasTableAndUpstreams() bool {
 	return r.table.Load() != nil && r.book.AnyReady() && r.follower.KnowsMostUpstreams(r.now())
 }
 
@@ -45,16 +46,16 @@
 	request := balance.Request{Service: job.Service, Tried: job.Tried, Once: job.Once(), Again: job.Erred != ""}
 	request.Prompt, request.HasPrompt = job.PromptKey()
 	request.Beginnings = job.Beginnings()
-	known, first := r.room(job.Service), len(job.Tried) == 0
+	capacity, first := r.capacity(job.Service), len(job.Tried) == 0
 	if first {
-		request.Limit = known.Asked(now, job.Customer)
+		request.Limit = capacity.Asked(now, job.Customer)
 	}
 	choice := r.book.Pick(now, r.random, request)
 	if choice.ID != "" {
 		r.book.Started(choice.ID)
 	}
 	if first && choice.ID != "" {
-		known.Served(now)
+		capacity.Served(now)
 	}
 	return choice
 }
@@ -76,29 +77,29 @@
 	r.book.Judged(r.now(), upstream, result)
 }
 
-// kindOf returns the kind of an attempt's answer.
-func kindOf(job forward.Job, choice balance.Choice) answertime.Kind {
+// answerKind returns the kind of an attempt's answer, by which answer times are compared.
+func answerKind(job forward.Job, choice balance.Choice) answertime.Kind {
 	_, prompt := job.PromptKey()
 	return answertime.Kind{Route: job.Route.Name, Cold: prompt && choice.Reason != balance.ReasonKeeper && choice.CopyFrom == ""}
 }
 
-// Overdue implements forward.Fleet. An upstream that hasn't lost requests lately is
-// given the longest time: of a hundred answers that take six times as long as usual
-// without a fault, each would be asked for twice, and read twice.
+// Overdue implements forward.Fleet. It returns most, the longest time, for an upstream that
+// hasn't lost requests lately. Otherwise each of a hundred answers that merely take six times
+// as long as usual would be requested a second time, and its prompt processed twice.
 func (r *Router) Overdue(job forward.Job, choice balance.Choice, most time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.book.Suspected(r.now(), choice.ID) {
 		return most
 	}
-	return r.times.Overdue(kindOf(job, choice), most)
+	return r.times.Overdue(answerKind(job, choice), most)
 }
 
 // Silent implements forward.Fleet.
 func (r *Router) Silent(job forward.Job, choice balance.Choice, after time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.times.Note(kindOf(job, choice), after)
+	r.times.Note(answerKind(job, choice), after)
 	r.book.Overdue(r.now(), choice.ID)
 }
 
@@ -106,30 +107,30 @@
 func (r *Router) Began(job forward.Job, choice balance.Choice, took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.times.Note(kindOf(job, choice), took)
+	r.times.Note(answerKind(job, choice), took)
 	if prompt, any := job.PromptKey(); any {
 		r.book.Keeps(r.now(), choice.ID, prompt, job.Beginnings())
 	}
 }
 
-// room returns what is known of the room of a service. The lock is held.
-func (r *Router) room(service protocol.Service) *room.Service {
-	c := r.rooms[service]
-	if c == nil {
-		c = room.NewService()
-		r.rooms[service] = c
+// capacity returns the estimate of a service's capacity. The lock is held.
+func (r *Router) capacity(service protocol.Service) *room.Service {
+	capacity := r.capacities[service]
+	if capacity == nil {
+		capacity = room.NewService()
+		r.capacities[service] = capacity
 	}
-	return c
+	return capacity
 }
 
 // Timed implements forward.Fleet.
 func (r *Router) Timed(job forward.Job, choice balance.Choice, inTime bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.room(job.Service).Note(r.now(), choice.Load, inTime)
+	r.capacity(job.Service).Note(r.now(), choice.Load, inTime)
 }
 
-// window returns the retries of a service. The lock is held.
+// window returns the retry budget of a service. The lock is held.
 func (r *Router) window(service protocol.Service) *retry.Window {
 	w := r.windows[service]
 	if w == nil {
@@ -167,14 +168,15 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	crash := crashes.Crash{Digest: digest, Upstream: upstream, Attempt: r.random.Uint64()}
-	r.noteCrash(r.now(), crash)
+	r.recordCrash(r.now(), crash)
 	for _, other := range r.routers {
 		r.fabric.Send(other.ID, crash)
 	}
 }
 
-// noteCrash counts a crash. The lock is held.
-func (r *Router) noteCrash(now time.Duration, crash crashes.Crash) {
+// recordCrash counts a crash and logs if the request is quarantined for it. The lock is
+// held.
+func (r *Router) recordCrash(now time.Duration, crash crashes.Crash) {
 	if r.crashes.Note(now, crash) {
 		r.log.Warn().Str("event", "request-condemned").Uint64("digest", crash.Digest).Str("upstream", string(crash.Upstream)).Send()
 	}
--- a/daemon/router/metrics.go
+++ b/daemon/router/metrics.go
@@ -10,27 +10,28 @@
 	"endiveplank/transport/forward"
 )
 
-// histogramSample is how many values a histogram keeps, the latest weighing most:
-// the library's own suggestion for quantiles within a few parts in a hundred.
+// histogramSample is how many values a histogram keeps, with recent values weighted
+// most. Size and alpha are the library's own suggestion for quantiles with an error of a
+// few percent.
 const (
 	histogramSample = 1028
 	histogramAlpha  = 0.015
 )
 
-// metricLabels names the label behind the dot in a metric's name.
+// metricLabels maps a metric's name to the label whose value follows the dot.
 var metricLabels = map[string]string{
 	"refused_total":  "reason",
 	"attempts_total": "result",
 	"answers_total":  "status",
 }
 
-// instruments count what callers got. docs/METRICS.md lists the names. Their
-// number is bounded by the reasons, results and classes of status in the code.
+// instruments are the metrics of callers' requests. docs/METRICS.md lists their names.
+// Their number is bounded by the reasons, results and status classes in the code.
 type instruments struct {
-	registry metrics.Registry
-	took     metrics.Histogram
-	first    metrics.Histogram
-	waited   metrics.Histogram
+	registry      metrics.Registry
+	requestTime   metrics.Histogram
+	firstByteTime metrics.Histogram
+	attemptTime   metrics.Histogram
 }
 
 func newInstruments() *instruments {
@@ -39,8 +40,8 @@
 		return metrics.GetOrRegisterHistogram(name, registry, metrics.NewExpDecaySample(histogramSample, histogramAlpha))
 	}
 	return &instruments{
-		registry: registry,
-		took:     histogram("request_ms"), first: histogram("first_byte_ms"), waited: histogram("attempt_ms"),
+		registry:    registry,
+		requestTime: histogram("request_ms"), firstByteTime: histogram("first_byte_ms"), attemptTime: histogram("attempt_ms"),
 	}
 }
 
@@ -52,12 +53,12 @@
 	metrics.GetOrRegisterGauge(name, m.registry).Update(value)
 }
 
-// observe counts one request.
+// observe records a request that has ended.
 func (m *instruments) observe(o forward.Outcome) {
 	m.count("requests_total")
-	m.took.Update(o.Took.Milliseconds())
+	m.requestTime.Update(o.Took.Milliseconds())
 	if o.FirstAfter > 0 {
-		m.first.Update(o.FirstAfter.Milliseconds())
+		m.firstByteTime.Update(o.FirstAfter.Milliseconds())
 	}
 	switch {
 	case o.CallerGone:
@@ -71,30 +72,30 @@
 	}
 	for _, a := range o.Attempts {
 		m.count("attempts_total." + a.Result.String())
-		m.waited.Update(a.Took.Milliseconds())
+		m.attemptTime.Update(a.Took.Milliseconds())
 	}
 }
 
-// statusClass returns the class of an upstream's status, as in 2xx.
+// statusClass returns the class of an upstream's status, such as 2xx.
 func statusClass(status int) string {
 	return string(rune('0'+status/100%10)) + "xx"
 }
 
-// answerMetrics writes all metrics as text.
-func (r *Router) answerMetrics(w http.ResponseWriter, _ *http.Request) {
-	r.noteGauges()
+// serveMetrics writes all metrics as text.
+func (r *Router) serveMetrics(w http.ResponseWriter, _ *http.Request) {
+	r.updateGauges()
 	if err := metricstext.Write(w, r.metrics.registry, metricLabels); err != nil {
 		r.log.Debug().Str("event", "metrics-not-written").Err(err).Send()
 	}
 }
 
-// noteGauges brings the gauges up to date.
-func (r *Router) noteGauges() {
+// updateGauges sets the gauges to their current values.
+func (r *Router) updateGauges() {
 	dialed, reused := r.pool.Counts()
 	counts := r.fabric.Counts()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.metrics.set("ready", truth(r.ready()))
+	r.metrics.set("ready", gaugeValue(r.ready()))
 	r.metrics.set("table_version", int64(r.tableVersion()))
 	r.metrics.set("upstreams_usable", int64(r.roster.Usable()))
 	r.metrics.set("disk_vms_in_touch", int64(r.follower.AliveDiskVMs(r.now())))
@@ -106,8 +107,8 @@
 	r.metrics.set("uptime_seconds", int64(r.now()/time.Second))
 }
 
-// truth is 1 for true.
-func truth(b bool) int64 {
+// gaugeValue returns 1 for true and 0 for false.
+func gaugeValue(b bool) int64 {
 	if b {
 		return 1
 	}
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -33,9 +33,10 @@
 )
 
 const (
-	// tickInterval is how often watches and loads are looked at.
+	// tickInterval is how often the router checks whether watches or loads are due.
 	tickInterval = 50 * time.Millisecond
-	// sweepInterval is how often unused connections are looked at.
+	// sweepInterval is how often the router closes idle connections and removes upstreams
+	// that no disk VM lists.
 	sweepInterval = time.Second
 )
 
@@ -43,16 +44,16 @@
 type Options struct {
 	Settings direct.Settings
 	Dialect  dialect.Dialect
-	// ReadTable makes a table of what the disk VMs keep.
-	ReadTable func(version uint64, body []byte) (*routing.Table, error)
-	// AnnouncementHandler makes what serves upstreams' announcements; take reports
-	// whether the fleet knows what one says.
-	AnnouncementHandler func(take func(context.Context, roster.Entry) bool) http.Handler
+	// ParseTable decodes a table from the document that the disk VMs keep.
+	ParseTable func(version uint64, body []byte) (*routing.Table, error)
+	// AnnouncementHandler returns the handler of upstreams' announcements. handle reports
+	// whether the fleet knows what an announcement says.
+	AnnouncementHandler func(handle func(context.Context, roster.Entry) bool) http.Handler
 	Log                 zerolog.Logger
-	// RequestLog takes the line of each request.
+	// RequestLog receives one line for each request.
 	RequestLog zerolog.Logger
 	Random     *rand.Rand
-	// Tracer makes the spans of requests; nil for none. The router closes it.
+	// Tracer records the spans of requests; nil for none. The router closes it.
 	Tracer *tracing.Tracer
 }
 
@@ -66,55 +67,55 @@
 	handler *forward.Handler
 	table   atomic.Pointer[routing.Index]
 	servers servers
-	// announcements are those that wait for a disk VM's word.
-	announcements announcements
+	// announcements are those that wait for a disk VM's acknowledgement.
+	announcements pendingAnnouncements
 	metrics       *instruments
-	// leaving says that a planned stop has begun.
-	leaving atomic.Bool
+	// stopping is set once a planned stop has begun.
+	stopping atomic.Bool
 
-	mu       sync.Mutex
-	random   *rand.Rand
-	settings direct.Settings
-	roster   *roster.Roster
-	follower *control.Follower
-	relay    *control.Relay
-	book     *balance.Book
-	crashes  *crashes.Record
-	times    *answertime.Times
-	windows  map[protocol.Service]*retry.Window
-	rooms    map[protocol.Service]*room.Service
-	// limited says of which services logRooms has told that they have a limit.
-	limited map[protocol.Service]bool
-	routers []control.Router
-	// fleetSize is the largest number of routers known lately, this one
-	// included.
-	fleetSize int
-	sizedAt   time.Duration
-	revision  uint64
-	told      time.Duration
-	toldWhole time.Duration
-	swept     time.Duration
-	// unlistedSince is when disk VMs were last all out of touch.
-	unlistedSince time.Duration
-	// knewEnough says that the router has known the table and most upstreams.
-	knewEnough  bool
+	mu         sync.Mutex
+	random     *rand.Rand
+	settings   direct.Settings
+	roster     *roster.Roster
+	follower   *control.Follower
+	relay      *control.Relay
+	book       *balance.Book
+	crashes    *crashes.Record
+	times      *answertime.Times
+	windows    map[protocol.Service]*retry.Window
+	capacities map[protocol.Service]*room.Service
+	// loggedLimits holds, by service, whether logLimits last reported a limit.
+	loggedLimits map[protocol.Service]bool
+	routers      []control.Router
+	// fleetSize is the largest number of routers known lately, including this one.
+	fleetSize       int
+	fleetSizeSetAt  time.Duration
+	rosterRevision  uint64
+	loadsSentAt     time.Duration
+	fullLoadsSentAt time.Duration
+	sweptAt         time.Duration
+	// noDiskVMAt is when no disk VM was alive last.
+	noDiskVMAt time.Duration
+	// initialized is set once the router has known a table and most of the upstreams. It
+	// is never cleared.
+	initialized bool
 	quit        chan struct{}
 	done        sync.WaitGroup
-	readyBefore bool
+	loggedReady bool
 }
 
-// New starts all parts. Errors: those of the listeners.
+// New starts a router. It returns an error if an address can't be listened at.
 func New(options Options) (*Router, error) {
 	r := &Router{
 		options: options, settings: options.Settings, log: options.Log, started: time.Now(),
 		pool: exchange.NewPool(), random: options.Random, metrics: newInstruments(),
-		roster:  roster.New(roster.DefaultSettings()),
-		crashes: crashes.New(crashes.DefaultSettings()),
-		times:   answertime.New(),
-		windows: map[protocol.Service]*retry.Window{},
-		rooms:   map[protocol.Service]*room.Service{},
-		limited: map[protocol.Service]bool{},
-		quit:    make(chan struct{}),
+		roster:       roster.New(roster.DefaultSettings()),
+		crashes:      crashes.New(crashes.DefaultSettings()),
+		times:        answertime.New(),
+		windows:      map[protocol.Service]*retry.Window{},
+		capacities:   map[protocol.Service]*room.Service{},
+		loggedLimits: map[protocol.Service]bool{},
+		quit:         make(chan struct{}),
 	}
 	self := options.Settings.Self()
 	r.follower = control.NewFollower(self, true, options.Settings.SeedPeers(), r.roster)
@@ -144,130 +145,133 @@
 	return r, nil
 }
 
-// now is the time since the start, by the monotonic clock.
+// now returns the time since the start, by the monotonic clock.
 func (r *Router) now() time.Duration { return time.Since(r.started) }
 
-// run does what is due until the router stops.
+// run ticks until the router stops.
 func (r *Router) run() {
 	defer r.done.Done()
 	r.tick()
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	pace := lateness.New(r.log)
+	monitor := lateness.New(r.log)
 	for {
 		select {
 		case <-r.quit:
 			return
 		case <-ticker.C:
-			pace.Tick(tickInterval)
+			monitor.Tick(tickInterval)
 			r.tick()
 		}
 	}
 }
 
-// tick asks the disk VMs, tells the other routers, and forgets who is silent.
+// tick sends watches to the disk VMs and loads to the other routers, and removes the loads of
+// silent routers and the upstreams that no disk VM lists any more.
 func (r *Router) tick() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
 	r.fabric.SendAll(r.follower.Tick(now))
 	r.logEvents()
-	r.noteRouters(now)
+	r.updateRouters(now)
 	r.fabric.SendAll(r.relay.Due(now))
-	r.tellLoads(now)
+	r.sendLoads(now)
 	for _, id := range r.book.Expire(now) {
-		r.log.Info().Str("event", "router-silent").Str("router", string(id)).Msg("its work no longer counts")
+		r.log.Info().Str("event", "router-silent").Str("router", string(id)).Msg("no message from this router lately, its load no longer counts")
 	}
-	r.takeRoster()
-	r.logJudgements(now)
-	r.logRooms(now)
-	if now-r.swept >= sweepInterval {
-		r.swept = now
+	r.applyRoster()
+	r.logEjections(now)
+	r.logLimits(now)
+	if now-r.sweptAt >= sweepInterval {
+		r.sweptAt = now
 		r.forgetUnlisted(now)
 		go r.pool.Sweep()
 	}
-	if ready := r.ready(); ready != r.readyBefore {
-		r.readyBefore = ready
+	if ready := r.ready(); ready != r.loggedReady {
+		r.loggedReady = ready
 		r.log.Info().Str("event", "readiness").Bool("ready", ready).Uint64("table", r.tableVersion()).Send()
 	}
 }
 
-// forgetUnlisted drops the upstreams that no disk VM has listed for long. While
-// none is in touch all stay: they are the last that is known.
+// forgetUnlisted removes the upstreams that no disk VM has listed for a long time. While no
+// disk VM is alive, all upstreams stay: they are the last list that is known.
 func (r *Router) forgetUnlisted(now time.Duration) {
 	if r.follower.AliveDiskVMs(now) == 0 {
-		r.unlistedSince = now
+		r.noDiskVMAt = now
 		return
 	}
-	if now-r.unlistedSince < r.roster.ForgetSilent() {
+	if now-r.noDiskVMAt < r.roster.ForgetSilent() {
 		return
 	}
 	for _, id := range r.roster.Expire(now) {
-		r.log.Warn().Str("event", "upstream-unlisted").Str("upstream", string(id)).Msg("no disk VM lists it any more")
+		r.log.Warn().Str("event", "upstream-unlisted").Str("upstream", string(id)).Msg("no disk VM lists this upstream any more, removed")
 	}
 }
 
-// noteRouters takes the list of routers from the disk VMs. The size that shares
-// of budgets are computed from shrinks only after a while: routers that one
-// can't see may still spend their share.
-func (r *Router) noteRouters(now time.Duration) {
+// updateRouters takes the list of routers from the disk VMs. The fleet size, by which
+// retry budgets are shared, shrinks only after three retry windows: a router that this one
+// doesn't see may still spend its share.
+func (r *Router) updateRouters(now time.Duration) {
 	self := r.settings.Self()
 	r.routers = slices.DeleteFunc(r.follower.Routers(now), func(other control.Router) bool { return other.ID == self })
 	r.relay.SetRouters(r.routers)
 	r.book.SetNeighbours(r.relay.Neighbours())
 	size := len(r.routers) + 1
-	if size >= r.fleetSize || now-r.sizedAt > 3*r.settings.Retries.Window() {
+	if size >= r.fleetSize || now-r.fleetSizeSetAt > 3*r.settings.Retries.Window() {
 		r.fleetSize = size
-		r.sizedAt = now
+		r.fleetSizeSetAt = now
 	}
 }
 
-// tellLoads sends this router's work to the others, or to those that pass it on.
-func (r *Router) tellLoads(now time.Duration) {
-	if now-r.told < r.book.TellInterval() {
+// sendLoads sends this router's loads to its neighbours, which may relay them: all loads at
+// every balance.WholeInterval, and in between only the changes.
+func (r *Router) sendLoads(now time.Duration) {
+	if now-r.loadsSentAt < r.book.TellInterval() {
 		return
 	}
-	r.told = now
-	whole := now-r.toldWhole >= balance.WholeInterval
-	if whole {
-		r.toldWhole = now
+	r.loadsSentAt = now
+	full := now-r.fullLoadsSentAt >= balance.WholeInterval
+	if full {
+		r.fullLoadsSentAt = now
 	}
-	for _, tell := range r.book.Tell(whole) {
-		r.fabric.Send(tell.To, tell.Loads)
+	for _, message := range r.book.Tell(full) {
+		r.fabric.Send(message.To, message.Loads)
 	}
-	if whole {
-		r.tellKeepers(now)
+	if full {
+		r.sendCacheHolders(now)
 	}
 }
 
-// tellKeepers tells a disk VM which engines keep prompts' beginnings.
-func (r *Router) tellKeepers(now time.Duration) {
+// sendCacheHolders sends a disk VM the cache holders that it hasn't been sent yet.
+func (r *Router) sendCacheHolders(now time.Duration) {
 	to := r.follower.Preferred(now)
 	if to == "" {
 		return
 	}
-	if kept := r.book.Unrecorded(); len(kept) > 0 {
-		r.fabric.Send(to, balance.NewKeeperList(kept))
+	if holders := r.book.Unrecorded(); len(holders) > 0 {
+		r.fabric.Send(to, balance.NewKeeperList(holders))
 	}
 }
 
-// linesPerRoster is how many changed upstreams are told one by one. A router that
-// starts learns all of them at once.
-const linesPerRoster = 8
+// maxUpstreamLines is how many changed upstreams get a log line each. A router that starts
+// learns of all of them at once and writes one line.
+const maxUpstreamLines = 8
 
-// takeRoster hands a changed list of upstreams to the book.
-func (r *Router) takeRoster() {
-	if r.roster.Revision() == r.revision {
+// applyRoster passes a changed roster to the balancer's book, closes connections to
+// upstreams that aren't ready, and logs the changes.
+func (r *Router) applyRoster() {
+	if r.roster.Revision() == r.rosterRevision {
 		return
 	}
-	r.revision = r.roster.Revision()
+	r.rosterRevision = r.roster.Revision()
 	changed := r.book.SetRoster(r.roster.Entries())
 	for _, e := range changed {
 		if e.State != roster.Ready {
 			r.pool.Forget(e.Address)
 		}
 	}
-	if len(changed) > linesPerRoster {
+	if len(changed) > maxUpstreamLines {
 		r.log.Info().Str("event", "upstreams").Int("changed", len(changed)).Int("usable", r.roster.Usable()).Send()
 		return
 	}
@@ -286,40 +290,41 @@
 		r.fabric.SendAll(r.follower.HandleStatus(now, from, m))
 	case control.Changes:
 		r.fabric.SendAll(r.follower.HandleChanges(now, from, m))
-		r.takeRoster()
+		r.applyRoster()
 	case control.List:
 		r.follower.HandleList(now, from, m)
-		r.takeRoster()
+		r.applyRoster()
 		r.fabric.SendAll(r.relay.Due(now))
 	case control.Document:
-		sends, _ := r.follower.HandleDocument(now, from, m, r.accept)
+		sends, _ := r.follower.HandleDocument(now, from, m, r.applyTable)
 		r.fabric.SendAll(sends)
 		r.fabric.SendAll(r.relay.Due(now))
 	case control.Watch:
 		r.follower.HandleWatch(now, from, m)
 		r.fabric.SendAll(r.relay.Due(now))
 	case control.AnnouncementsAck:
-		r.announcements.acknowledged(m.Number)
+		r.announcements.ack(m.Number)
 	case balance.Loads:
 		r.book.TakeLoads(now, from, m)
 	case balance.KeeperList:
 		if r.follower.HandleCacheHolders(now, m) {
-			kept := m.Kept()
-			r.log.Info().Str("event", "keepers-told").Str("from", string(from)).Int("prompts", len(kept)).Send()
-			r.book.RecallKeepers(now, kept)
+			holders := m.Kept()
+			r.log.Info().Str("event", "keepers-told").Str("from", string(from)).Int("prompts", len(holders)).Send()
+			r.book.RecallKeepers(now, holders)
 		}
 		r.fabric.SendAll(r.relay.Due(now))
 	case crashes.Crash:
-		r.noteCrash(now, m)
+		r.recordCrash(now, m)
 	default:
 		r.log.Warn().Str("event", "message-refused").Str("from", string(from)).Type("type", body).Send()
 	}
 	r.logEvents()
 }
 
-// accept puts a table in force.
-func (r *Router) accept(d *document.Document) error {
-	table, err := r.options.ReadTable(d.Version, d.Body)
+// applyTable decodes a table, puts it in force, and drops the state of routes and services
+// that it doesn't have.
+func (r *Router) applyTable(d *document.Document) error {
+	table, err := r.options.ParseTable(d.Version, d.Body)
 	if err != nil {
 		r.log.Error().Str("event", "table-unreadable").Uint64("version", d.Version).Err(err).Send()
 		return err
@@ -328,13 +333,13 @@
 	r.times.Keep(func(route string) bool {
 		return slices.ContainsFunc(table.Routes, func(known routing.Route) bool { return known.Name == route })
 	})
-	maps.DeleteFunc(r.rooms, func(service protocol.Service, _ *room.Service) bool {
+	maps.DeleteFunc(r.capacities, func(service protocol.Service, _ *room.Service) bool {
 		return !slices.ContainsFunc(table.Services, func(known routing.Service) bool { return known.Name == service })
 	})
 	return nil
 }
 
-// tableVersion is that of the table in force, 0 for none.
+// tableVersion returns the version of the table in force, 0 for none.
 func (r *Router) tableVersion() uint64 {
 	if index := r.table.Load(); index != nil {
 		return index.Table().Version
@@ -350,16 +355,15 @@
 	}
 }
 
-// logRooms writes a line for each service whose upstreams have come to have a limit
-// of load, or no longer have one.
-func (r *Router) logRooms(now time.Duration) {
-	for service, known := range r.rooms {
-		limit := known.Limit(now)
+// logLimits writes a line for each service that has got a concurrency limit or lost it.
+func (r *Router) logLimits(now time.Duration) {
+	for service, capacity := range r.capacities {
+		limit := capacity.Limit(now)
 		limited := limit != room.Unlimited
-		if limited == r.limited[service] {
+		if limited == r.loggedLimits[service] {
 			continue
 		}
-		r.limited[service] = limited
+		r.loggedLimits[service] = limited
 		if !limited {
 			r.log.Info().Str("event", "limit-lifted").Str("service", string(service)).Send()
 			continue
@@ -368,9 +372,9 @@
 	}
 }
 
-// logJudgements writes a line for each upstream that is avoided for its outcomes
-// from now on, or no longer.
-func (r *Router) logJudgements(now time.Duration) {
+// logEjections writes a line for each upstream that is ejected from now on because of its
+// failures, or no longer ejected.
+func (r *Router) logEjections(now time.Duration) {
 	for _, j := range r.book.Judgements(now) {
 		line, event := r.log.Info(), "upstream-trusted"
 		if j.Avoided {
@@ -381,15 +385,16 @@
 	}
 }
 
-// ready reports whether the balancer should send callers: the router knows where
-// they may go. Once it does it stays ready, whatever the disk VMs say later: it
-// serves on by the last that it knows. The lock is held.
+// ready reports whether the load balancer should send callers to this router, which needs a
+// table and upstreams for that. Once the router has both it stays ready, whatever the disk
+// VMs report later, because it serves by the last table and roster that it knows. The lock
+// is held.
 func (r *Router) ready() bool {
-	r.knewEnough = r.knewEnough || r.knowsEnough()
-	return r.knewEnough && !r.leaving.Load()
+	r.initialized = r.initialized || r.hasTableAndUpstreams()
+	return r.initialized && !r.stopping.Load()
 }
 
-// Reload takes changed settings: seeds.
+// Reload applies changed settings. Only the seeds can change while the router runs.
 func (r *Router) Reload(changed direct.Settings) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/daemon/router/router_test.go
+++ b/daemon/router/router_test.go
@@ -28,33 +28,33 @@
 	"endiveplank/transport/forward"
 )
 
-// patience is how long a test waits for what takes some tens of milliseconds.
-const patience = 20 * time.Second
+// waitTimeout bounds waits for what usually takes some tens of milliseconds.
+const waitTimeout = 20 * time.Second
 
-// diskVM answers a router's watches, as a disk VM does.
+// diskVM is the part of a disk VM that answers a router's watches.
 type diskVM struct {
 	fabric    *fabric.Fabric
 	started   time.Time
 	mu        sync.Mutex
 	publisher *control.Publisher
-	// deaf VMs take no announcements.
-	deaf bool
+	// dropAnnouncements makes it ignore announcements, without an acknowledgement.
+	dropAnnouncements bool
 }
 
-// takeAnnounced takes what a router hands over.
-func (vm *diskVM) takeAnnounced(from protocol.RouterID, announced control.Announcements) {
+// handleAnnouncements acknowledges announcements that a router forwards.
+func (vm *diskVM) handleAnnouncements(from protocol.RouterID, announced control.Announcements) {
 	vm.mu.Lock()
 	defer vm.mu.Unlock()
-	if !vm.deaf {
+	if !vm.dropAnnouncements {
 		ack, _ := vm.publisher.HandleAnnouncements(time.Since(vm.started), from, announced)
 		vm.fabric.SendAll([]control.Message{ack})
 	}
 }
 
-// linkRate is what a disk VM's link carries, in bytes a second.
+// linkRate is the bandwidth of a disk VM's link, in bytes a second.
 const linkRate = 2 << 20
 
-// startDiskVM starts one that lists an upstream and has a table of one version.
+// startDiskVM starts a disk VM that lists one upstream and has a table of version 7.
 func startDiskVM(t *testing.T, address, upstream string) *diskVM {
 	t.Helper()
 	known := roster.New(roster.DefaultSettings())
@@ -74,7 +74,7 @@
 // Receive implements fabric.Receiver.
 func (vm *diskVM) Receive(from protocol.RouterID, body any) {
 	if announced, is := body.(control.Announcements); is {
-		vm.takeAnnounced(from, announced)
+		vm.handleAnnouncements(from, announced)
 		return
 	}
 	watch, is := body.(control.Watch)
@@ -88,8 +88,8 @@
 	vm.fabric.SendAll(vm.publisher.SendWaiting(now))
 }
 
-// readTable returns a table with one route, whatever the body says.
-func readTable(version uint64, _ []byte) (*routing.Table, error) {
+// parseTable returns a table with one route, whatever the body is.
+func parseTable(version uint64, _ []byte) (*routing.Table, error) {
 	return &routing.Table{
 		Version:  version,
 		Services: []routing.Service{{Name: "s"}},
@@ -101,7 +101,7 @@
 	}, nil
 }
 
-// freePort returns a port at which nobody listens at either loopback address.
+// freePort returns a port that is free on both loopback addresses.
 func freePort(t *testing.T) int {
 	t.Helper()
 	for range 100 {
@@ -119,16 +119,16 @@
 	return 0
 }
 
-// rig is a router, its disk VM and an upstream.
+// rig is a router under test and its settings.
 type rig struct {
 	t        *testing.T
 	router   *Router
 	settings direct.Settings
 }
 
-// newRig starts a router whose disk VM isn't there yet, and returns the address for
-// that one: another loopback address, as all processes' peers have the same port.
-// unready is how long a stopping router still takes callers.
+// newRig starts a router whose disk VM isn't running yet. It returns the address at which
+// the disk VM has to listen: another loopback address, since all processes listen for peers
+// at the same port. unready is how long a stopping router still takes callers.
 func newRig(t *testing.T, unready time.Duration) (*rig, string) {
 	t.Helper()
 	peers := freePort(t)
@@ -140,14 +140,14 @@
 	s.Seeds = []string{fmt.Sprintf("127.0.0.2:%d", freePort(t))}
 	s.Stop.UnreadyMS, s.Stop.GraceMS = int(unready.Milliseconds()), 30_000
 	r, err := New(Options{
-		Settings: s, Dialect: dialecttest.Plain{}, ReadTable: readTable, Log: zerolog.Nop(), RequestLog: zerolog.Nop(),
+		Settings: s, Dialect: dialecttest.Plain{}, ParseTable: parseTable, Log: zerolog.Nop(), RequestLog: zerolog.Nop(),
 		Random: rand.New(rand.NewPCG(1, 1)),
 	})
 	assert.NilError(t, err)
 	return &rig{t: t, router: r, settings: s}, fmt.Sprintf("127.0.0.2:%d", peers)
 }
 
-// ready asks as the balancer does.
+// ready asks the router whether it is ready, as the load balancer does.
 func (r *rig) ready() bool {
 	response, err := http.Get("http://" + r.settings.Listen.Readiness + "/")
 	if err != nil {
@@ -157,7 +157,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// call sends a request and returns status and body.
+// call sends a request and returns the answer's status and body.
 func (r *rig) call() (int, string) {
 	request, err := http.NewRequest("GET", "http://"+r.settings.Listen.Callers+"/x", nil)
 	assert.NilError(r.t, err)
@@ -173,22 +173,23 @@
 	return response.StatusCode, string(body)
 }
 
-// eventually waits until something holds.
+// eventually waits until a condition holds and fails the test after waitTimeout.
 func (r *rig) eventually(what string, holds func() bool) {
 	r.t.Helper()
-	for until := time.Now().Add(patience); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
+	for until := time.Now().Add(waitTimeout); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
 		if holds() {
 			return
 		}
 	}
-	r.t.Fatalf("not within %s: %s", patience, what)
+	r.t.Fatalf("not within %s: %s", waitTimeout, what)
 }
 
-// startUpstream starts one that answers when released is closed.
-func startUpstream(t *testing.T, released <-chan struct{}, taken chan<- struct{}) string {
+// startUpstream starts an upstream that sends to received for each request, and answers once
+// release is closed.
+func startUpstream(t *testing.T, release <-chan struct{}, received chan<- struct{}) string {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		taken <- struct{}{}
-		<-released
+		received <- struct{}{}
+		<-release
 		w.Header().Set("T-Id", "7")
 		w.Header().Set("T-Signed", "yes")
 		_, _ = io.WriteString(w, "done")
@@ -197,19 +198,19 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func TestARouterServesOnceItKnowsTableAndUpstreamsAndOnWithoutTheDiskVM(t *testing.T) {
-	// A router starts before any disk VM is up: the balancer must not send
-	// callers, and those that come get 503 at once or nearly so. Then a disk VM
-	// comes, tells table and upstreams, and is lost again. Callers are served by
-	// the last that is known.
+func TestRouterIsReadyWithTableAndUpstreamsAndServesOnWithoutTheDiskVM(t *testing.T) {
+	// Guards against callers being sent to a router that can't serve them yet, and against
+	// a router that stops serving when the disk VMs are lost. The router starts before its
+	// disk VM, so it isn't ready and answers 503 at once or nearly so. It serves once the disk
+	// VM is up, and after the disk VM is gone by the last table and roster that it knows.
 	r, diskAddress := newRig(t, 0)
 	assert.Assert(t, !r.ready())
 	status, _ := r.call()
 	assert.Equal(t, status, http.StatusServiceUnavailable)
 
-	released, taken := make(chan struct{}), make(chan struct{}, 10)
-	close(released)
-	vm := startDiskVM(t, diskAddress, startUpstream(t, released, taken))
+	release, received := make(chan struct{}), make(chan struct{}, 10)
+	close(release)
+	vm := startDiskVM(t, diskAddress, startUpstream(t, release, received))
 	r.eventually("the router is ready", r.ready)
 	status, body := r.call()
 	assert.Equal(t, status, http.StatusOK)
@@ -223,61 +224,60 @@
 }
 
 func TestAPlannedStopEndsAfterTheLastAnswer(t *testing.T) {
-	// Routers are rolled while callers wait for long answers. The one that stops
-	// says so to the balancer first, still takes who comes, and leaves with the
-	// last answer out.
+	// Guards against answers that are cut by a rolling restart. A stopping router first
+	// reports that it isn't ready, still takes new requests, and ends once the last answer
+	// is sent.
 	r, diskAddress := newRig(t, 2*time.Second)
-	released, taken := make(chan struct{}), make(chan struct{}, 10)
-	startDiskVM(t, diskAddress, startUpstream(t, released, taken))
+	release, received := make(chan struct{}), make(chan struct{}, 10)
+	startDiskVM(t, diskAddress, startUpstream(t, release, received))
 	r.eventually("the router is ready", r.ready)
 
 	answers := make(chan string, 2)
-	ask := func() {
+	request := func() {
 		_, body := r.call()
 		answers <- body
 	}
-	go ask()
-	<-taken
+	go request()
+	<-received
 	stopped := make(chan bool, 1)
 	go func() { stopped <- r.router.Stop() }()
 	r.eventually("the router says that it isn't ready", func() bool { return !r.ready() })
-	go ask()
-	<-taken
+	go request()
+	<-received
 	select {
 	case <-stopped:
-		t.Fatal("it stopped with two answers outstanding")
+		t.Fatal("the router stopped with two answers in flight")
 	default:
 	}
-	close(released)
+	close(release)
 	assert.Equal(t, <-answers, "done")
 	assert.Equal(t, <-answers, "done")
 	assert.Assert(t, <-stopped)
 }
 
 func TestAnIdleConnectionMayStillBeUsedWhenAStopBegins(t *testing.T) {
-	// A caller keeps a connection open between its requests. A planned stop begins
-	// and closes idle connections; in the same moment the caller's next request is
-	// on its way. It gets neither an answer nor a refusal, though nothing failed.
+	// Guards against requests that get no answer because the router closes idle connections
+	// when a stop begins, while a caller's next request is already on its way over one.
 	r, diskAddress := newRig(t, 2*time.Second)
-	released, taken := make(chan struct{}), make(chan struct{}, 10)
-	close(released)
-	startDiskVM(t, diskAddress, startUpstream(t, released, taken))
+	release, received := make(chan struct{}), make(chan struct{}, 10)
+	close(release)
+	startDiskVM(t, diskAddress, startUpstream(t, release, received))
 	r.eventually("the router is ready", r.ready)
 	connection, err := net.Dial("tcp", r.settings.Listen.Callers)
 	assert.NilError(t, err)
 	defer func() { _ = connection.Close() }()
 	answers := bufio.NewReader(connection)
-	assert.Assert(t, !askOver(t, connection, answers).Close, "the connection is kept before the stop")
+	assert.Assert(t, !sendOver(t, connection, answers).Close, "the connection stays open before the stop")
 
 	stopped := make(chan bool, 1)
 	go func() { stopped <- r.router.Stop() }()
 	r.eventually("the router says that it isn't ready", func() bool { return !r.ready() })
-	assert.Assert(t, askOver(t, connection, answers).Close, "the caller has to open another one elsewhere")
+	assert.Assert(t, sendOver(t, connection, answers).Close, "the caller has to connect to another router")
 	assert.Assert(t, <-stopped)
 }
 
-// askOver sends a request over a connection and returns the whole answer.
-func askOver(t *testing.T, connection net.Conn, answers *bufio.Reader) *http.Response {
+// sendOver sends a request over a connection and returns the answer.
+func sendOver(t *testing.T, connection net.Conn, answers *bufio.Reader) *http.Response {
 	t.Helper()
 	_, err := io.WriteString(connection, "GET /x HTTP/1.1\r\nHost: h\r\nT-Id: 7\r\n\r\n")
 	assert.NilError(t, err)
@@ -289,40 +289,41 @@
 	return answer
 }
 
-func TestAnAnnouncementWithNewsIsKnownToADiskVMBeforeItIsTaken(t *testing.T) {
-	// An upstream tells a router that it leaves. If the router said that it has
-	// heard that, and no disk VM had, all other routers would go on sending there.
+func TestChangedAnnouncementIsAcceptedOnlyOnceADiskVMHasIt(t *testing.T) {
+	// Guards against a lost departure: an upstream announces to a router that it is leaving.
+	// If the router accepted that before a disk VM had it, all other routers might go on
+	// sending requests to the upstream.
 	r, diskAddress := newRig(t, 0)
-	released := make(chan struct{})
-	close(released)
-	vm := startDiskVM(t, diskAddress, startUpstream(t, released, make(chan struct{}, 10)))
+	release := make(chan struct{})
+	close(release)
+	vm := startDiskVM(t, diskAddress, startUpstream(t, release, make(chan struct{}, 10)))
 	r.eventually("the router is ready", r.ready)
 	known := roster.Entry{ID: "u1", Service: "s", Address: "10.0.0.1:80", State: roster.Ready, Sequence: 2}
-	assert.Assert(t, r.router.takeAnnouncement(t.Context(), known))
+	assert.Assert(t, r.router.handleAnnouncement(t.Context(), known))
 	leaving := known
 	leaving.State, leaving.Sequence = roster.Draining, 3
 	vm.mu.Lock()
-	vm.deaf = true
+	vm.dropAnnouncements = true
 	vm.mu.Unlock()
-	assert.Assert(t, !r.router.takeAnnouncement(t.Context(), leaving))
+	assert.Assert(t, !r.router.handleAnnouncement(t.Context(), leaving))
 	vm.mu.Lock()
-	vm.deaf = false
+	vm.dropAnnouncements = false
 	vm.mu.Unlock()
 	leaving.Build, leaving.Sequence = "v2", 4
-	assert.Assert(t, r.router.takeAnnouncement(t.Context(), leaving))
+	assert.Assert(t, r.router.handleAnnouncement(t.Context(), leaving))
 	assert.Equal(t, len(r.router.announcements.waiting), 0)
 	assert.Assert(t, r.router.Stop())
-	assert.Assert(t, !r.router.takeAnnouncement(t.Context(), known), "it leaves")
+	assert.Assert(t, !r.router.handleAnnouncement(t.Context(), known), "a stopping router accepts no announcements")
 }
 
-func TestARouterSendsNoMoreThanBeginsInTime(t *testing.T) {
-	// An upstream has begun all answers late since it had forty requests. The next
-	// callers would only wait behind the others; one whose request was already lost
-	// once elsewhere isn't turned away after that.
+func TestRouterLimitsLoadToWhatUpstreamsAnswerInTime(t *testing.T) {
+	// Guards against requests that only wait behind others: the upstream's answers have begun
+	// late since it had forty requests in flight, so the router refuses more. It still sends a
+	// request that was already lost once at another upstream.
 	r, diskAddress := newRig(t, 0)
-	released := make(chan struct{})
-	close(released)
-	startDiskVM(t, diskAddress, startUpstream(t, released, make(chan struct{}, 10)))
+	release := make(chan struct{})
+	close(release)
+	startDiskVM(t, diskAddress, startUpstream(t, release, make(chan struct{}, 10)))
 	r.eventually("the router is ready", r.ready)
 	job := forward.Job{Service: "s", Route: &r.router.Table().Table().Routes[0]}
 	for range 20 {
--- a/daemon/router/serve.go
+++ b/daemon/router/serve.go
@@ -11,20 +11,22 @@
 )
 
 const (
-	// headerTimeout bounds a caller's header.
+	// headerTimeout is the most time that a caller may take to send its header.
 	headerTimeout = 5 * time.Second
-	// idleTimeout is how long a caller's connection may be unused. Callers use
-	// connections again that have been unused for a while, and a closed one
-	// costs them a request, so it is far above what tables set.
+	// idleTimeout is how long a caller's connection may be idle. Callers reuse
+	// connections that have been idle for a while, and reusing one that the router
+	// has just closed costs them a request. It is therefore far above the timeouts
+	// that tables set.
 	idleTimeout = 2 * time.Minute
-	// announcementIdle is how long an upstream's connection may be unused: ten
+	// announcementIdleTimeout is how long an upstream's connection may be idle: ten
 	// times the interval between two announcements.
-	announcementIdle = 12 * time.Second
-	// maxHeaderBytes bounds a caller's header.
+	announcementIdleTimeout = 12 * time.Second
+	// maxHeaderBytes bounds the size of a caller's header.
 	maxHeaderBytes = 64 << 10
-	// cutBefore is how long before the end of the grace what is still under
-	// way is cut, so that the process ends by itself.
-	cutBefore = 400 * time.Millisecond
+	// shutdownMargin is how long before the end of the grace period the router cuts
+	// the requests that are still in flight, so that the process ends by itself
+	// before it is killed.
+	shutdownMargin = 400 * time.Millisecond
 )
 
 // servers are the router's HTTP servers.
@@ -35,35 +37,36 @@
 	metrics       *http.Server
 }
 
-// serve starts to listen.
+// serve starts the HTTP servers. It returns an error if an address can't be listened
+// at.
 func (r *Router) serve() error {
 	listen := r.options.Settings.Listen
 	r.servers.callers = &http.Server{
-		Handler: http.HandlerFunc(r.answerCaller), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
+		Handler: http.HandlerFunc(r.serveCaller), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 	}
-	r.servers.readiness = &http.Server{Handler: http.HandlerFunc(r.answerReadiness), ReadHeaderTimeout: headerTimeout}
-	if err := r.start(r.servers.callers, listen.Callers); err != nil {
+	r.servers.readiness = &http.Server{Handler: http.HandlerFunc(r.serveReadiness), ReadHeaderTimeout: headerTimeout}
+	if err := r.startServer(r.servers.callers, listen.Callers); err != nil {
 		return err
 	}
-	if err := r.start(r.servers.readiness, listen.Readiness); err != nil {
+	if err := r.startServer(r.servers.readiness, listen.Readiness); err != nil {
 		return err
 	}
 	if listen.Announcements != "" {
-		handler := r.options.AnnouncementHandler(r.takeAnnouncement)
-		r.servers.announcements = &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: announcementIdle}
-		if err := r.start(r.servers.announcements, listen.Announcements); err != nil {
+		handler := r.options.AnnouncementHandler(r.handleAnnouncement)
+		r.servers.announcements = &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: announcementIdleTimeout}
+		if err := r.startServer(r.servers.announcements, listen.Announcements); err != nil {
 			return err
 		}
 	}
 	if listen.Metrics == "" {
 		return nil
 	}
-	r.servers.metrics = &http.Server{Handler: http.HandlerFunc(r.answerMetrics), ReadHeaderTimeout: headerTimeout}
-	return r.start(r.servers.metrics, listen.Metrics)
+	r.servers.metrics = &http.Server{Handler: http.HandlerFunc(r.serveMetrics), ReadHeaderTimeout: headerTimeout}
+	return r.startServer(r.servers.metrics, listen.Metrics)
 }
 
-// start runs one server.
-func (r *Router) start(server *http.Server, address string) error {
+// startServer listens at an address and serves it in the background.
+func (r *Router) startServer(server *http.Server, address string) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return eris.Wrapf(err, "listen at %s", address)
@@ -76,22 +79,22 @@
 	return nil
 }
 
-// answerCaller takes a caller's request. While the router stops, each answer ends
-// its connection, so that callers open the next one elsewhere.
+// serveCaller handles a caller's request. While the router is stopping, it closes each
+// connection after the answer, so that callers open the next one to another router.
 //
-// Failure: idle connections are closed when the stop begins, and a caller's next
-// request is on its way over one of them. It shows as a connection that ends
-// without an answer, with nothing else wrong. The guard holds because connections
-// are closed only behind an answer until the balancer has taken the router out.
-func (r *Router) answerCaller(w http.ResponseWriter, request *http.Request) {
-	if r.leaving.Load() {
+// It guards against this failure: the router closes idle connections as soon as the stop
+// begins, while a caller's next request is on its way over one of them. The caller then
+// sees its connection end without an answer though nothing failed. Until the load balancer
+// has removed the router, connections are therefore closed only after an answer.
+func (r *Router) serveCaller(w http.ResponseWriter, request *http.Request) {
+	if r.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	r.handler.ServeHTTP(w, request)
 }
 
-// answerReadiness tells the balancer whether to send callers here.
-func (r *Router) answerReadiness(w http.ResponseWriter, _ *http.Request) {
+// serveReadiness tells the load balancer whether to send callers to this router.
+func (r *Router) serveReadiness(w http.ResponseWriter, _ *http.Request) {
 	r.mu.Lock()
 	ready := r.ready()
 	r.mu.Unlock()
@@ -100,28 +103,28 @@
 	}
 }
 
-// closeTracer sends the spans that wait, until a time.
-func (r *Router) closeTracer(until time.Time) {
-	ctx, cancel := context.WithDeadline(context.Background(), until)
+// closeTracer sends the spans that are still queued, until the deadline.
+func (r *Router) closeTracer(deadline time.Time) {
+	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	if err := r.options.Tracer.Close(ctx); err != nil {
 		r.log.Warn().Str("event", "spans-lost").Err(err).Send()
 	}
 }
 
-// Stop ends the router as planned: it says that it isn't ready, goes on until
-// the balancer has seen that, and ends when the last answer is out, or shortly
-// before the end of the grace. It reports whether all answers went out.
+// Stop shuts the router down gracefully. The router reports that it isn't ready, serves
+// callers until the load balancer has noticed, and ends once the last answer is sent, or
+// shortly before the end of the grace period. Stop reports whether all answers were sent.
 func (r *Router) Stop() bool {
 	began := time.Now()
-	r.leaving.Store(true)
+	r.stopping.Store(true)
 	r.mu.Lock()
 	r.follower.SetAnnounceAddress("")
 	stop := r.settings.Stop
 	r.mu.Unlock()
 	r.log.Info().Str("event", "stopping").Int("active", r.handler.Active()).Send()
 	time.Sleep(stop.Unready())
-	ctx, cancel := context.WithDeadline(context.Background(), began.Add(stop.Grace()-cutBefore))
+	ctx, cancel := context.WithDeadline(context.Background(), began.Add(stop.Grace()-shutdownMargin))
 	defer cancel()
 	err := r.servers.callers.Shutdown(ctx)
 	if err != nil {
