--- a/daemon/fabric/fabric.go
+++ b/daemon/fabric/fabric.go
@@ -1,7 +1,9 @@
-// Package fabric carries the typed messages between the processes of a fleet
-// whose routers send to upstreams themselves, over the connections of package
-// transport/peer. A process's name is the address it listens at, so whoever
-// knows a name can send.
+// Package fabric carries typed messages between the processes of a fleet whose routers
+// send requests to upstreams themselves. A Fabric maps each message type to a wire kind and
+// sends it over the connections of package transport/peer.
+//
+// The name of a process is the address at which it listens, so any process that knows the
+// name can send to it. Messages may be lost; a process that needs an answer asks again.
 package fabric
 
 import (
@@ -21,22 +23,22 @@
 )
 
 const (
-	// stall is how long a connection may acknowledge nothing. A disk VM on a
-	// fifth of a core is busy for half a second when a whole fleet starts, and
-	// connections that are replaced for its slowness make it slower still.
-	stall = time.Second
-	// lostAfter is how long frames wait for a process that can't be reached.
-	// Every message here is sent again by who needs it.
-	lostAfter = 2 * time.Second
+	// stallTimeout is how long a connection may acknowledge nothing before it is
+	// replaced. A disk VM with a fifth of a core is busy for half a second when a whole
+	// fleet starts. Replacing connections because it is slow would make it slower still.
+	stallTimeout = time.Second
+	// lostTimeout is how long frames wait for a process that can't be reached before they
+	// are dropped. Every sender sends its message again if it is still needed.
+	lostTimeout = 2 * time.Second
 )
 
-// Receiver takes messages. It is called from the connections' goroutines and
-// must not block for long. body is one of the types that Send takes.
+// Receiver handles the messages that arrive. Receive is called from the connections'
+// goroutines and must not block for long. body is one of the types that Send takes.
 type Receiver interface {
 	Receive(from protocol.RouterID, body any)
 }
 
-// Fabric sends and receives.
+// Fabric sends messages to other processes and passes theirs to a Receiver.
 type Fabric struct {
 	mesh     *peer.Mesh
 	listen   string
@@ -44,10 +46,10 @@
 	log      zerolog.Logger
 }
 
-// Options of a Fabric.
+// Options configure a Fabric.
 type Options struct {
 	Self protocol.RouterID
-	// Listen is the IP:port to listen at.
+	// Listen is the IP:port at which to listen.
 	Listen      string
 	DataCentre  protocol.DataCentre
 	Incarnation uint64
@@ -55,10 +57,11 @@
 	Log         zerolog.Logger
 }
 
-// New returns a fabric that takes no messages before Listen. Peers that look for a
-// process that was away dial within microseconds of its listening, and its Receiver
-// answers through the fabric: one that listened before it was returned would be asked
-// before its owner holds it, which ended a process at its start.
+// New returns a Fabric that takes no messages before Listen is called.
+//
+// Peers that look for a restarted process connect within microseconds after it listens, and
+// its Receiver answers through the Fabric. If New listened itself, the first message could
+// arrive before the Receiver holds the Fabric. Answering it ended a process at its start.
 func New(options Options) *Fabric {
 	f := &Fabric{listen: options.Listen, receiver: options.Receiver, log: options.Log}
 	f.mesh = peer.New(peer.Options{
@@ -66,8 +69,8 @@
 		DataCentre:  options.DataCentre,
 		Incarnation: options.Incarnation,
 		Address:     string(options.Self),
-		Stall:       stall,
-		LostAfter:   lostAfter,
+		Stall:       stallTimeout,
+		LostAfter:   lostTimeout,
 		Handler:     f,
 		Log:         options.Log,
 		Duplex:      true,
@@ -75,16 +78,16 @@
 	return f
 }
 
-// Listen starts taking messages.
+// Listen starts to take messages.
 func (f *Fabric) Listen() error { return f.mesh.Listen(f.listen) }
 
-// Close drops all connections.
+// Close closes all connections.
 func (f *Fabric) Close() { f.mesh.Close() }
 
 // Counts returns the totals of the connections.
 func (f *Fabric) Counts() peer.Counts { return f.mesh.Counts() }
 
-// Send queues a message. It never waits, and the message may be lost.
+// Send queues a message. It never blocks, and the message may be lost.
 func (f *Fabric) Send(to protocol.RouterID, body any) {
 	kind := kindOf(body)
 	f.mesh.SetAddress(to, string(to))
@@ -93,8 +96,8 @@
 	}
 }
 
-// encode returns the bytes of a message. Loads go to every router several times
-// a second, so they do without the names of their fields.
+// encode returns the bytes of a message. Loads go to every router several times a second, so
+// they are encoded without field names.
 func encode(body any) []byte {
 	if loads, often := body.(balance.Loads); often {
 		return codec.MarshalArrays(loads)
@@ -119,10 +122,10 @@
 	f.receiver.Receive(from, body)
 }
 
-// Lost implements peer.Handler. Who needs an answer asks again.
+// Lost implements peer.Handler. A process that needs an answer asks again.
 func (f *Fabric) Lost(protocol.RouterID) {}
 
-// kindOf returns the kind under which a message travels.
+// kindOf returns the wire kind of a message's type.
 func kindOf(body any) wire.Kind {
 	switch body.(type) {
 	case consensus.Message:
@@ -160,7 +163,7 @@
 	case crashes.Crash:
 		return wire.KindBlame
 	}
-	panic(fmt.Sprintf("fabric: a message of type %T", body))
+	panic(fmt.Sprintf("fabric: message type %T has no wire kind", body))
 }
 
 // decode returns the message in a frame.
@@ -201,7 +204,7 @@
 	case wire.KindBlame:
 		return decodeAs[crashes.Crash](frame)
 	}
-	return nil, fmt.Errorf("fabric: no message has kind %d", frame.Kind)
+	return nil, fmt.Errorf("fabric: unknown message kind %d", frame.Kind)
 }
 
 func decodeAs[T any](frame wire.Frame) (any, error) {
--- a/daemon/fabric/fabric_test.go
+++ b/daemon/fabric/fabric_test.go
@@ -18,8 +18,8 @@
 	"endiveplank/protocol/wire"
 )
 
-// messages has one of each type that travels, with fields set that would be
-// missed.
+// messages has one message of each type, with fields set whose loss in transit would be
+// noticed.
 var messages = []any{
 	consensus.Message{Term: 3},
 	control.Watch{Router: true, Version: 7, WantList: true},
@@ -41,8 +41,8 @@
 }
 
 func TestEachMessageArrivesAsItWasSent(t *testing.T) {
-	// Somebody adds a message and forgets one of the two tables of kinds: it is
-	// sent and refused, and what it tells is missing without an error.
+	// Guards against a message type that is missing in kindOf or decode: it would be sent and
+	// refused, and its contents would be missing without an error.
 	kinds := map[wire.Kind]bool{}
 	for _, sent := range messages {
 		kind := kindOf(sent)
@@ -54,21 +54,21 @@
 	}
 }
 
-func TestWhatIsNoMessageIsRefused(t *testing.T) {
+func TestUnknownOrMalformedMessagesAreRefused(t *testing.T) {
 	for _, frame := range []wire.Frame{{Kind: 250}, {Kind: wire.KindStatus, Payload: []byte("no news")}} {
 		_, err := decode(frame)
 		assert.Assert(t, err != nil, "%+v", frame)
 	}
 }
 
-// inbox keeps what arrives.
+// inbox receives the messages that arrive.
 type inbox chan any
 
 // Receive implements Receiver.
 func (i inbox) Receive(_ protocol.RouterID, body any) { i <- body }
 
-// join starts a process's fabric on loopback, and returns its name.
-func join(t *testing.T) (protocol.RouterID, *Fabric, inbox) {
+// startFabric starts the fabric of a process on loopback and returns the process's name.
+func startFabric(t *testing.T) (protocol.RouterID, *Fabric, inbox) {
 	t.Helper()
 	address := freeAddress(t)
 	received := make(inbox, len(messages))
@@ -78,7 +78,7 @@
 	return protocol.RouterID(address), f, received
 }
 
-// freeAddress returns an address where nobody listens.
+// freeAddress returns an address at which nobody listens.
 func freeAddress(t *testing.T) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -86,43 +86,44 @@
 	return listener.Addr().String()
 }
 
-func TestANameIsAllThatASenderNeeds(t *testing.T) {
-	// A router hears of a disk VM by its name alone, which is its address.
-	first, one, fromOther := join(t)
-	second, other, fromOne := join(t)
-	one.Send(second, control.ChangesAck{Number: 4})
-	assert.DeepEqual(t, await(t, fromOne), control.ChangesAck{Number: 4})
-	other.Send(first, control.ChangesAck{Number: 5})
-	assert.DeepEqual(t, await(t, fromOther), control.ChangesAck{Number: 5})
+func TestAProcessNameIsEnoughToSendToIt(t *testing.T) {
+	// Guards against a router that can't reach a disk VM of which it knows only the name. The
+	// name is the VM's address.
+	firstName, first, fromSecond := startFabric(t)
+	secondName, second, fromFirst := startFabric(t)
+	first.Send(secondName, control.ChangesAck{Number: 4})
+	assert.DeepEqual(t, await(t, fromFirst), control.ChangesAck{Number: 4})
+	second.Send(firstName, control.ChangesAck{Number: 5})
+	assert.DeepEqual(t, await(t, fromSecond), control.ChangesAck{Number: 5})
 }
 
-// starting is a process that answers through its fabric, as all do.
-type starting struct {
-	fabric *Fabric
-	heard  inbox
+// replier is a process that answers each message through its fabric.
+type replier struct {
+	fabric   *Fabric
+	received inbox
 }
 
 // Receive implements Receiver.
-func (s *starting) Receive(from protocol.RouterID, body any) {
-	s.fabric.Send(from, control.ChangesAck{Number: 9})
-	s.heard <- body
+func (r *replier) Receive(from protocol.RouterID, body any) {
+	r.fabric.Send(from, control.ChangesAck{Number: 9})
+	r.received <- body
 }
 
-func TestNothingArrivesBeforeItsOwnerHoldsTheFabric(t *testing.T) {
-	// A router starts again while others still dial its address. It took their
-	// messages from the moment it listened, which was before New had returned:
-	// answering the first one, through a fabric that it didn't have yet, ended it.
-	_, one, answers := join(t)
+func TestNoMessageArrivesBeforeListen(t *testing.T) {
+	// Guards against a crash at a restart: other processes still dial the address, and a fabric
+	// that listened inside New passed their messages to a Receiver that didn't hold the fabric
+	// yet. Answering the first message ended the process.
+	_, sender, answers := startFabric(t)
 	address := freeAddress(t)
-	one.Send(protocol.RouterID(address), control.ChangesAck{Number: 8})
-	process := &starting{heard: make(inbox, 1)}
+	sender.Send(protocol.RouterID(address), control.ChangesAck{Number: 8})
+	process := &replier{received: make(inbox, 1)}
 	created := New(Options{Self: protocol.RouterID(address), Listen: address, Incarnation: 1, Receiver: process, Log: zerolog.Nop()})
 	t.Cleanup(created.Close)
 	_, err := net.Dial("tcp", address)
 	assert.ErrorContains(t, err, "refused")
 	process.fabric = created
 	assert.NilError(t, process.fabric.Listen())
-	assert.DeepEqual(t, await(t, process.heard), control.ChangesAck{Number: 8})
+	assert.DeepEqual(t, await(t, process.received), control.ChangesAck{Number: 8})
 	assert.DeepEqual(t, await(t, answers), control.ChangesAck{Number: 9})
 }
 
