--- a/cmd/endiveplankd/direct.go
+++ b/cmd/endiveplankd/direct.go
@@ -117,7 +117,7 @@
 	lines := loglines.New(os.Stdout, settings.Name, settings.Log.LinesPerSecond)
 	defer lines.Close(logPatience)
 	log := newDirectLogger(settings, lines)
-	running, err := start(logs{log: log, requests: newDirectLogger(settings, lines.Ordinary())}, settings, newRandom())
+	running, err := start(logs{log: log, requests: newDirectLogger(settings, lines.PerRequest())}, settings, newRandom())
 	if err != nil {
 		log.Error().Str("event", "not-started").Err(err).Send()
 		return err
--- a/daemon/loglines/loglines.go
+++ b/daemon/loglines/loglines.go
@@ -1,17 +1,15 @@
-// Package loglines writes log lines to a pipe without ever making the process
-// wait, and within a budget.
+// Package loglines writes log lines to a pipe. It never blocks the process and limits the
+// number of lines per second.
 //
-// Failures guarded:
+// The package guards against these failures:
+//   - The reader of the pipe has stopped. A Writer passes lines to one goroutine over a
+//     bounded queue; when the queue is full, lines are dropped and counted.
+//   - An outage makes every request write a line, and writing them takes processor time that
+//     the requests need. Each second has a budget of lines; lines beyond it are dropped and
+//     counted. Lines that every request writes (see Writer.PerRequest) may use half of the
+//     budget, so that lines about failures and changes of state still get through.
 //
-//   - Whoever reads the pipe has stopped. Lines are handed to one goroutine over
-//     a bounded queue; when it is full they are dropped and counted.
-//   - An outage makes every request a line, and writing them costs the processor
-//     time that the requests need. Each second has a budget of lines; what is
-//     over it is dropped and counted. Lines of the kind that every request
-//     writes, see Ordinary, may use half of the budget, so that those that tell
-//     of a failure or of a changed belief still have room.
-//
-// What was dropped is said in a line of its own, one a second at most.
+// A line of its own reports how many lines were dropped, at most once a second.
 package loglines
 
 import (
@@ -24,16 +22,16 @@
 )
 
 const (
-	// queueLines bounds the lines that wait for the pipe.
+	// queueLines bounds the lines that wait to be written to the pipe.
 	queueLines = 256
-	// maxBatch bounds one write, in bytes, to what a pipe takes at once.
+	// maxBatch bounds the bytes of one write to what a pipe takes at once.
 	maxBatch = 32 << 10
 )
 
-// Writer is where a logger writes. It is safe for concurrent use.
+// Writer is the output of a logger. It is safe for concurrent use.
 type Writer struct {
 	out       io.Writer
-	node      string
+	process   string
 	perSecond int
 	now       func() time.Time
 	queue     chan []byte
@@ -41,44 +39,45 @@
 
 	mu     sync.Mutex
 	second int64
-	// noted is the second in which it was last said what was dropped.
-	noted   int64
-	written int
-	dropped uint64
-	closed  bool
+	// reportedSecond is the second in which dropped lines were last reported.
+	reportedSecond int64
+	written        int
+	dropped        uint64
+	closed         bool
 }
 
-// New starts a writer for a process's lines with a budget of lines a second.
-func New(out io.Writer, node string, perSecond int) *Writer {
-	w := &Writer{out: out, node: node, perSecond: perSecond, now: time.Now, queue: make(chan []byte, queueLines), done: make(chan struct{})}
+// New starts a Writer for the lines of a process, which the report of dropped lines names,
+// with a budget of lines per second.
+func New(out io.Writer, process string, perSecond int) *Writer {
+	w := &Writer{out: out, process: process, perSecond: perSecond, now: time.Now, queue: make(chan []byte, queueLines), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write implements io.Writer. It never waits and never fails.
+// Write implements io.Writer. It never blocks and never fails.
 func (w *Writer) Write(line []byte) (int, error) {
 	return w.write(line, w.perSecond)
 }
 
-// Ordinary returns a writer for lines of which there is one for each request.
-// Those below the level of a warning may use half of the budget.
-func (w *Writer) Ordinary() zerolog.LevelWriter { return ordinary{w} }
+// PerRequest returns a writer for lines that every request writes. Those below the level of a
+// warning may use half of the budget.
+func (w *Writer) PerRequest() zerolog.LevelWriter { return perRequest{w} }
 
-// ordinary implements zerolog.LevelWriter.
-type ordinary struct{ w *Writer }
+// perRequest implements zerolog.LevelWriter.
+type perRequest struct{ w *Writer }
 
 // Write implements io.Writer.
-func (o ordinary) Write(line []byte) (int, error) { return o.w.Write(line) }
+func (o perRequest) Write(line []byte) (int, error) { return o.w.Write(line) }
 
 // WriteLevel implements zerolog.LevelWriter.
-func (o ordinary) WriteLevel(level zerolog.Level, line []byte) (int, error) {
+func (o perRequest) WriteLevel(level zerolog.Level, line []byte) (int, error) {
 	if level < zerolog.WarnLevel {
 		return o.w.write(line, (o.w.perSecond+1)/2)
 	}
 	return o.w.Write(line)
 }
 
-// write queues a line if fewer than budget were written in this second.
+// write queues a line if fewer lines than budget were written in this second.
 func (w *Writer) write(line []byte, budget int) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -86,28 +85,29 @@
 		w.dropped++
 		return len(line), nil
 	}
-	if w.dropped > 0 && w.noted != w.second {
-		if w.offer(w.note()) {
-			w.noted = w.second
+	if w.dropped > 0 && w.reportedSecond != w.second {
+		if w.enqueue(w.droppedLine()) {
+			w.reportedSecond = w.second
 			w.dropped = 0
 		}
 	}
-	if !w.offer(append([]byte(nil), line...)) {
+	if !w.enqueue(append([]byte(nil), line...)) {
 		w.dropped++
 	}
 	return len(line), nil
 }
 
-// note returns the line that says how many lines are missing.
-func (w *Writer) note() []byte {
+// droppedLine returns the line that reports how many lines were dropped.
+func (w *Writer) droppedLine() []byte {
 	var line bytes.Buffer
 	log := zerolog.New(&line)
-	log.Warn().Str("node", w.node).Str("event", "log-lines-dropped").Uint64("count", w.dropped).
+	log.Warn().Str("node", w.process).Str("event", "log-lines-dropped").Uint64("count", w.dropped).
 		Time(zerolog.TimestampFieldName, w.now()).Send()
 	return line.Bytes()
 }
 
-// withinBudget counts a line against the budget of the second.
+// withinBudget counts a line against the budget of the present second and reports whether the
+// budget allows it.
 func (w *Writer) withinBudget(budget int) bool {
 	if second := w.now().Unix(); second != w.second {
 		w.second = second
@@ -120,8 +120,8 @@
 	return true
 }
 
-// offer queues a line if there is room.
-func (w *Writer) offer(line []byte) bool {
+// enqueue queues a line if the queue isn't full.
+func (w *Writer) enqueue(line []byte) bool {
 	select {
 	case w.queue <- line:
 		return true
@@ -130,7 +130,7 @@
 	}
 }
 
-// run writes what waits, several lines at a time.
+// run writes queued lines, several in one write.
 func (w *Writer) run() {
 	defer close(w.done)
 	for line := range w.queue {
@@ -147,13 +147,13 @@
 				break gather
 			}
 		}
-		// There is nowhere to tell of a log that can't be written.
+		// There is nowhere to report that the log can't be written.
 		_, _ = w.out.Write(batch)
 	}
 }
 
-// Close writes what waits, for as long as patience allows.
-func (w *Writer) Close(patience time.Duration) {
+// Close writes the lines that are still queued, and gives up after timeout.
+func (w *Writer) Close(timeout time.Duration) {
 	w.mu.Lock()
 	if !w.closed {
 		w.closed = true
@@ -162,6 +162,6 @@
 	w.mu.Unlock()
 	select {
 	case <-w.done:
-	case <-time.After(patience):
+	case <-time.After(timeout):
 	}
 }
--- a/daemon/loglines/loglines_test.go
+++ b/daemon/loglines/loglines_test.go
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// sink is a reader of the log that may have stopped.
+// sink is the reader of a log. If stopped isn't nil, it reads nothing until stopped is closed.
 type sink struct {
 	mu      sync.Mutex
 	text    bytes.Buffer
@@ -35,14 +35,14 @@
 	return strings.Split(strings.TrimSpace(s.text.String()), "\n")
 }
 
-// at gives a writer a clock that a test moves.
-func at(w *Writer, second *int64) {
+// setClock gives a writer a clock that the test sets.
+func setClock(w *Writer, second *int64) {
 	w.now = func() time.Time { return time.Unix(*second, 0) }
 }
 
-func TestAReaderThatHasStoppedCostsLinesAndNoTime(t *testing.T) {
-	// Whoever reads the log has stopped, and the pipe is full. A router that
-	// waited for it would stop answering its callers.
+func TestStoppedReaderCostsLinesButNeverBlocks(t *testing.T) {
+	// Guards against a router that stops answering its callers because the reader of its log has
+	// stopped and the pipe is full.
 	s := &sink{stopped: make(chan struct{})}
 	w := New(s, "r1", 1_000_000)
 	done := make(chan struct{})
@@ -55,23 +55,23 @@
 	select {
 	case <-done:
 	case <-time.After(30 * time.Second):
-		t.Fatal("writing a line has waited for the reader")
+		t.Fatal("writing a line has blocked on the reader")
 	}
 	close(s.stopped)
 	time.Sleep(10 * time.Millisecond)
 	_, _ = w.Write([]byte("last\n"))
 	w.Close(30 * time.Second)
-	assert.Assert(t, strings.Contains(s.text.String(), "log-lines-dropped"), "what was dropped is said")
+	assert.Assert(t, strings.Contains(s.text.String(), "log-lines-dropped"), "dropped lines are reported")
 }
 
-func TestFailuresHaveRoomWhenThereIsTooMuchToSay(t *testing.T) {
-	// A day's busiest second: every request writes a line, and the few that
-	// failed must be among those that are kept.
+func TestFailuresAreLoggedWhenRequestsExceedTheBudget(t *testing.T) {
+	// Guards against lost lines of failures in a busy second: every request writes a line, and
+	// the lines of the few that failed must be among those that are kept.
 	s := &sink{}
 	w := New(s, "r1", 100)
 	second := int64(5)
-	at(w, &second)
-	requests := w.Ordinary()
+	setClock(w, &second)
+	requests := w.PerRequest()
 	for i := range 1000 {
 		_, _ = requests.WriteLevel(zerolog.InfoLevel, []byte("served\n"))
 		if i%20 == 0 {
@@ -89,7 +89,7 @@
 			Node, Time string
 		}
 		if json.Unmarshal([]byte(line), &note) == nil {
-			assert.Equal(t, note.Node, "r1", "who reads several logs has to know whose lines are missing")
+			assert.Equal(t, note.Node, "r1", "a reader of several logs must know whose lines are missing")
 			assert.Assert(t, note.Time != "")
 			dropped += note.Count
 			line = "dropped"
@@ -98,6 +98,6 @@
 	}
 	assert.Equal(t, count["failed"], 50)
 	assert.Assert(t, count["served"] <= 51, "%d", count["served"])
-	assert.Assert(t, count["dropped"] <= 2, "at most one note a second")
+	assert.Assert(t, count["dropped"] <= 2, "dropped lines are reported at most once a second")
 	assert.Equal(t, count["failed"]+count["served"]+dropped, 1051)
 }
--- a/daemon/loglines/upstream.go
+++ b/daemon/loglines/upstream.go
@@ -6,7 +6,7 @@
 	"endiveplank/coordination/roster"
 )
 
-// Upstream writes what a process believes of an upstream from now on.
+// Upstream writes a line with the state that a process lists for an upstream from now on.
 func Upstream(log zerolog.Logger, e roster.Entry) {
 	log.Info().Str("event", "upstream").Str("upstream", string(e.ID)).Stringer("state", e.State).
 		Str("service", string(e.Service)).Str("address", e.Address).Int64("born", e.Born).Uint64("sequence", e.Sequence).Send()
