--- a/cmd/endiveplankd/direct.go
+++ b/cmd/endiveplankd/direct.go
@@ -199,7 +199,7 @@
 	if settings.Listen.Metrics == "" {
 		return d, nil
 	}
-	if err := d.serve(settings.Listen.Metrics, http.HandlerFunc(vm.AnswerMetrics)); err != nil {
+	if err := d.serve(settings.Listen.Metrics, http.HandlerFunc(vm.ServeMetrics)); err != nil {
 		d.Stop()
 		return nil, err
 	}
--- a/daemon/diskvm/calls.go
+++ b/daemon/diskvm/calls.go
@@ -7,14 +7,14 @@
 	"github.com/rotisserie/eris"
 )
 
-// calls matches replies of other disk VMs to who waits for them.
+// calls matches the replies of other disk VMs to the goroutines that wait for them.
 type calls struct {
 	mu      sync.Mutex
 	next    uint64
 	waiting map[uint64]chan any
 }
 
-// open returns a number for a call and the channel that its reply comes on.
+// open returns the number of a new call and the channel that receives its reply.
 func (c *calls) open() (uint64, <-chan any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -27,8 +27,8 @@
 	return c.next, reply
 }
 
-// answer hands a reply to who waits for it, if anybody still does.
-func (c *calls) answer(number uint64, body any) {
+// deliver passes a reply to the goroutine that waits for it, if there still is one.
+func (c *calls) deliver(number uint64, body any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if reply := c.waiting[number]; reply != nil {
@@ -37,17 +37,18 @@
 	}
 }
 
-// close ends the wait for a call.
+// close ends the wait for a call's reply.
 func (c *calls) close(number uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.waiting, number)
 }
 
-// errNoReply means that a disk VM didn't answer in time.
+// errNoReply means that the leader didn't answer in time, or with a reply of another type.
 var errNoReply = eris.New("diskvm: the leader did not answer in time")
 
-// call sends a message made from the call's number and waits for the reply.
+// call passes a new call's number to send, which sends the request, and waits for the
+// reply.
 func call[T any](ctx context.Context, c *calls, send func(number uint64)) (T, error) {
 	var none T
 	number, reply := c.open()
--- a/daemon/diskvm/diskvm_test.go
+++ b/daemon/diskvm/diskvm_test.go
@@ -21,28 +21,28 @@
 	"endiveplank/settings/direct"
 )
 
-// patience bounds a wait for what must happen; it decides no verdict on a machine
-// that runs at all.
-const patience = 60 * time.Second
+// waitTimeout bounds waits for what must happen. It is far above what a slow machine takes,
+// so it decides no verdict on a machine that runs at all.
+const waitTimeout = 60 * time.Second
 
-// fleet is some disk VMs on loopback addresses of their own.
+// fleet is a number of disk VMs, each on its own loopback address.
 type fleet struct {
-	t       *testing.T
-	port    int
-	folders map[int]string
-	vms     map[int]*VM
-	first   bool
+	t          *testing.T
+	port       int
+	folders    map[int]string
+	vms        map[int]*VM
+	firstStart bool
 }
 
-// newFleet starts n disk VMs that know the first three of them.
+// newFleet starts n disk VMs that have the first three of them as seeds.
 func newFleet(t *testing.T, n int) *fleet {
 	t.Helper()
-	f := &fleet{t: t, port: freePort(t), folders: map[int]string{}, vms: map[int]*VM{}, first: true}
+	f := &fleet{t: t, port: freePort(t), folders: map[int]string{}, vms: map[int]*VM{}, firstStart: true}
 	for i := 1; i <= n; i++ {
 		f.folders[i] = t.TempDir()
 		f.start(i)
 	}
-	f.first = false
+	f.firstStart = false
 	t.Cleanup(func() {
 		for i := range f.vms {
 			f.stop(i)
@@ -51,8 +51,8 @@
 	return f
 }
 
-// freePort returns a port that is free on the first address; on the others it
-// is then free as well, unless another program listens there.
+// freePort returns a port that is free on 127.0.0.1. It is free on the other loopback
+// addresses too, unless another program listens there.
 func freePort(t *testing.T) int {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -68,7 +68,7 @@
 	s.Listen.Peers = fmt.Sprintf("127.0.0.%d:%d", i, f.port)
 	s.Listen.Control = fmt.Sprintf("127.0.0.%d:1", i)
 	s.Seeds = []string{"127.0.0.1:1", "127.0.0.2:1", "127.0.0.3:1"}
-	s.FirstStart = f.first
+	s.FirstStart = f.firstStart
 	s.DataFolder = f.folders[i]
 	return s
 }
@@ -96,7 +96,7 @@
 	delete(f.vms, i)
 }
 
-// wipe stops a VM, empties its disk and starts it again.
+// wipe stops a VM, deletes its data folder and starts it again.
 func (f *fleet) wipe(i int) {
 	f.stop(i)
 	assert.NilError(f.t, os.RemoveAll(f.folders[i]))
@@ -105,14 +105,14 @@
 
 func (f *fleet) eventually(what string, holds func() bool) {
 	f.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for !holds() {
-		assert.Assert(f.t, time.Now().Before(deadline), "never: %s", what)
+		assert.Assert(f.t, time.Now().Before(deadline), "timed out: %s", what)
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// put sends a table to a VM until it is answered.
+// put sends a table to a VM until it answers.
 func (f *fleet) put(i int, version uint64, body string) document.Outcome {
 	f.t.Helper()
 	var outcome document.Outcome
@@ -126,7 +126,7 @@
 	return outcome
 }
 
-// read reads the table back at a VM until it can say.
+// read reads the table from a VM until it answers.
 func (f *fleet) read(i int) string {
 	f.t.Helper()
 	body := ""
@@ -150,9 +150,9 @@
 	return len(member.Status().Configuration.Voters)
 }
 
-// settled waits until all VMs vote, with the disks that they have now, and nobody
-// else does.
-func (f *fleet) settled() {
+// waitUntilAllVote waits until all VMs vote, with the identities of their present disks, and
+// nobody else does.
+func (f *fleet) waitUntilAllVote() {
 	f.t.Helper()
 	f.eventually("all disk VMs vote", func() bool {
 		for i, vm := range f.vms {
@@ -172,7 +172,7 @@
 func TestFiveVMsFormFromThreeAddressesAndKeepATable(t *testing.T) {
 	f := newFleet(t, 5)
 	assert.Equal(t, f.put(4, 3, "three"), document.Accepted)
-	f.settled()
+	f.waitUntilAllVote()
 	for i := range f.vms {
 		assert.Equal(t, f.read(i), "three")
 	}
@@ -186,11 +186,11 @@
 }
 
 func TestTwoLostDisksAndARestartOfTheRestLoseNothing(t *testing.T) {
-	// Right after a change was accepted two disk VMs lose their disks and the
-	// other three lose power. What was accepted is on one of the three at the
-	// least, and must be what is read back.
+	// Guards against the loss of an accepted change: right after it was accepted, two of five
+	// disk VMs lose their disks and the other three lose power. At least one of the three has
+	// the change, and it must be read back.
 	f := newFleet(t, 5)
-	f.settled()
+	f.waitUntilAllVote()
 	assert.Equal(t, f.put(1, 7, "seven"), document.Accepted)
 	for i := 1; i <= 5; i++ {
 		f.stop(i)
@@ -202,51 +202,51 @@
 		f.start(i)
 	}
 	assert.Equal(t, f.read(1), "seven")
-	f.settled()
+	f.waitUntilAllVote()
 	assert.Equal(t, f.put(2, 8, "eight"), document.Accepted)
 }
 
-func TestLostDisksOneAfterTheOtherAreMadeUpFor(t *testing.T) {
-	// Every disk is lost once, each after the last one has been made up for.
-	// At the end no disk is left of those that first held the table.
+func TestEveryDiskCanBeLostInTurn(t *testing.T) {
+	// Guards against a fleet that doesn't recover from lost disks: every disk is lost once,
+	// each after the one before it has been replaced. At the end none of the disks is left
+	// that first held the table.
 	f := newFleet(t, 3)
-	f.settled()
+	f.waitUntilAllVote()
 	assert.Equal(t, f.put(1, 7, "seven"), document.Accepted)
 	for i := 1; i <= 3; i++ {
 		f.wipe(i)
-		f.settled()
+		f.waitUntilAllVote()
 	}
 	assert.Equal(t, f.read(2), "seven")
 }
 
 func TestAVMAtAnotherAddressTakesTheLostOnesPlace(t *testing.T) {
 	f := newFleet(t, 3)
-	f.settled()
+	f.waitUntilAllVote()
 	assert.Equal(t, f.put(1, 7, "seven"), document.Accepted)
 	f.stop(3)
 	f.folders[4] = t.TempDir()
 	f.start(4)
-	f.eventually("the newcomer votes in the place of the lost one", func() bool {
+	f.eventually("the new VM votes in place of the lost one", func() bool {
 		return f.voters(4) == 3 && f.voters(1) == 3
 	})
 	assert.Equal(t, f.read(4), "seven")
 }
 
 func TestReplacedVMsDoNotCountForTheNextLoss(t *testing.T) {
-	// An operator replaces two of five VMs, each time with the new one started
-	// before the old one goes. Later two disks are lost at once. If the replaced
-	// ones still counted as voters, three of seven would be left: no leader for
-	// good, and every change refused.
+	// Guards against replaced VMs that still count as voters: an operator replaces two of five
+	// VMs, each time starting the new one before stopping the old one. Later two disks are lost
+	// at once. With seven voters, only three would be left: no leader, and every change refused.
 	f := newFleet(t, 5)
-	f.settled()
+	f.waitUntilAllVote()
 	for _, pair := range [][2]int{{4, 6}, {5, 7}} {
 		f.folders[pair[1]] = t.TempDir()
 		f.start(pair[1])
-		f.eventually("the newcomer votes beside the old one", func() bool { return f.voters(1) >= pair[1] })
+		f.eventually("the new VM votes beside the old one", func() bool { return f.voters(1) >= pair[1] })
 	}
 	f.stop(4)
 	f.stop(5)
-	f.eventually("those that were replaced don't vote", func() bool { return f.voters(1) == 5 })
+	f.eventually("the replaced VMs don't vote any more", func() bool { return f.voters(1) == 5 })
 	assert.Equal(t, f.put(1, 7, "seven"), document.Accepted)
 	f.wipe(6)
 	f.wipe(7)
@@ -254,12 +254,12 @@
 	assert.Equal(t, f.put(3, 8, "eight"), document.Accepted)
 }
 
-func TestWithoutAQuorumNothingIsSaidAboutTheTable(t *testing.T) {
-	// Two of three disk VMs are away. The one that is left can't know whether
-	// its table is still the newest, and must not pass it off as such; a change
-	// that it held already was accepted and stays so.
+func TestWithoutAQuorumTheTableIsNeitherReadNorChanged(t *testing.T) {
+	// Guards against stale reads: two of three disk VMs are down. The third can't know whether
+	// its table is still the newest, and must not return it as such. A change that it has
+	// already applied was accepted, and is still reported as accepted.
 	f := newFleet(t, 3)
-	f.settled()
+	f.waitUntilAllVote()
 	assert.Equal(t, f.put(1, 7, "seven"), document.Accepted)
 	assert.Equal(t, f.read(3), "seven")
 	f.stop(1)
@@ -273,11 +273,11 @@
 	assert.Equal(t, f.put(3, 7, "seven"), document.Held)
 }
 
-func TestADamagedFolderIsGivenUp(t *testing.T) {
-	// A data folder comes back damaged in its middle. A process that ended at
-	// each start would leave the fleet one copy short until somebody came by.
+func TestDamagedDataFolderIsDiscarded(t *testing.T) {
+	// Guards against a process that ends at each start because its data folder is damaged in
+	// the middle: the fleet would have one copy less until an operator intervened.
 	f := newFleet(t, 3)
-	f.settled()
+	f.waitUntilAllVote()
 	for version := range uint64(20) {
 		f.put(1, version+1, fmt.Sprint("table ", version+1))
 	}
@@ -294,14 +294,14 @@
 		assert.NilError(t, os.WriteFile(path, data, 0o600))
 	}
 	f.start(2)
-	f.settled()
+	f.waitUntilAllVote()
 	assert.Equal(t, f.read(2), "table 20")
 }
 
-func TestUpstreamsHeardByOneAreKnownToAllAndAfterARestart(t *testing.T) {
-	// An upstream announces itself to one disk VM. The others must know it, and
-	// still do when all have lost power: routers would else refuse callers until
-	// it announces itself again.
+func TestUpstreamsAnnouncedToOneVMAreKnownToAllAndAfterARestart(t *testing.T) {
+	// Guards against upstreams that are unknown after a loss of power: an upstream announces
+	// itself to one disk VM. The other VMs must list it, also after all of them have restarted,
+	// or routers would refuse callers until it announces itself again.
 	f := newFleet(t, 3)
 	e := roster.Entry{ID: "u1", Service: "s", Address: "10.0.0.1:80", State: roster.Ready, Born: 5, Sequence: 1}
 	f.vms[1].Announce(e)
@@ -314,15 +314,15 @@
 	for i := 1; i <= 3; i++ {
 		f.eventually("all know the upstream", func() bool { return known(i) })
 	}
-	kept := []balance.Kept{{Prompt: 1, ID: 5}}
-	f.vms[3].Receive("r1", balance.NewKeeperList(kept))
+	holders := []balance.Kept{{Prompt: 1, ID: 5}}
+	f.vms[3].Receive("r1", balance.NewKeeperList(holders))
 	for i := 1; i <= 3; i++ {
 		f.eventually("the list is on disk", func() bool {
 			_, err := os.Stat(f.folders[i] + "/" + rosterFolder + "/cache")
 			return err == nil
 		})
 	}
-	time.Sleep(rememberInterval + 200*time.Millisecond)
+	time.Sleep(saveInterval + 200*time.Millisecond)
 	for i := 1; i <= 3; i++ {
 		f.stop(i)
 	}
@@ -331,22 +331,22 @@
 		assert.Assert(t, known(i), "vm%d", i)
 	}
 	f.vms[3].mu.Lock()
-	recalled := f.vms[3].publisher.CacheHolders().Newest(f.vms[3].now())
+	restored := f.vms[3].publisher.CacheHolders().Newest(f.vms[3].now())
 	f.vms[3].mu.Unlock()
-	assert.DeepEqual(t, recalled, kept)
+	assert.DeepEqual(t, restored, holders)
 	f.vms[2].Leave("u1", 0, 0)
 	f.eventually("all know that it has left", func() bool { return !known(1) && !known(2) && !known(3) })
 }
 
 func TestATableIsOfferedAfterARestartBeforeThereIsALeader(t *testing.T) {
-	// All disk VMs lose power, and only one is back: there is no quorum. Routers that
-	// start then have to serve somebody by something, so it offers them the table
-	// that was in force. The operator, who asks for the newest one, must not get it.
+	// Guards against routers that start without any table: all disk VMs lose power and only one
+	// is back, so there is no quorum. It offers the routers the table that was in force before.
+	// An operator, who asks for the newest table, must get an error.
 	f := newFleet(t, 3)
 	f.put(1, 20, "table 20")
-	f.settled()
+	f.waitUntilAllVote()
 	f.eventually("the table is on disk", func() bool {
-		content, found := f.vms[1].read(f.vms[1].remembered.table)
+		content, found := f.vms[1].readSaved(f.vms[1].saved.table)
 		return found && len(content) > 0
 	})
 	for i := 1; i <= 3; i++ {
@@ -354,9 +354,9 @@
 	}
 	vm := f.start(1)
 	vm.mu.Lock()
-	sends := vm.publisher.HandleWatch(vm.now(), "r1", control.Watch{Router: true})
+	messages := vm.publisher.HandleWatch(vm.now(), "r1", control.Watch{Router: true})
 	vm.mu.Unlock()
-	status := sends[0].Body.(control.Status)
+	status := messages[0].Body.(control.Status)
 	assert.Equal(t, status.Version, uint64(20))
 	assert.Assert(t, status.Restored)
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
--- a/daemon/diskvm/doc.go
+++ b/daemon/diskvm/doc.go
@@ -1,19 +1,23 @@
-// Package diskvm is the process on a VM with a disk: it keeps the routing table
-// with the other disk VMs, hears the upstreams' announcements, and tells the
-// routers what they need of both.
+// Package diskvm implements the process that runs on a VM with a disk. A VM keeps the
+// routing table together with the other disk VMs, receives the upstreams' announcements,
+// and sends routers what they need of both.
 //
-// The table is a document in a replicated log: a change is answered as accepted
-// once a quorum of disks has synced it, and read back only after the leader has
-// proved to a quorum, in that very round, that it still leads. No clock takes
-// part in that, because a VM's clock stands still while the VM is suspended.
+// The table is a document in a replicated log. A change is answered as accepted once a
+// quorum of disks has synced it. A read is answered only after the leader has confirmed
+// with a quorum, in a round that starts after the read, that it still leads. No clock takes
+// part in that (there are no leases), because a VM's clock stands still while the VM is
+// suspended.
 //
-// The list of upstreams is not replicated by consensus. Every upstream
-// announces itself each second, so it is whole again a second after all disk
-// VMs were restarted, and package roster orders what they hear.
+// The list of upstreams is not replicated by consensus. Every upstream announces itself
+// each second, so the list is complete again a second after all disk VMs were restarted.
+// Package roster orders the announcements that different disk VMs receive.
 //
-// Failures guarded: the disk is full or fails (the member stops voting, and
-// starts again once the disk takes writes); the data folder is damaged (it is
-// given up, and the VM joins anew as if the disk was lost); the leader is away
-// (calls wait for the next one for as long as the caller does, and a resent
-// change that is in force already is answered without it).
+// The package guards against these failures:
+//   - The disk is full or fails: the consensus member stops and no longer votes. It starts
+//     again once the disk takes writes.
+//   - The data folder is damaged: the VM discards it and joins anew, as if the disk was lost.
+//   - The leader is lost: calls wait for the next leader until the caller's deadline. A
+//     change that is sent again and is in force already is answered without a leader.
+//   - All disk VMs lose power: each offers the table, the roster and the cache holders that
+//     it saved before (see savedState).
 package diskvm
--- a/daemon/diskvm/member.go
+++ b/daemon/diskvm/member.go
@@ -14,42 +14,44 @@
 
 // Timing of consensus.
 //
-// Operators' changes have to be answered within seconds while a leader is lost. A
-// disk that takes tens of times as long as usual is far from the election timeout,
-// and several heartbeats fit into it, so a lost one elects nobody.
+// Operators' changes have to be answered within seconds while a leader is lost. The election
+// timeout is far above the time that a disk takes even at tens of times its usual latency,
+// and covers several heartbeats, so that one lost heartbeat starts no election.
 const (
 	heartbeat       = 150 * time.Millisecond
 	electionTimeout = 750 * time.Millisecond
-	// silentAfter is how long a voter may be silent before it goes, where that
-	// lowers the quorum and not what can be borne (see package repair). A VM
-	// that was replaced must be out before the next loss, some seconds later.
-	silentAfter = 2500 * time.Millisecond
-	// forgetLearner is how long a learner may be silent.
-	forgetLearner = 30 * time.Second
-	// mostVoters bounds the quorum: seven disk VMs bear the loss of three.
-	mostVoters = 7
-	// snapshotRate bounds snapshot traffic in bytes a second: a whole table goes at
-	// once, and a small link keeps most of its room for the rest.
+	// silentVoterTimeout is how long a voter may be silent before it is removed, if the
+	// removal lowers the quorum and not the number of losses that the rest can bear (see
+	// package repair). A VM that was replaced must be removed before the next loss, which
+	// may follow some seconds later.
+	silentVoterTimeout = 2500 * time.Millisecond
+	// silentLearnerTimeout is how long a learner may be silent before it is removed.
+	silentLearnerTimeout = 30 * time.Second
+	// maxVoters bounds the quorum: seven disk VMs bear the loss of three.
+	maxVoters = 7
+	// snapshotRate and snapshotBurst bound snapshot traffic, in bytes a second and in
+	// bytes. A whole table is sent at once, and a small link keeps most of its bandwidth
+	// for other messages.
 	snapshotRate  = 64 << 10
 	snapshotBurst = 256 << 10
-	// snapshotEvery bounds the log, in changes: its replay and its size on a disk.
+	// snapshotEvery is the number of changes after which a snapshot is taken. It bounds
+	// the replay of the log and its size on disk.
 	snapshotEvery = 256
 	segmentBytes  = 1 << 20
 	// restartDelay is how long a member waits after its disk failed before it
 	// opens the folder again.
 	restartDelay = 300 * time.Millisecond
-	// handOverPatience is how long a stopping leader waits for its successor:
-	// twice a round to the voters and a slow sync.
-	handOverPatience = 300 * time.Millisecond
+	// handOverTimeout is how long a stopping leader waits for its successor: two round
+	// trips to the voters and a slow sync.
+	handOverTimeout = 300 * time.Millisecond
 )
 
-// keepMember runs the consensus member, and starts it again when its disk has
-// failed.
+// superviseMember runs the consensus member, and starts it again after its disk has failed.
 //
-// Failure: the disk is full for some seconds. The member stops at the first
-// write that fails, as it must; ending the process would help nobody, and a
-// member that never returned would be one voter less for good.
-func (vm *VM) keepMember() {
+// It guards against this failure: the disk is full for some seconds. The member has to stop
+// at the first write that fails. Ending the process would not help, and a member that never
+// restarts would leave the fleet with one voter less for good.
+func (vm *VM) superviseMember() {
 	defer vm.done.Done()
 	for {
 		vm.runMember()
@@ -61,12 +63,12 @@
 	}
 }
 
-// runMember runs one member until it stops by itself or the VM does.
+// runMember runs one member until its disk fails or the VM stops.
 func (vm *VM) runMember() {
 	member, err := replica.New(vm.memberConfig())
 	var damaged wal.CorruptionError
 	if errors.As(err, &damaged) {
-		vm.giveUpFolder(err)
+		vm.discardDataFolder(err)
 		return
 	}
 	if err != nil {
@@ -82,11 +84,11 @@
 		member.Stop()
 	case <-member.Done():
 		vm.member.Store(nil)
-		vm.log.Error().Str("event", "member-stopped").Msg("the disk failed; the member starts again when it takes writes")
+		vm.log.Error().Str("event", "member-stopped").Msg("the disk failed; the member restarts once the disk takes writes")
 	}
 }
 
-// memberConfig returns how the member runs.
+// memberConfig returns the configuration of the consensus member.
 func (vm *VM) memberConfig() replica.Config {
 	vm.mu.Lock()
 	defer vm.mu.Unlock()
@@ -97,7 +99,7 @@
 			Heartbeat: heartbeat, ElectionTimeout: electionTimeout, Leaseless: true,
 			SnapshotBytesPerSecond: snapshotRate, SnapshotBurstBytes: snapshotBurst,
 		},
-		Repair:        repair.Settings{Voters: mostVoters, Grow: true, Losses: vm.settings.DiskLosses, SilentAfter: silentAfter, ForgetAfter: forgetLearner},
+		Repair:        repair.Settings{Voters: maxVoters, Grow: true, Losses: vm.settings.DiskLosses, SilentAfter: silentVoterTimeout, ForgetAfter: silentLearnerTimeout},
 		SnapshotEvery: snapshotEvery, SegmentBytes: segmentBytes,
 		OnEvent:  vm.logConsensus,
 		OnFailed: func(err error) { vm.log.Error().Str("event", "disk-failed").Err(err).Send() },
@@ -108,25 +110,24 @@
 	return config
 }
 
-// transport sends the member's messages.
+// transport sends the member's messages to other disk VMs.
 type transport struct{ vm *VM }
 
 // Send implements replica.Transport.
 func (t transport) Send(to protocol.RouterID, m consensus.Message) { t.vm.fabric.Send(to, m) }
 
-// logConsensus writes a line for each decision of the member.
+// logConsensus writes a line for each consensus event.
 func (vm *VM) logConsensus(e consensus.Event) {
 	vm.log.Info().Str("event", string(e.Kind)).Uint64("term", e.Term).Stringer("member", e.Member).Str("reason", e.Reason).Send()
 }
 
-// giveUpFolder removes a damaged data folder's files, which leaves this VM as
-// one that has lost its disk: it joins under a new identity and gets everything
-// from the others.
+// discardDataFolder removes the files of a damaged data folder. The VM then joins under a
+// new identity, like one that has lost its disk, and receives everything from the others.
 //
-// Failure: a data folder that can't be read would end the process at each start,
-// and the fleet would run on one copy less until somebody came by.
-func (vm *VM) giveUpFolder(cause error) {
-	vm.log.Error().Str("event", "data-folder-given-up").Err(cause).Msg("damaged; this VM joins anew")
+// It guards against this failure: a data folder that can't be read would end the process at
+// each start, and the fleet would run with one copy less until an operator intervened.
+func (vm *VM) discardDataFolder(cause error) {
+	vm.log.Error().Str("event", "data-folder-given-up").Err(cause).Msg("the data folder is damaged; this VM removes its files and joins anew")
 	names, err := vm.folder.List()
 	if err != nil {
 		vm.log.Error().Str("event", "data-folder-not-listed").Err(err).Send()
@@ -142,7 +143,7 @@
 	}
 }
 
-// setContacts tells the member whom to ask first.
+// setContacts tells the member which disk VMs to contact first.
 func (vm *VM) setContacts(member *replica.Replica, seeds []protocol.RouterID) {
 	ctx, cancel := context.WithTimeout(context.Background(), electionTimeout)
 	defer cancel()
@@ -151,14 +152,14 @@
 	}
 }
 
-// handOver gives leadership away before a planned stop, so that operators wait
-// milliseconds for the next leader and not an election timeout.
+// handOver transfers leadership before a planned stop, so that operators wait milliseconds
+// for the next leader and not an election timeout.
 func (vm *VM) handOver() {
 	member := vm.member.Load()
 	if member == nil || member.Status().Role != consensus.Leader {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), handOverPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
 	defer cancel()
 	if err := member.HandOver(ctx); err != nil {
 		vm.log.Warn().Str("event", "not-handed-over").Err(err).Send()
--- a/daemon/diskvm/metrics.go
+++ b/daemon/diskvm/metrics.go
@@ -10,24 +10,24 @@
 	"endiveplank/daemon/metricstext"
 )
 
-// metricLabels names the label behind the dot in a metric's name.
+// metricLabels maps a metric's name to the label whose value follows the dot.
 var metricLabels = map[string]string{"table_puts_total": "outcome"}
 
-// countPut counts an operator's put by what became of it.
+// countPut counts an operator's put by its outcome.
 func (vm *VM) countPut(outcome string) {
 	metrics.GetOrRegisterCounter("table_puts_total."+outcome, vm.registry).Inc(1)
 }
 
-// AnswerMetrics writes all metrics as text.
-func (vm *VM) AnswerMetrics(w http.ResponseWriter, _ *http.Request) {
-	vm.noteGauges()
+// ServeMetrics writes all metrics as text.
+func (vm *VM) ServeMetrics(w http.ResponseWriter, _ *http.Request) {
+	vm.updateGauges()
 	if err := metricstext.Write(w, vm.registry, metricLabels); err != nil {
 		vm.log.Debug().Str("event", "metrics-not-written").Err(err).Send()
 	}
 }
 
-// noteGauges brings the gauges up to date.
-func (vm *VM) noteGauges() {
+// updateGauges sets the gauges to their current values.
+func (vm *VM) updateGauges() {
 	set := func(name string, value int64) { metrics.GetOrRegisterGauge(name, vm.registry).Update(value) }
 	if member := vm.member.Load(); member != nil {
 		status := member.Status()
--- /dev/null
+++ b/daemon/diskvm/savedstate.go
@@ -0,0 +1,219 @@
+package diskvm
+
+import (
+	"errors"
+	"path/filepath"
+	"slices"
+	"time"
+
+	"github.com/rotisserie/eris"
+
+	"endiveplank/coordination/balance"
+	"endiveplank/coordination/document"
+	"endiveplank/coordination/roster"
+	"endiveplank/protocol/codec"
+	"endiveplank/state/cachefile"
+	"endiveplank/state/disk"
+)
+
+const (
+	// saveInterval is how often the roster and the cache holders are saved. After a loss
+	// of power they are as old as the outage, plus at most this interval.
+	saveInterval = 2 * time.Second
+	// rosterMaxAge is how old a saved roster may be. Requests to upstreams that have gone
+	// since then fail and cost some milliseconds each. A roster of a minute ago is worth
+	// less than waiting a second for the upstreams' announcements.
+	rosterMaxAge = 15 * time.Second
+	// tableMaxAge is how old a saved table may be. A site that was without power for some
+	// minutes is served at once, and a VM that was put aside for a day offers no table.
+	tableMaxAge = 15 * time.Minute
+	// minWriteInterval is the least time between two writes of one file. Sixteen tables
+	// a second would otherwise delay the log's writes on a slow disk.
+	minWriteInterval = 500 * time.Millisecond
+	// cacheHoldersMaxAge is how old the saved cache holders may be. Engines that were idle
+	// since then still have what was in their caches.
+	cacheHoldersMaxAge = 15 * time.Second
+	// Each file is in a folder of its own, apart from the log.
+	rosterFolder       = "roster"
+	tableFolder        = "table"
+	cacheHoldersFolder = "keepers"
+)
+
+// savedState is what a disk VM knew before its restart. It offers that to routers until it
+// has received anything newer.
+//
+// It guards against this failure: all VMs lose power together. The upstreams announce
+// themselves within a second or so, and a table is in force again once a leader is elected.
+// Until then every router would refuse its callers, or send all requests to the first
+// upstreams that announce themselves. Saved state may be old, but it decides nothing:
+// consensus has its own log, and operators read the table only from a leader that a quorum
+// has confirmed.
+type savedState struct {
+	roster, table, cacheHolders *savedFile
+	// queuedAt is when the roster and the cache holders were last queued for writing.
+	queuedAt time.Duration
+}
+
+// savedFile is one file and the content to write to it next.
+type savedFile struct {
+	name    string
+	disk    *disk.OS
+	maxAge  time.Duration
+	pending chan []byte
+}
+
+// openSavedFile opens the folder of one file. It returns the errors of the disk.
+func openSavedFile(dataFolder, name string, maxAge time.Duration) (*savedFile, error) {
+	folder, err := disk.Open(filepath.Join(dataFolder, name))
+	if err != nil {
+		return nil, eris.Wrapf(err, "open the folder %s in %q", name, dataFolder)
+	}
+	return &savedFile{name: name, disk: folder, maxAge: maxAge, pending: make(chan []byte, 1)}, nil
+}
+
+// queue passes content to the writer. It replaces content that the writer hasn't begun to
+// write.
+func (f *savedFile) queue(content []byte) {
+	select {
+	case <-f.pending:
+	default:
+	}
+	f.pending <- content
+}
+
+// openSavedState opens the files. It returns the errors of the disk.
+func openSavedState(dataFolder string) (*savedState, error) {
+	s := &savedState{}
+	var err error
+	if s.roster, err = openSavedFile(dataFolder, rosterFolder, rosterMaxAge); err != nil {
+		return nil, err
+	}
+	if s.table, err = openSavedFile(dataFolder, tableFolder, tableMaxAge); err != nil {
+		return nil, errors.Join(err, s.close())
+	}
+	if s.cacheHolders, err = openSavedFile(dataFolder, cacheHoldersFolder, cacheHoldersMaxAge); err != nil {
+		return nil, errors.Join(err, s.close())
+	}
+	return s, nil
+}
+
+// all returns the files that are open.
+func (s *savedState) all() []*savedFile {
+	return slices.DeleteFunc([]*savedFile{s.roster, s.table, s.cacheHolders}, func(f *savedFile) bool { return f == nil })
+}
+
+// close closes the folders.
+func (s *savedState) close() error {
+	var all error
+	for _, f := range s.all() {
+		all = errors.Join(all, f.disk.Close())
+	}
+	return all
+}
+
+// savedTable is the content of the table's file.
+type savedTable struct {
+	Version uint64 `msgpack:"v"`
+	Body    []byte `msgpack:"b"`
+}
+
+// restore loads what was saved before the start: the roster, the table and the cache
+// holders.
+func (vm *VM) restore() {
+	if content, found := vm.readSaved(vm.saved.roster); found {
+		vm.restoreRoster(content)
+	}
+	if content, found := vm.readSaved(vm.saved.table); found {
+		vm.restoreTable(content)
+	}
+	if content, found := vm.readSaved(vm.saved.cacheHolders); found {
+		vm.restoreCacheHolders(content)
+	}
+}
+
+// readSaved returns a file's content, if there is any that isn't too old.
+func (vm *VM) readSaved(f *savedFile) ([]byte, bool) {
+	return cachefile.Read(f.disk, time.Now(), f.maxAge)
+}
+
+func (vm *VM) restoreRoster(content []byte) {
+	var entries []roster.Entry
+	if err := codec.Unmarshal(content, &entries); err != nil {
+		vm.logNotRestored(vm.saved.roster, err)
+		return
+	}
+	for _, e := range entries {
+		vm.roster.Merge(vm.now(), e)
+	}
+	vm.log.Info().Str("event", "roster-recalled").Int("upstreams", len(entries)).Send()
+}
+
+func (vm *VM) restoreTable(content []byte) {
+	var table savedTable
+	err := codec.Unmarshal(content, &table)
+	if err != nil {
+		vm.logNotRestored(vm.saved.table, err)
+		return
+	}
+	body, err := document.Decompress(table.Body)
+	if err != nil {
+		vm.logNotRestored(vm.saved.table, err)
+		return
+	}
+	vm.publisher.Restore(document.New(table.Version, body))
+	vm.log.Info().Str("event", "table-recalled").Uint64("version", table.Version).Int("bytes", len(body)).Send()
+}
+
+func (vm *VM) restoreCacheHolders(content []byte) {
+	var entries []balance.RememberedKeeper
+	if err := codec.Unmarshal(content, &entries); err != nil {
+		vm.logNotRestored(vm.saved.cacheHolders, err)
+		return
+	}
+	vm.publisher.CacheHolders().Recall(vm.now(), entries)
+	vm.log.Info().Str("event", "keepers-recalled").Int("prompts", len(entries)).Send()
+}
+
+func (vm *VM) logNotRestored(f *savedFile, err error) {
+	vm.log.Warn().Str("event", "not-recalled").Str("what", f.name).Err(err).Send()
+}
+
+// saveRosterAndCacheHolders queues the roster and the cache holders, which change all the
+// time, for writing at every saveInterval.
+func (vm *VM) saveRosterAndCacheHolders(now time.Duration) {
+	if now-vm.saved.queuedAt < saveInterval {
+		return
+	}
+	vm.saved.queuedAt = now
+	vm.saved.roster.queue(codec.Marshal(vm.roster.Entries()))
+	vm.saved.cacheHolders.queue(codec.MarshalArrays(vm.publisher.CacheHolders().Entries(now)))
+}
+
+// saveTable queues the table in force for writing.
+func (vm *VM) saveTable(d *document.Document) {
+	vm.saved.table.queue(codec.Marshal(savedTable{Version: d.Version, Body: document.Compress(d.Body)}))
+}
+
+// writeSaved writes one file whenever content is queued. It runs in its own goroutine, so
+// that a slow disk doesn't block the VM.
+func (vm *VM) writeSaved(f *savedFile) {
+	defer vm.done.Done()
+	failed := false
+	for {
+		select {
+		case <-vm.quit:
+			return
+		case content := <-f.pending:
+			err := cachefile.Write(f.disk, time.Now(), content)
+			if err != nil && !failed {
+				vm.log.Warn().Str("event", "not-written").Str("what", f.name).Err(err).Send()
+			}
+			failed = err != nil
+		}
+		select {
+		case <-vm.quit:
+			return
+		case <-time.After(minWriteInterval):
+		}
+	}
+}
--- a/daemon/diskvm/table.go
+++ b/daemon/diskvm/table.go
@@ -13,63 +13,64 @@
 )
 
 const (
-	// leaderPatience bounds one question to the leader: a slow sync on a
-	// quorum of disks and a whole table over a small VM's link.
-	leaderPatience = 500 * time.Millisecond
-	// retryPause is the time between two tries while no leader is known.
-	retryPause = 20 * time.Millisecond
+	// leaderTimeout bounds one call to the leader: a slow sync on a quorum of disks and a
+	// whole table over a small VM's link.
+	leaderTimeout = 500 * time.Millisecond
+	// retryDelay is the time between two attempts while no leader is known.
+	retryDelay = 20 * time.Millisecond
 )
 
-// ErrUnavailable means that no quorum could be reached in time. A change may be
-// accepted or not; sending it again shows.
+// ErrUnavailable means that no quorum could be reached in time. A change may have been
+// accepted or not; the caller learns which by sending it again.
 var ErrUnavailable = eris.New("diskvm: no quorum of disk VMs could be reached in time")
 
-// PutTable makes a document the table in force, if its version is the highest.
-// It returns when that is on a quorum of disks. Errors: those of
-// Options.CheckTable, which mean that the table is invalid; ErrUnavailable.
+// PutTable puts a document in force as the table, if its version is the highest. It returns
+// once the document is on a quorum of disks. It returns the errors of Options.CheckTable,
+// which mean that the table is invalid, and ErrUnavailable.
 func (vm *VM) PutTable(ctx context.Context, version uint64, body []byte) (document.Outcome, error) {
 	if err := vm.options.CheckTable(version, body); err != nil {
 		vm.countPut("invalid")
 		return 0, err
 	}
 	next := document.New(version, body)
-	whole := false
+	full := false
 	for ctx.Err() == nil {
-		outcome := vm.tryPut(ctx, next, whole)
+		outcome := vm.tryPut(ctx, next, full)
 		if outcome != 0 && outcome != document.OtherBase {
 			vm.countPut(outcome.String())
 			vm.log.Info().Str("event", "table-put").Uint64("version", version).Stringer("outcome", outcome).Send()
 			return outcome, nil
 		}
-		whole = whole || outcome == document.OtherBase
+		full = full || outcome == document.OtherBase
 		if outcome == 0 {
-			pause(ctx, retryPause)
+			sleep(ctx, retryDelay)
 		}
 	}
 	vm.countPut("unanswered")
-	vm.log.Warn().Str("event", "table-put-unanswered").Uint64("version", version).Str("leader", string(vm.leaderNow())).Send()
+	vm.log.Warn().Str("event", "table-put-unanswered").Uint64("version", version).Str("leader", string(vm.currentLeader())).Send()
 	return 0, ErrUnavailable
 }
 
-// tryPut makes one try. What is committed here answers without the leader; 0
-// means that nothing is known. whole sends all of the table and not what differs.
-func (vm *VM) tryPut(ctx context.Context, next *document.Document, whole bool) document.Outcome {
+// tryPut attempts a put once. It answers without the leader if what this VM has applied
+// decides the outcome, and returns 0 if the outcome is unknown. If full is set, it sends the
+// leader the whole table and not the difference.
+func (vm *VM) tryPut(ctx context.Context, next *document.Document, full bool) document.Outcome {
 	inForce, _ := vm.machine.InForce()
 	if outcome := document.Judge(inForce, next.Version, next.Digest); outcome != document.Accepted {
 		return outcome
 	}
-	leader := vm.leaderNow()
+	leader := vm.currentLeader()
 	if leader == "" {
 		return 0
 	}
 	if leader == vm.options.Settings.Self() {
 		return vm.putAsLeader(ctx, next)
 	}
-	if whole {
+	if full {
 		inForce = nil
 	}
 	change := document.MakeChange(inForce, next)
-	ctx, cancel := context.WithTimeout(ctx, leaderPatience)
+	ctx, cancel := context.WithTimeout(ctx, leaderTimeout)
 	defer cancel()
 	reply, err := call[control.PutReply](ctx, &vm.calls, func(number uint64) {
 		vm.fabric.Send(leader, control.Put{Call: number, Change: change})
@@ -81,8 +82,8 @@
 	return reply.Outcome
 }
 
-// leaderNow returns the leader that this member knows, "" for none.
-func (vm *VM) leaderNow() protocol.RouterID {
+// currentLeader returns the leader that this VM's member knows, "" for none.
+func (vm *VM) currentLeader() protocol.RouterID {
 	member := vm.member.Load()
 	if member == nil {
 		return ""
@@ -90,11 +91,11 @@
 	return member.Leader()
 }
 
-// putAsLeader has a table committed. Changes go through one at a time, each made
-// from the table that the one before it has left.
+// putAsLeader commits a table. It commits one change at a time, each computed from the table
+// that the one before it has put in force.
 func (vm *VM) putAsLeader(ctx context.Context, next *document.Document) document.Outcome {
-	vm.putting.Lock()
-	defer vm.putting.Unlock()
+	vm.putMu.Lock()
+	defer vm.putMu.Unlock()
 	for ctx.Err() == nil {
 		inForce, _ := vm.machine.InForce()
 		if outcome := document.Judge(inForce, next.Version, next.Digest); outcome != document.Accepted {
@@ -116,9 +117,10 @@
 	return 0
 }
 
-// answerPut does another disk VM's put as the leader.
-func (vm *VM) answerPut(from protocol.RouterID, put control.Put) {
-	ctx, cancel := context.WithTimeout(context.Background(), leaderPatience)
+// handlePut executes the put of another disk VM, which considers this VM the leader, and
+// replies.
+func (vm *VM) handlePut(from protocol.RouterID, put control.Put) {
+	ctx, cancel := context.WithTimeout(context.Background(), leaderTimeout)
 	defer cancel()
 	inForce, _ := vm.machine.InForce()
 	reply := control.PutReply{Call: put.Call, Outcome: document.OtherBase}
@@ -133,31 +135,31 @@
 	vm.fabric.Send(from, reply)
 }
 
-// ReadTable returns the table in force, nil if none was ever accepted. Error:
-// ErrUnavailable, where this VM can't be sure which one is the newest.
+// ReadTable returns the table in force, nil if none was ever accepted. It returns
+// ErrUnavailable if this VM can't confirm which table is the newest.
 func (vm *VM) ReadTable(ctx context.Context) (*document.Document, error) {
 	for ctx.Err() == nil {
 		version, known := vm.newestVersion(ctx)
 		if !known {
-			pause(ctx, retryPause)
+			sleep(ctx, retryDelay)
 			continue
 		}
-		if found, held := vm.await(ctx, version); held {
-			vm.log.Info().Str("event", "table-read").Uint64("version", version).Str("leader", string(vm.leaderNow())).Send()
+		if found, held := vm.awaitVersion(ctx, version); held {
+			vm.log.Info().Str("event", "table-read").Uint64("version", version).Str("leader", string(vm.currentLeader())).Send()
 			return found, nil
 		}
 	}
-	vm.log.Warn().Str("event", "table-read-unanswered").Str("leader", string(vm.leaderNow())).Send()
+	vm.log.Warn().Str("event", "table-read-unanswered").Str("leader", string(vm.currentLeader())).Send()
 	return nil, ErrUnavailable
 }
 
 // newestVersion asks the leader which version is in force.
 func (vm *VM) newestVersion(ctx context.Context) (uint64, bool) {
-	leader := vm.leaderNow()
+	leader := vm.currentLeader()
 	if leader == "" {
 		return 0, false
 	}
-	ctx, cancel := context.WithTimeout(ctx, leaderPatience)
+	ctx, cancel := context.WithTimeout(ctx, leaderTimeout)
 	defer cancel()
 	if leader == vm.options.Settings.Self() {
 		return vm.confirmedVersion(ctx)
@@ -172,8 +174,8 @@
 	return reply.Version, reply.Known
 }
 
-// confirmedVersion returns the version in force after a quorum has confirmed
-// that this VM leads.
+// confirmedVersion returns the version in force, after a quorum has confirmed that this VM
+// leads.
 func (vm *VM) confirmedVersion(ctx context.Context) (uint64, bool) {
 	member := vm.member.Load()
 	if member == nil {
@@ -190,24 +192,24 @@
 	return inForce.Version, true
 }
 
-// logUnconfirmed says why a read wasn't confirmed, but for a member that simply
-// doesn't lead.
+// logUnconfirmed logs why a read wasn't confirmed, unless this VM simply isn't the leader.
 func (vm *VM) logUnconfirmed(err error) {
 	if _, follows := err.(replica.ErrNotLeader); !follows {
 		vm.log.Warn().Str("event", "read-not-confirmed").Err(err).Send()
 	}
 }
 
-// answerRead answers another disk VM's read as the leader.
-func (vm *VM) answerRead(from protocol.RouterID, read control.Read) {
-	ctx, cancel := context.WithTimeout(context.Background(), leaderPatience)
+// handleRead answers the read of another disk VM, which considers this VM the leader.
+func (vm *VM) handleRead(from protocol.RouterID, read control.Read) {
+	ctx, cancel := context.WithTimeout(context.Background(), leaderTimeout)
 	defer cancel()
 	version, known := vm.confirmedVersion(ctx)
 	vm.fabric.Send(from, control.ReadReply{Call: read.Call, Known: known, Version: version})
 }
 
-// await waits until a version, or a higher one, has been applied here.
-func (vm *VM) await(ctx context.Context, version uint64) (*document.Document, bool) {
+// awaitVersion waits until this VM has applied a version or a higher one. For version 0,
+// which means that no table was ever accepted, it returns nil.
+func (vm *VM) awaitVersion(ctx context.Context, version uint64) (*document.Document, bool) {
 	for {
 		inForce, changed := vm.machine.InForce()
 		if version == 0 && inForce == nil {
@@ -224,8 +226,8 @@
 	}
 }
 
-// pause waits, but not beyond the context.
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits for a duration, or until the context ends.
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
--- a/daemon/diskvm/upstreams.go
+++ b/daemon/diskvm/upstreams.go
@@ -6,8 +6,8 @@
 	"endiveplank/protocol"
 )
 
-// Announce takes an upstream's announcement. It returns the IP:port for the
-// upstream's next ones, "" for any disk VM.
+// Announce processes an upstream's announcement. It returns the IP:port to which the
+// upstream should send the next ones, "" for any disk VM.
 func (vm *VM) Announce(e roster.Entry) string {
 	vm.mu.Lock()
 	defer vm.mu.Unlock()
@@ -19,8 +19,8 @@
 	return vm.publisher.AnnounceAt(now, e)
 }
 
-// Leave notes that an upstream has left. born and sequence are 0 where it
-// doesn't tell them.
+// Leave notes that an upstream has left. born and sequence are 0 if the upstream doesn't
+// send them.
 func (vm *VM) Leave(id protocol.UpstreamID, born int64, sequence uint64) {
 	vm.mu.Lock()
 	defer vm.mu.Unlock()
@@ -32,7 +32,7 @@
 	vm.publisher.NoteChange(id)
 }
 
-// logUpstream writes what is believed of an upstream.
+// logUpstream writes a line with the state that this VM lists for an upstream.
 func (vm *VM) logUpstream(id protocol.UpstreamID) {
 	e, known := vm.roster.Entry(id)
 	if !known {
--- a/daemon/diskvm/vm.go
+++ b/daemon/diskvm/vm.go
@@ -25,21 +25,21 @@
 )
 
 const (
-	// tickInterval is how often watches and the membership are looked at, and
-	// how long changes of upstreams are gathered. A leaving upstream must get
-	// no more work after two seconds.
+	// tickInterval is how often the VM checks for due watches and membership changes, and
+	// how long it batches changes of upstreams. An upstream that leaves must get no more
+	// requests after two seconds.
 	tickInterval = 50 * time.Millisecond
-	// expireInterval is how often silent upstreams are looked for.
+	// expireInterval is how often the VM looks for silent upstreams.
 	expireInterval = time.Second
 )
 
-// Options of a VM.
+// Options configure a VM.
 type Options struct {
 	Settings direct.Settings
-	// CheckTable finds what is wrong with a table that an operator sends.
+	// CheckTable returns an error if a table that an operator sends is invalid.
 	CheckTable func(version uint64, body []byte) error
 	Log        zerolog.Logger
-	// Random is used by the VM alone from New on.
+	// Random is used by the VM alone after New was called.
 	Random *rand.Rand
 }
 
@@ -52,29 +52,29 @@
 	folder      *disk.OS
 	fabric      *fabric.Fabric
 	machine     *document.Machine
-	remembered  *remembered
+	saved       *savedState
 	registry    metrics.Registry
 	member      atomic.Pointer[replica.Replica]
 	calls       calls
-	// putting lets one change at a time through on the leader.
-	putting sync.Mutex
+	// putMu serialises changes of the table on the leader.
+	putMu sync.Mutex
 
 	mu        sync.Mutex
 	settings  direct.Settings
 	roster    *roster.Roster
 	publisher *control.Publisher
-	// follower follows the rosters of the other disk VMs.
-	follower  *control.Follower
-	expired   time.Duration
-	published *document.Document
-	leader    protocol.RouterID
+	// follower merges the rosters of the other disk VMs.
+	follower     *control.Follower
+	expiredAt    time.Duration
+	published    *document.Document
+	loggedLeader protocol.RouterID
 
 	quit chan struct{}
 	done sync.WaitGroup
 }
 
-// New opens the data folder and starts all parts. Errors: those of the data
-// folder and of the listener.
+// New opens the data folder and starts the VM. It returns the errors of the data folder and
+// of the listener.
 func New(options Options) (*VM, error) {
 	folder, err := disk.Open(options.Settings.DataFolder)
 	if err != nil {
@@ -89,12 +89,12 @@
 	}
 	self := options.Settings.Self()
 	vm.publisher = control.NewPublisher(vm.roster, options.Settings.LinkRate())
-	vm.remembered, err = openRemembered(options.Settings.DataFolder)
+	vm.saved, err = openSavedState(options.Settings.DataFolder)
 	if err != nil {
 		_ = folder.Close()
 		return nil, err
 	}
-	vm.recall()
+	vm.restore()
 	vm.follower = control.NewFollower(self, false, options.Settings.SeedPeers(), vm.roster)
 	vm.fabric = fabric.New(fabric.Options{
 		Self: self, Listen: options.Settings.PeersListen(), DataCentre: options.Settings.DataCentre, Incarnation: vm.incarnation,
@@ -105,25 +105,25 @@
 		return nil, err
 	}
 	vm.done.Add(2)
-	go vm.keepMember()
+	go vm.superviseMember()
 	go vm.run()
-	for _, m := range vm.remembered.all() {
+	for _, file := range vm.saved.all() {
 		vm.done.Add(1)
-		go vm.writeRemembered(m)
+		go vm.writeSaved(file)
 	}
 	return vm, nil
 }
 
-// now is the time since the start, by the monotonic clock. It stands still
-// while the VM is suspended, which nothing here depends on.
+// now returns the time since the start, by the monotonic clock. It stands still while the VM
+// is suspended; nothing here depends on that.
 func (vm *VM) now() time.Duration { return time.Since(vm.started) }
 
-// run does what is due until the VM stops.
+// run ticks and publishes tables until the VM stops.
 func (vm *VM) run() {
 	defer vm.done.Done()
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	pace := lateness.New(vm.log)
+	monitor := lateness.New(vm.log)
 	for {
 		_, changed := vm.machine.InForce()
 		select {
@@ -131,36 +131,36 @@
 			return
 		case <-changed:
 		case <-ticker.C:
-			pace.Tick(tickInterval)
+			monitor.Tick(tickInterval)
 			vm.tick()
 		}
 		vm.publishTable()
 	}
 }
 
-// tick sends watches, tells the other disk VMs what was heard, and forgets who
-// is silent.
+// tick sends watches, sends the other disk VMs the changes of upstreams, and removes silent
+// upstreams.
 func (vm *VM) tick() {
 	vm.mu.Lock()
 	defer vm.mu.Unlock()
 	now := vm.now()
-	vm.noteMembership(now)
+	vm.updateDiskVMs(now)
 	vm.fabric.SendAll(vm.follower.Tick(now))
 	vm.logEvents(vm.follower.Events())
-	vm.rememberOften(now)
+	vm.saveRosterAndCacheHolders(now)
 	vm.fabric.SendAll(vm.publisher.PushChanges(now))
 	vm.fabric.SendAll(vm.publisher.SendWaiting(now))
 	vm.fabric.SendAll(vm.publisher.ShareCacheHolders(now, vm.options.Settings.Self()))
-	if now-vm.expired >= expireInterval {
-		vm.expired = now
+	if now-vm.expiredAt >= expireInterval {
+		vm.expiredAt = now
 		for _, id := range vm.roster.Expire(now) {
-			vm.log.Warn().Str("event", "upstream-silent").Str("upstream", string(id)).Msg("no announcement for long, not listed any more")
+			vm.log.Warn().Str("event", "upstream-silent").Str("upstream", string(id)).Msg("no announcement for a long time, removed from the list")
 		}
 	}
 }
 
-// noteMembership takes the disk VMs from the newest configuration of the log.
-func (vm *VM) noteMembership(now time.Duration) {
+// updateDiskVMs takes the list of disk VMs from the newest configuration in the log.
+func (vm *VM) updateDiskVMs(now time.Duration) {
 	member := vm.member.Load()
 	if member == nil {
 		return
@@ -176,13 +176,13 @@
 	for _, id := range vms {
 		vm.follower.NoteDiskVM(now, id)
 	}
-	if leader := status.Leader.Router; leader != vm.leader {
-		vm.leader = leader
+	if leader := status.Leader.Router; leader != vm.loggedLeader {
+		vm.loggedLeader = leader
 		vm.log.Info().Str("event", "leader").Str("leader", string(leader)).Uint64("term", status.Term).Send()
 	}
 }
 
-// publishTable tells the routers of a newer table.
+// publishTable announces a newer table to the routers.
 func (vm *VM) publishTable() {
 	inForce, change := vm.machine.Latest()
 	vm.mu.Lock()
@@ -191,10 +191,10 @@
 		return
 	}
 	vm.published = inForce
-	vm.rememberTable(inForce)
-	sends := vm.publisher.SetDocument(vm.now(), inForce, change)
-	vm.log.Info().Str("event", "table-in-force").Uint64("version", inForce.Version).Int("bytes", len(inForce.Body)).Int("change_bytes", len(change.Delta)).Int("told", len(sends)).Send()
-	vm.fabric.SendAll(sends)
+	vm.saveTable(inForce)
+	messages := vm.publisher.SetDocument(vm.now(), inForce, change)
+	vm.log.Info().Str("event", "table-in-force").Uint64("version", inForce.Version).Int("bytes", len(inForce.Body)).Int("change_bytes", len(change.Delta)).Int("told", len(messages)).Send()
+	vm.fabric.SendAll(messages)
 }
 
 // Receive implements fabric.Receiver.
@@ -205,20 +205,20 @@
 			member.Receive(m)
 		}
 	case control.Put:
-		go vm.answerPut(from, m)
+		go vm.handlePut(from, m)
 	case control.Read:
-		go vm.answerRead(from, m)
+		go vm.handleRead(from, m)
 	case control.PutReply:
-		vm.calls.answer(m.Call, m)
+		vm.calls.deliver(m.Call, m)
 	case control.ReadReply:
-		vm.calls.answer(m.Call, m)
+		vm.calls.deliver(m.Call, m)
 	default:
-		vm.receiveShared(from, body)
+		vm.receiveControl(from, body)
 	}
 }
 
-// receiveShared takes the messages that concern roster and followers.
-func (vm *VM) receiveShared(from protocol.RouterID, body any) {
+// receiveControl handles the messages about upstreams, routers and cache holders.
+func (vm *VM) receiveControl(from protocol.RouterID, body any) {
 	vm.mu.Lock()
 	defer vm.mu.Unlock()
 	now := vm.now()
@@ -242,9 +242,10 @@
 	case control.List:
 		vm.follower.HandleList(now, from, m)
 	case control.Heartbeats:
-		for _, heard := range m.Upstreams {
-			// One that differs comes with the sender's list, whose digest differs too.
-			_ = vm.roster.Refresh(now, heard)
+		for _, heartbeat := range m.Upstreams {
+			// If the content differs, the digest of the sender's list differs too, so
+			// this VM gets the entry with that list.
+			_ = vm.roster.Refresh(now, heartbeat)
 		}
 	default:
 		vm.log.Warn().Str("event", "message-refused").Str("from", string(from)).Type("type", body).Send()
@@ -258,7 +259,8 @@
 	}
 }
 
-// Reload takes changed settings: seeds and the log's level.
+// Reload applies changed settings. The seeds change at once; the consensus member uses the
+// other settings from its next start.
 func (vm *VM) Reload(changed direct.Settings) {
 	vm.mu.Lock()
 	defer vm.mu.Unlock()
@@ -274,7 +276,7 @@
 	vm.log.Info().Str("event", "settings-reloaded").Strs("seeds", changed.Seeds).Send()
 }
 
-// Stop hands leadership over, ends all parts and closes the data folder.
+// Stop hands leadership over, ends all goroutines and closes the data folder.
 func (vm *VM) Stop() {
 	vm.handOver()
 	close(vm.quit)
@@ -283,9 +285,9 @@
 	vm.closeFolders()
 }
 
-// closeFolders releases the data folders.
+// closeFolders closes the data folder and the folders in it.
 func (vm *VM) closeFolders() {
-	if err := errors.Join(vm.folder.Close(), vm.remembered.close()); err != nil {
+	if err := errors.Join(vm.folder.Close(), vm.saved.close()); err != nil {
 		vm.log.Warn().Str("event", "folder-not-closed").Err(err).Send()
 	}
 }
