--- a/coordination/control/announcements.go
+++ b/coordination/control/announcements.go
@@ -80,9 +80,10 @@
 	return 2*f.AliveDiskVMs(now) > len(f.sources)
 }
 
-// HandleAnnouncement processes an upstream's announcement at a router. If waits is set,
-// the caller must wait for the AnnouncementsAck with this number before it answers the
-// upstream.
+// HandleAnnouncement processes an upstream's announcement at a router. known says that it
+// says nothing new and can be answered at once. If waits is set, the caller must wait for
+// the AnnouncementsAck with this number before it answers the upstream. If neither is
+// set, the router doesn't take the announcement, and the upstream must call a disk VM.
 func (f *Follower) HandleAnnouncement(now time.Duration, e roster.Entry) (known bool, number uint64, waits bool) {
 	if !f.CanTakeHeartbeats(now) {
 		return false, 0, false
@@ -100,14 +101,14 @@
 	if now-f.heartbeatsSentAt < heartbeatReportInterval {
 		return nil
 	}
-	heard := f.roster.HeartbeatsSince(f.heartbeatsSentAt)
+	heartbeats := f.roster.HeartbeatsSince(f.heartbeatsSentAt)
 	f.heartbeatsSentAt = now
-	if len(heard) == 0 {
+	if len(heartbeats) == 0 {
 		return nil
 	}
 	var messages []Message
 	for _, id := range f.DiskVMs() {
-		messages = append(messages, Message{To: id, Body: Heartbeats{Upstreams: heard}})
+		messages = append(messages, Message{To: id, Body: Heartbeats{Upstreams: heartbeats}})
 	}
 	return messages
 }
--- a/coordination/control/cacheholders.go
+++ b/coordination/control/cacheholders.go
@@ -38,28 +38,29 @@
 // A disk VM that has lost its disk has no entries. It doesn't answer, and the router
 // asks another one.
 type unsharedHolders struct {
-	kept []balance.CachedPrefix
-	at   time.Duration
+	entries []balance.CachedPrefix
+	// at is when this disk VM last sent cache holders to the others.
+	at time.Duration
 }
 
 // HandleCacheHolders stores what a router or another disk VM reports. What a router
 // reports is sent on to the other disk VMs.
 func (p *Publisher) HandleCacheHolders(now time.Duration, from protocol.RouterID, list balance.CacheHolderList) {
-	kept := list.Unpack()
-	p.holders.Add(now, kept)
+	entries := list.Unpack()
+	p.holders.Add(now, entries)
 	if !slices.Contains(p.diskVMs, from) {
-		p.unshared.kept = append(p.unshared.kept, kept...)
-		p.unshared.kept = p.unshared.kept[max(0, len(p.unshared.kept)-maxShared):]
+		p.unshared.entries = append(p.unshared.entries, entries...)
+		p.unshared.entries = p.unshared.entries[max(0, len(p.unshared.entries)-maxShared):]
 	}
 }
 
 // ShareCacheHolders returns the messages that send the other disk VMs what routers have
 // reported to this one.
 func (p *Publisher) ShareCacheHolders(now time.Duration, self protocol.RouterID) []Message {
-	if len(p.unshared.kept) == 0 || now-p.unshared.at < shareHoldersInterval {
+	if len(p.unshared.entries) == 0 || now-p.unshared.at < shareHoldersInterval {
 		return nil
 	}
-	list := balance.NewCacheHolderList(p.unshared.kept)
+	list := balance.NewCacheHolderList(p.unshared.entries)
 	p.unshared = unsharedHolders{at: now}
 	var messages []Message
 	for _, id := range p.diskVMs {
@@ -94,12 +95,12 @@
 }
 
 // ask reports whether to ask now, and counts the attempt if so.
-func (t *knownHolders) ask(now time.Duration) bool {
-	if t.any || t.tries >= maxHolderTries || t.tries > 0 && now-t.askedAt < holdersTimeout {
+func (k *knownHolders) ask(now time.Duration) bool {
+	if k.any || k.tries >= maxHolderTries || k.tries > 0 && now-k.askedAt < holdersTimeout {
 		return false
 	}
-	t.tries++
-	t.askedAt = now
+	k.tries++
+	k.askedAt = now
 	return true
 }
 
--- a/coordination/control/follower.go
+++ b/coordination/control/follower.go
@@ -62,8 +62,10 @@
 	// EventTableRestored says that the follower uses a table from before the disk VMs
 	// restarted.
 	EventTableRestored = "table-recalled"
-	EventTableRefused  = "table-refused"
-	// EventListUnreadable says that a list or a message with changes was damaged.
+	// EventTableRefused says that the router can't use a new table.
+	EventTableRefused = "table-refused"
+	// EventListUnreadable says that a list of upstreams or of processes, or a message
+	// with changes, was damaged.
 	EventListUnreadable = "list-unreadable"
 )
 
@@ -92,20 +94,21 @@
 	// fullChange is the change that makes the table in force from nothing. It is sent to
 	// other routers and made when one first asks for it.
 	fullChange document.Change
-	// peerAskedAt is when this router last asked another one, and peersAsked counts
-	// these requests.
+	// peerAskedAt is when this router last asked another one, or when the time of its
+	// referral to answer ends. peersAsked counts the requests to others than referrals.
 	peerAskedAt time.Duration
 	peersAsked  int
 	// peerRequests holds the requests of other routers for what this one lacks too.
 	peerRequests map[protocol.RouterID]peerRequest
 	holders      knownHolders
 	referral     namedReferral
-	// knewMostAt is when this router last knew most upstreams, or had no other router to
-	// get them from.
+	// knewMostAt is when this router last knew most upstreams, or had no relay to get
+	// them from.
 	knewMostAt time.Duration
 	// lists holds the lists that were packed for other routers.
 	lists packedLists
 	// pulledFrom is the disk VM that was last asked for a table, and pulledAt when.
+	// pulling says that this table is still awaited.
 	pulledFrom protocol.RouterID
 	pulledAt   time.Duration
 	pulling    bool
--- a/coordination/control/forward.go
+++ b/coordination/control/forward.go
@@ -23,8 +23,8 @@
 // forwardBatch holds the announcements that a router will forward to a disk VM.
 //
 // When three thousand upstreams start within a second or two, each announces itself to a
-// router that doesn't know it yet. If the routers sent them back to the disk VMs,
-// upstreams would call each disk VM six hundred times a second and fill its link before
+// router that doesn't know it yet. If the routers sent the upstreams back to the disk
+// VMs, upstreams would call each disk VM six hundred times a second and fill its link before
 // any router has a list of upstreams. Batches of some tens of milliseconds make that
 // sixty messages.
 type forwardBatch struct {
--- a/coordination/control/lists.go
+++ b/coordination/control/lists.go
@@ -33,9 +33,9 @@
 }
 
 // largestList returns the disk VM that lists the most upstreams among those whose list
-// has differed for long enough and wasn't merged here, "" if there is none. Of two with
-// as many, the preferred one is chosen. With immediately set, any time of difference is
-// long enough.
+// has differed for listDelay and wasn't merged here, "" if there is none. Of two with
+// as many, the preferred one is chosen. If immediately is set, the list needn't have
+// differed for listDelay.
 func (f *Follower) largestList(now time.Duration, immediately bool) protocol.RouterID {
 	best := protocol.RouterID("")
 	for _, id := range f.byPreference() {
--- a/coordination/control/messages.go
+++ b/coordination/control/messages.go
@@ -36,8 +36,7 @@
 	// none.
 	DataCentre      protocol.DataCentre `msgpack:"c,omitempty"`
 	AnnounceAddress string              `msgpack:"a,omitempty"`
-	// Fleet is the digest of the last Status.Fleet that the sender received from the
-	// receiver.
+	// Fleet is the digest of the last Status.Fleet that the receiver sent to the sender.
 	Fleet uint64 `msgpack:"f,omitempty"`
 }
 
@@ -54,7 +53,8 @@
 	// upstreams in it.
 	Roster    uint64 `msgpack:"o"`
 	Upstreams int    `msgpack:"u"`
-	// Fleet is nil if the follower has it, or was sent one a moment ago.
+	// Fleet is nil if the follower has it or was sent one a moment ago, or if the
+	// sender's link has no capacity for it.
 	Fleet *Fleet `msgpack:"f,omitempty"`
 	// Referral names a router that can send what the receiver asked for and the sender's
 	// link has no capacity for. It is empty if the sender refers the receiver to nobody.
@@ -69,8 +69,8 @@
 	Packed []byte `msgpack:"p"`
 }
 
-// Changes carries the roster entries that the sender has just learned from upstreams,
-// and those that the receiver hasn't acknowledged.
+// Changes carries roster entries that the sender has just learned from upstreams, or
+// entries that it sent before and that the receiver hasn't acknowledged.
 type Changes struct {
 	// Number is 0 if a router relays the message. Such messages aren't acknowledged.
 	Number uint64 `msgpack:"n"`
@@ -133,6 +133,7 @@
 
 // Put asks the leader to put a changed table in force.
 type Put struct {
+	// Call identifies the request among the sender's. The reply repeats it.
 	Call   uint64          `msgpack:"n"`
 	Change document.Change `msgpack:"c"`
 }
@@ -148,6 +149,7 @@
 
 // Read asks the leader which table version is in force.
 type Read struct {
+	// Call identifies the request among the sender's. The reply repeats it.
 	Call uint64 `msgpack:"n"`
 }
 
--- a/coordination/control/pack.go
+++ b/coordination/control/pack.go
@@ -56,6 +56,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
+	// named is false after an empty line, until the data centre's name has been read.
 	in, named, diskVM := protocol.DataCentre(""), true, true
 	for line := range strings.Lines(string(text)) {
 		name := strings.TrimSuffix(line, lineEnd)
@@ -94,9 +95,9 @@
 	return entries, err
 }
 
-// wholeListLifetime is how long a router goes on sending a packed whole list after its
-// roster has changed. Packing thousands of upstreams takes a busy processor long. The
-// list's digest says which state it contains, and the receiver finds later changes like
+// wholeListLifetime is how long after packing the whole list a router goes on sending it
+// although its roster has changed. Packing thousands of upstreams takes long on a busy
+// processor. The list's digest says which state it contains, and the receiver finds later changes like
 // any other difference. Disk VMs always send the newest list, or followers would ask
 // them again.
 const wholeListLifetime = 500 * time.Millisecond
@@ -109,7 +110,7 @@
 // asks another one seven times a second. The list changes between any two requests, and
 // routers would pack it over and over.
 type packedLists struct {
-	// wholeLifetime is how long an outdated whole list is sent.
+	// wholeLifetime is how long after its packing an outdated whole list is sent.
 	wholeLifetime time.Duration
 	// digest is the digest of the roster that byPart was made from.
 	digest  uint64
--- a/coordination/control/peers.go
+++ b/coordination/control/peers.go
@@ -60,14 +60,15 @@
 // namedReferral is the router to which a disk VM last referred this one.
 type namedReferral struct {
 	id protocol.RouterID
+	// at is when the disk VM named it.
 	at time.Duration
 	// askedTable says that the referral was asked for the table.
 	askedTable bool
 }
 
 // mayAsk reports whether the referral can still be asked for the table.
-func (p namedReferral) mayAsk(now time.Duration) bool {
-	return p.id != "" && !p.askedTable && now-p.at < referralTimeout
+func (r namedReferral) mayAsk(now time.Duration) bool {
+	return r.id != "" && !r.askedTable && now-r.at < referralTimeout
 }
 
 // askReferral asks the referral for what this router lacks. It asks for the table only
@@ -108,26 +109,26 @@
 
 // answer sends a router what it asked for, as far as this router has it.
 func (f *Follower) answer(now time.Duration, id protocol.RouterID) {
-	a := f.peerRequests[id]
-	if a.watch.WantDocument && f.version() > a.watch.Version {
+	asked := f.peerRequests[id]
+	if asked.watch.WantDocument && f.version() > asked.watch.Version {
 		if f.fullChange.Result != f.inForce.Digest {
 			f.fullChange = document.MakeChange(nil, f.inForce)
 		}
 		f.relay.send(id, Document{Change: f.fullChange, Restored: f.restored}, len(f.fullChange.Delta))
-		a.watch.WantDocument = false
+		asked.watch.WantDocument = false
 	}
-	if a.watch.WantList && f.roster.Usable() > 0 && f.KnowsMostUpstreams(now) {
-		list := f.lists.packed(now, f.roster, f.roster.Differing(a.watch.Have))
+	if asked.watch.WantList && f.roster.Usable() > 0 && f.KnowsMostUpstreams(now) {
+		list := f.lists.packed(now, f.roster, f.roster.Differing(asked.watch.Have))
 		f.relay.send(id, list, len(list.Packed))
-		a.watch.WantList = false
+		asked.watch.WantList = false
 	}
-	if list, any := f.relayableHolders(now); a.watch.WantCacheHolders && any {
+	if list, any := f.relayableHolders(now); asked.watch.WantCacheHolders && any {
 		f.relay.sendLowPriority(id, list, len(list.Packed))
-		a.watch.WantCacheHolders = false
+		asked.watch.WantCacheHolders = false
 	}
-	f.peerRequests[id] = a
-	met := !a.watch.WantDocument && !a.watch.WantList && !a.watch.WantCacheHolders
-	if met || now-a.at > peerRequestLifetime {
+	f.peerRequests[id] = asked
+	met := !asked.watch.WantDocument && !asked.watch.WantList && !asked.watch.WantCacheHolders
+	if met || now-asked.at > peerRequestLifetime {
 		delete(f.peerRequests, id)
 	}
 }
--- a/coordination/control/powerloss_test.go
+++ b/coordination/control/powerloss_test.go
@@ -35,13 +35,14 @@
 	diesAt time.Duration
 	// rate is the capacity of its link in bytes a second, and busy when the link is free
 	// again.
-	rate     float64
-	busy     time.Duration
+	rate float64
+	busy time.Duration
+	// sent counts the bytes that it sent.
 	sent     int
 	vm       *vm
 	follower *testRouter
-	// kept counts the cache holder entries that it received, duplicates included.
-	kept int
+	// cacheHolders counts the cache holder entries that it received, duplicates included.
+	cacheHolders int
 	// readyAt is when the router knew enough to serve its callers, 0 if it doesn't yet.
 	readyAt time.Duration
 }
@@ -65,7 +66,9 @@
 	return last
 }
 
-// powerLossConfig is the size of such a fleet. Of its upstreams, gone have left.
+// powerLossConfig is the size of such a fleet. Its disk VMs list upstreams that are
+// ready, and as many more as gone says that have left. prompts is the number of prompt
+// prefixes that engines hold in their caches.
 type powerLossConfig struct {
 	routers, upstreams, gone, routes int
 	prompts                          int
@@ -110,9 +113,9 @@
 	}
 	table := document.New(131, tableBody(random, s.routes))
 	entries := s.entries(random)
-	var kept []balance.CachedPrefix
+	var cacheHolders []balance.CachedPrefix
 	for range s.prompts {
-		kept = append(kept, balance.CachedPrefix{Prefix: random.Uint64(), ID: balance.ShortID(random.Uint32())})
+		cacheHolders = append(cacheHolders, balance.CachedPrefix{Prefix: random.Uint64(), ID: balance.ShortID(random.Uint32())})
 	}
 	for i, id := range vms {
 		r := roster.New(roster.DefaultSettings())
@@ -122,7 +125,7 @@
 		v := &vm{roster: r, publisher: NewPublisher(r, int(s.diskVMRate))}
 		v.publisher.Restore(table)
 		v.publisher.SetDiskVMs(vms)
-		v.publisher.CacheHolders().Add(0, kept)
+		v.publisher.CacheHolders().Add(0, cacheHolders)
 		w.members[id] = &member{id: id, startAt: starts[i], rate: s.diskVMRate, vm: v}
 	}
 	for i := range s.routers {
@@ -238,7 +241,7 @@
 		f.HandleWatch(w.now, a.from, body)
 	case balance.CacheHolderList:
 		f.HandleCacheHolders(w.now, body)
-		n.kept += len(body.Unpack())
+		n.cacheHolders += len(body.Unpack())
 	}
 	w.send(n, f.relay.Due(w.now))
 }
@@ -274,15 +277,15 @@
 func TestAFleetKnowsTheCacheHoldersAfterAPowerLossBeforeCallersRetry(t *testing.T) {
 	w := mediumFleet.start()
 	w.run(450*time.Millisecond + callerRetryDelay)
-	received, bytes := 0, 0
+	received, entries := 0, 0
 	for _, n := range w.members {
-		if n.kept >= mediumFleet.prompts {
+		if n.cacheHolders >= mediumFleet.prompts {
 			received++
 		}
-		bytes += n.kept
+		entries += n.cacheHolders
 	}
 	assert.Assert(t, received >= 9*len(w.routers)/10, "%d of %d routers", received, len(w.routers))
-	assert.Assert(t, bytes <= 2*mediumFleet.prompts*len(w.routers), "each received the list %d times on average", bytes/mediumFleet.prompts/len(w.routers))
+	assert.Assert(t, entries <= 2*mediumFleet.prompts*len(w.routers), "each received the list %d times on average", entries/mediumFleet.prompts/len(w.routers))
 }
 
 // Guards against a router that isn't served because a disk VM without capacity referred
--- a/coordination/control/publisher.go
+++ b/coordination/control/publisher.go
@@ -52,6 +52,7 @@
 
 // follower is a disk VM's record of a process that follows it.
 type follower struct {
+	// watch is its last Watch, which came at the time at.
 	watch Watch
 	at    time.Duration
 	// since is when it began to follow.
@@ -74,9 +75,10 @@
 	roster    *roster.Roster
 	followers map[protocol.RouterID]*follower
 	diskVMs   []protocol.RouterID
-	fleet     Fleet
-	fleetAt   time.Duration
-	lists     packedLists
+	// fleet is the list of processes as it was at fleetAt.
+	fleet   Fleet
+	fleetAt time.Duration
+	lists   packedLists
 	// listeners are the routers that take heartbeats of upstreams, by data centre.
 	listeners map[protocol.DataCentre]*listeners
 	inForce   *document.Document
--- a/coordination/control/pushes.go
+++ b/coordination/control/pushes.go
@@ -37,29 +37,29 @@
 }
 
 // add records changes that are sent, and returns the number of their message.
-func (o *unacked) add(now time.Duration, ids []protocol.UpstreamID) uint64 {
-	if len(o.lastMessage) == 0 {
-		o.lastMessage = map[protocol.UpstreamID]uint64{}
-		o.resends = 0
-		o.resendAt = now + resendInterval
+func (u *unacked) add(now time.Duration, ids []protocol.UpstreamID) uint64 {
+	if len(u.lastMessage) == 0 {
+		u.lastMessage = map[protocol.UpstreamID]uint64{}
+		u.resends = 0
+		u.resendAt = now + resendInterval
 	}
-	o.number++
+	u.number++
 	for _, id := range ids {
-		o.lastMessage[id] = o.number
+		u.lastMessage[id] = u.number
 	}
-	return o.number
+	return u.number
 }
 
 // overdue returns the upstreams whose changes have to be sent again because their
 // acknowledgement is late, sorted by ID.
-func (o *unacked) overdue(now time.Duration) []protocol.UpstreamID {
-	if len(o.lastMessage) == 0 || now < o.resendAt {
+func (u *unacked) overdue(now time.Duration) []protocol.UpstreamID {
+	if len(u.lastMessage) == 0 || now < u.resendAt {
 		return nil
 	}
-	o.resends++
-	o.resendAt = now + resendInterval<<min(o.resends, maxBackoffDoublings)
-	ids := make([]protocol.UpstreamID, 0, len(o.lastMessage))
-	for id := range o.lastMessage {
+	u.resends++
+	u.resendAt = now + resendInterval<<min(u.resends, maxBackoffDoublings)
+	ids := make([]protocol.UpstreamID, 0, len(u.lastMessage))
+	for id := range u.lastMessage {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
@@ -68,17 +68,17 @@
 
 // forget drops the changes of some upstreams. The follower finds them by comparing
 // lists.
-func (o *unacked) forget(ids []protocol.UpstreamID) {
+func (u *unacked) forget(ids []protocol.UpstreamID) {
 	for _, id := range ids {
-		delete(o.lastMessage, id)
+		delete(u.lastMessage, id)
 	}
 }
 
 // acknowledge drops the changes whose last message has this number.
-func (o *unacked) acknowledge(number uint64) {
-	for id, lastMessage := range o.lastMessage {
+func (u *unacked) acknowledge(number uint64) {
+	for id, lastMessage := range u.lastMessage {
 		if lastMessage == number {
-			delete(o.lastMessage, id)
+			delete(u.lastMessage, id)
 		}
 	}
 }
@@ -114,7 +114,8 @@
 	return append(messages, p.resend(now)...)
 }
 
-// takeChanged returns the changed upstreams, those that leave apart from the others.
+// takeChanged returns the changed upstreams, in two lists: those that leave, and the
+// others.
 func (p *Publisher) takeChanged() (leaving, others []protocol.UpstreamID) {
 	for _, id := range p.changed {
 		if e, known := p.roster.Entry(id); known && e.State != roster.Ready {
@@ -136,20 +137,20 @@
 	size := changes.size()
 	alive := p.alive(now)
 	audience := p.audience(now, alive)
-	level := everyone
+	lowest := everyone
 	switch {
 	case p.admitPush(now, size*audience[everyone]):
 	case p.admitPush(now, size*audience[relaysAndDiskVMs]):
-		level = relaysAndDiskVMs
+		lowest = relaysAndDiskVMs
 		changes.PassOn = true
 	default:
-		level = diskVMsOnly
+		lowest = diskVMsOnly
 		p.pushes.take(now, size*audience[diskVMsOnly])
 	}
 	var messages []Message
 	for _, id := range alive {
 		f := p.followers[id]
-		if f.tier < level {
+		if f.tier < lowest {
 			f.unacked.forget(ids)
 			continue
 		}
@@ -159,21 +160,26 @@
 	return messages
 }
 
-// tier says which followers get changes while the link has little capacity.
+// tier says which followers get changes. The less capacity the link has, the higher the
+// tier that a follower must be in to get them.
 type tier uint8
 
 const (
-	// everyone gets changes while there is capacity for all followers.
+	// everyone is the lowest tier. Followers in it get changes while there is capacity
+	// for all followers.
 	everyone tier = iota
-	// relaysAndDiskVMs are the disk VMs and the routers that relay changes to others.
+	// relaysAndDiskVMs is the tier of the routers that relay changes to others, and of
+	// all routers in a fleet that is too small for relays. While it is the lowest that
+	// gets changes, its routers and the other disk VMs get them.
 	relaysAndDiskVMs
-	// diskVMsOnly are the other disk VMs.
+	// diskVMsOnly is the tier of the other disk VMs. They get new changes even if the
+	// link has no capacity left.
 	diskVMsOnly
 	tierCount
 )
 
-// audience puts each follower in its tier and returns how many followers get changes at
-// each level.
+// audience puts each follower in its tier. For each tier it returns how many followers
+// get changes if it is the lowest tier that does.
 func (p *Publisher) audience(now time.Duration, alive []protocol.RouterID) [tierCount]int {
 	routers := len(p.Routers(now))
 	var counts [tierCount]int
@@ -187,9 +193,9 @@
 	return counts
 }
 
-// tierFor returns the last tier in which a follower still gets changes. In a fleet that
-// is large enough for relays, a router that relays nothing gets them only at the first
-// level. That includes a router that has just started and doesn't know its relay yet.
+// tierFor returns the tier of a follower. In a fleet that is large enough for relays, a
+// router that relays nothing is in the lowest one. That includes a router that has just
+// started and doesn't know its relay yet.
 func (f *follower) tierFor(routers int) tier {
 	switch {
 	case !f.watch.Router:
--- a/coordination/control/referrals.go
+++ b/coordination/control/referrals.go
@@ -33,27 +33,30 @@
 	list []referral
 }
 
+// referral is a router that was sent tables and lists, or soon will be.
 type referral struct {
-	router   Router
-	at       time.Duration
+	router Router
+	// at is when it was added to the referrals.
+	at time.Duration
+	// referred is how many routers were referred to it.
 	referred int
 }
 
 // add records a router that has been sent something large, or soon will be by another
 // router.
-func (p *referrals) add(now time.Duration, router Router) {
-	known := slices.ContainsFunc(p.list, func(other referral) bool { return other.router.ID == router.ID })
+func (r *referrals) add(now time.Duration, router Router) {
+	known := slices.ContainsFunc(r.list, func(other referral) bool { return other.router.ID == router.ID })
 	if !known {
-		p.list = append(p.list, referral{router: router, at: now})
+		r.list = append(r.list, referral{router: router, at: now})
 	}
 }
 
 // next returns the referral for a router, "" if there is none. One in the same data
 // centre is preferred.
-func (p *referrals) next(now time.Duration, router Router) protocol.RouterID {
-	p.list = slices.DeleteFunc(p.list, func(known referral) bool { return now-known.at > referralLifetime })
+func (r *referrals) next(now time.Duration, router Router) protocol.RouterID {
+	r.list = slices.DeleteFunc(r.list, func(known referral) bool { return now-known.at > referralLifetime })
 	found := -1
-	for i, known := range p.list {
+	for i, known := range r.list {
 		if known.referred >= maxRoutersPerReferral || known.router.ID == router.ID {
 			continue
 		}
@@ -68,6 +71,6 @@
 	if found < 0 {
 		return ""
 	}
-	p.list[found].referred++
-	return p.list[found].router.ID
+	r.list[found].referred++
+	return r.list[found].router.ID
 }
--- a/coordination/control/relay.go
+++ b/coordination/control/relay.go
@@ -57,7 +57,8 @@
 	parent    protocol.RouterID
 	// relays are all routers that relay to others, of all data centres.
 	relays []Router
-	bulk   tokenBucket
+	// bulk limits the bytes of relayed messages.
+	bulk tokenBucket
 	// queue holds messages that wait for capacity on the link, and lowPriority those
 	// that wait behind them.
 	queue, lowPriority []queued
@@ -127,7 +128,7 @@
 	return slices.MaxFunc(relays, func(a, b Router) int { return cmp.Compare(weight(a), weight(b)) })
 }
 
-// Neighbours returns the routers with which this one exchanges its load.
+// Neighbours returns the routers with which this one exchanges load reports.
 func (r *Relay) Neighbours() balance.Neighbours {
 	if len(r.others)+1 < balance.GroupingThreshold {
 		return balance.Neighbours{Mesh: idsOf(r.others)}
--- a/coordination/control/relay_test.go
+++ b/coordination/control/relay_test.go
@@ -37,8 +37,8 @@
 }
 
 // startOf returns what an upstream announces after a start.
-func startOf(i int, born int64) roster.Entry {
-	return roster.Entry{ID: protocol.UpstreamID(fmt.Sprint("u", i)), Address: fmt.Sprint("a", i), State: roster.Ready, StartedAt: born, Sequence: 1}
+func startOf(i int, startedAt int64) roster.Entry {
+	return roster.Entry{ID: protocol.UpstreamID(fmt.Sprint("u", i)), Address: fmt.Sprint("a", i), State: roster.Ready, StartedAt: startedAt, Sequence: 1}
 }
 
 // noteChange makes one disk VM receive an upstream's change, and merges it at all
--- a/coordination/control/restored_test.go
+++ b/coordination/control/restored_test.go
@@ -92,8 +92,8 @@
 		"nobody knows of a newer table": {[]Status{{Version: 4, Restored: true}, {Version: 3, Restored: true}}, restoredTableDelay, true},
 	} {
 		f := NewFollower("r1", true, nil, roster.New(roster.DefaultSettings()))
-		for i, n := range test.status {
-			f.HandleStatus(0, protocol.RouterID(fmt.Sprint("vm", i)), n)
+		for i, status := range test.status {
+			f.HandleStatus(0, protocol.RouterID(fmt.Sprint("vm", i)), status)
 		}
 		_, taken := f.HandleDocument(test.after, "r2", passed, accept)
 		assert.Equal(t, taken, test.taken, name)
--- a/coordination/control/sources.go
+++ b/coordination/control/sources.go
@@ -19,14 +19,19 @@
 	roster    uint64
 	merged    uint64
 	listed    []protocol.UpstreamID
-	fleet     uint64
-	version   uint64
-	restored  bool
-	routers   []Router
-	diskVMs   []protocol.RouterID
-	askedAt   time.Duration
-	heardAt   time.Duration
-	namedAt   time.Duration
+	// fleet is the digest of the last list of processes that the VM sent. The list named
+	// routers and diskVMs.
+	fleet uint64
+	// version is the version of the VM's table, and restored its Status.Restored.
+	version  uint64
+	restored bool
+	routers  []Router
+	diskVMs  []protocol.RouterID
+	// askedAt is when the VM was last sent a Watch, heardAt when it last answered, if
+	// everHeard, and namedAt when it was last named.
+	askedAt time.Duration
+	heardAt time.Duration
+	namedAt time.Duration
 	// differs says that the VM's roster differs from the follower's, since differsSince.
 	differs      bool
 	differsSince time.Duration
@@ -55,7 +60,7 @@
 	}
 }
 
-// NoteDiskVM adds a disk VM that the settings, another VM or consensus names.
+// NoteDiskVM records that the settings, another VM or consensus names a disk VM.
 func (f *Follower) NoteDiskVM(now time.Duration, id protocol.RouterID) {
 	if id == f.self {
 		return
--- a/coordination/control/startup_test.go
+++ b/coordination/control/startup_test.go
@@ -34,8 +34,10 @@
 	acceptedAt time.Duration
 	// slowestHeartbeat is the longest delay of a heartbeat between disk VMs.
 	slowestHeartbeat time.Duration
-	calls            int
-	failed           int
+	// calls counts the announcements, and failed those that weren't answered in time or
+	// that a router didn't take.
+	calls  int
+	failed int
 }
 
 // process is a process with its link.
@@ -43,7 +45,8 @@
 	id   protocol.RouterID
 	rate float64
 	// out and in are when the link is free again in each direction.
-	out, in  time.Duration
+	out, in time.Duration
+	// sent and taken count the bytes that it sent and received.
 	sent     int
 	taken    int
 	startAt  time.Duration
@@ -51,7 +54,9 @@
 	follower *testRouter
 	// waiting holds the calls that wait for a disk VM's acknowledgement, by message
 	// number.
-	waiting     map[uint64][]*call
+	waiting map[uint64][]*call
+	// tableAt is when the router had the table, and upstreamsAt when it knew most
+	// upstreams, 0 if it doesn't yet.
 	tableAt     time.Duration
 	upstreamsAt time.Duration
 }
@@ -62,7 +67,9 @@
 	// at is the process that it calls, and connected whether it has a connection there.
 	at        *process
 	connected bool
-	attempt   int
+	// attempt changes when a call begins and when it ends. A call that has another
+	// number has ended already.
+	attempt int
 }
 
 // call is an announcement in flight.
@@ -215,7 +222,7 @@
 	})
 }
 
-// ended records how a call ended, once.
+// ended records how a call ended, once. next is the address to call from now on.
 func (w *startSim) ended(c *call, good bool, next string) {
 	u := c.from
 	if c.attempt != u.attempt {
@@ -305,8 +312,8 @@
 	case ChangesAck:
 		v.vm.publisher.HandleChangesAck(from.id, m)
 	case Heartbeats:
-		for _, heard := range m.Upstreams {
-			v.vm.roster.Refresh(w.now, heard)
+		for _, heartbeat := range m.Upstreams {
+			v.vm.roster.Refresh(w.now, heartbeat)
 		}
 	case Announcements:
 		ack, _ := v.vm.publisher.HandleAnnouncements(w.now, from.id, m)
--- a/coordination/control/tokenbucket.go
+++ b/coordination/control/tokenbucket.go
@@ -14,7 +14,9 @@
 type tokenBucket struct {
 	perSecond float64
 	// burst is how many bytes may be sent at once.
-	burst  float64
+	burst float64
+	// tokens is how many bytes could be sent at the time at. It is negative while the
+	// bucket is overdrawn.
 	tokens float64
 	at     time.Duration
 }
--- a/coordination/control/world_test.go
+++ b/coordination/control/world_test.go
@@ -14,10 +14,12 @@
 
 // world connects followers and publishers in one process, with a clock of its own.
 type world struct {
-	now       time.Duration
-	vms       map[protocol.RouterID]*vm
-	routers   map[protocol.RouterID]*testRouter
-	cutOff    map[protocol.RouterID]bool
+	now     time.Duration
+	vms     map[protocol.RouterID]*vm
+	routers map[protocol.RouterID]*testRouter
+	cutOff  map[protocol.RouterID]bool
+	// documents and lists count the tables and lists that disk VMs sent, and listBytes
+	// the bytes of these lists.
 	documents int
 	lists     int
 	listBytes int
@@ -93,8 +95,8 @@
 			ack, _ := w.vms[message.To].publisher.HandleAnnouncements(w.now, from, body)
 			w.deliver(message.To, []Message{ack})
 		case Heartbeats:
-			for _, heard := range body.Upstreams {
-				w.vms[message.To].roster.Refresh(w.now, heard)
+			for _, heartbeat := range body.Upstreams {
+				w.vms[message.To].roster.Refresh(w.now, heartbeat)
 			}
 		case List:
 			w.lists++
