--- a/coordination/roster/roster.go
+++ b/coordination/roster/roster.go
@@ -209,9 +209,9 @@
 }
 
 // ConfirmUnchanged records an announcement that the upstream itself sent to this
-// process, if it is a mere heartbeat. It is for a process that doesn't tell others
-// about changes. For an announcement that contains something new it reports false
-// and leaves the roster unchanged.
+// process, if it is a mere heartbeat. It is for a process that doesn't send changes
+// to others. For an announcement that contains something new it reports false and
+// leaves the roster unchanged.
 func (r *Roster) ConfirmUnchanged(now time.Duration, e Entry) bool {
 	known := r.records[e.ID]
 	if known == nil || !sameToRouters(known.Entry, e) {
--- a/coordination/roster/roster_test.go
+++ b/coordination/roster/roster_test.go
@@ -237,9 +237,10 @@
 }
 
 func TestDigestOfAnEmptyRosterIsNotZero(t *testing.T) {
-	// Right after a restart, the only upstream leaves before any other disk VM
-	// follows the one that it sent this to. The others must still request the
-	// list, though it is empty; a digest of 0 would mean that there is no list.
+	// Right after a restart of the disk VMs, the only upstream sends one of them
+	// that it leaves, before another one follows that VM. The others must still
+	// request its list, though it is empty; a digest of 0 would mean that there is
+	// no list.
 	r := New(DefaultSettings())
 	r.RecordAnnouncement(now, ready("1", "a", 100, 1))
 	r.Leave(now, "u1", 0, 0)
