--- a/coordination/routing/table.go
+++ b/coordination/routing/table.go
@@ -10,8 +10,8 @@
 type Repeat uint8
 
 const (
-	// Once means that each request which a caller sends may start to run on one
-	// upstream at most.
+	// Once means that each request that a caller sends may start to run on at most
+	// one upstream.
 	Once Repeat = iota
 	// Idempotent means that the request may run any number of times.
 	Idempotent
