--- a/coordination/document/doc.go
+++ b/coordination/document/doc.go
@@ -9,12 +9,12 @@
 //
 // Operators send a hundred kilobytes for a change of a few hundred bytes, several
 // times a second, over links of a few hundred kilobytes a second that also carry
-// consensus. So the log and the pushes to members carry a Change, whose delta holds
+// consensus. So the log and the messages to routers carry a Change, whose delta holds
 // only the parts of the new document that the old one lacks.
 //
 // Machine is the replicated state machine that holds the document in force.
 //
 // Failure guarded against: a delta is applied to a document other than its base, and
-// the members then hold different tables. Each Change contains the digests of its
+// the processes of the fleet then hold different tables. Each Change contains the digests of its
 // base and of its result, and both are compared.
 package document
