--- a/coordination/retry/budget_test.go
+++ b/coordination/retry/budget_test.go
@@ -17,8 +17,8 @@
 	return Failure{Attempt: 1, Tokens: 100, RunOutcome: protocol.UnknownRun, Repeatable: true, Deadline: time.Hour}
 }
 
-// A request that ran, or may have run and must not run twice, is retried; or one is
-// retried although its attempts, its time or the budget are used up.
+// Guards against a retry of a request that ran, or that may have run and must not run
+// twice, and against a retry when the attempts, the time or the budget are used up.
 func TestDecide(t *testing.T) {
 	cases := []struct {
 		name   string
--- a/coordination/retry/doc.go
+++ b/coordination/retry/doc.go
@@ -8,10 +8,11 @@
 // with little traffic retry at all; first attempts pay it back.
 //
 // The limit holds along the whole path of a request because exactly one hop may
-// retry: the request's entry router. Owners and all later hops report failures as
-// typed values and never retry by themselves. Every attempt after the first one is
-// charged to the budget, whatever its reason: a new connection to resume a stream,
-// another upstream, or another owner after a refusal.
+// retry: the entry router, which received the request from its caller. The router
+// that owns the chosen upstream, and all later hops, report failures as typed values
+// and never retry by themselves. Every attempt after the first one is charged to the
+// budget, whatever its reason: a new connection to resume a stream, another upstream,
+// or another owner after a refusal.
 //
 // Two kinds of work are never retried, however much budget is left: work that ran,
 // and work that may have run and must not be repeated.
