--- a/coordination/control/cacheholders.go
+++ b/coordination/control/cacheholders.go
@@ -38,28 +38,29 @@
 // A disk VM that has lost its disk has no entries. It doesn't answer, and the router
 // asks another one.
 type unsharedHolders struct {
-	kept []balance.Kept
-	at   time.Duration
+	entries []balance.CachedPrefix
+	// at is when this disk VM last sent cache holders to the others.
+	at time.Duration
 }
 
 // HandleCacheHolders stores what a router or another disk VM reports. What a router
 // reports is sent on to the other disk VMs.
-func (p *Publisher) HandleCacheHolders(now time.Duration, from protocol.RouterID, list balance.KeeperList) {
-	kept := list.Kept()
-	p.holders.Note(now, kept)
+func (p *Publisher) HandleCacheHolders(now time.Duration, from protocol.RouterID, list balance.CacheHolderList) {
+	entries := list.Unpack()
+	p.holders.Add(now, entries)
 	if !slices.Contains(p.diskVMs, from) {
-		p.unshared.kept = append(p.unshared.kept, kept...)
-		p.unshared.kept = p.unshared.kept[max(0, len(p.unshared.kept)-maxShared):]
+		p.unshared.entries = append(p.unshared.entries, entries...)
+		p.unshared.entries = p.unshared.entries[max(0, len(p.unshared.entries)-maxShared):]
 	}
 }
 
 // ShareCacheHolders returns the messages that send the other disk VMs what routers have
 // reported to this one.
 func (p *Publisher) ShareCacheHolders(now time.Duration, self protocol.RouterID) []Message {
-	if len(p.unshared.kept) == 0 || now-p.unshared.at < shareHoldersInterval {
+	if len(p.unshared.entries) == 0 || now-p.unshared.at < shareHoldersInterval {
 		return nil
 	}
-	list := balance.NewKeeperList(p.unshared.kept)
+	list := balance.NewCacheHolderList(p.unshared.entries)
 	p.unshared = unsharedHolders{at: now}
 	var messages []Message
 	for _, id := range p.diskVMs {
@@ -72,9 +73,9 @@
 
 // holderList returns all cache holders, packed at most packedLifetime ago: thousands of
 // prompts are sorted for the list, and hundreds of routers start at once.
-func (p *Publisher) holderList(now time.Duration) balance.KeeperList {
+func (p *Publisher) holderList(now time.Duration) balance.CacheHolderList {
 	if !p.everPacked || now-p.packedHoldersAt >= packedLifetime {
-		p.packedHolders = balance.NewKeeperList(p.holders.Newest(now))
+		p.packedHolders = balance.NewCacheHolderList(p.holders.Newest(now))
 		p.packedHoldersAt = now
 		p.everPacked = true
 	}
@@ -85,7 +86,7 @@
 type knownHolders struct {
 	// list is the list that it received, for other routers that start. at is when it
 	// came, if any did.
-	list balance.KeeperList
+	list balance.CacheHolderList
 	at   time.Duration
 	any  bool
 	// askedAt is when it last asked for the list, and tries how many times it did.
@@ -94,18 +95,18 @@
 }
 
 // ask reports whether to ask now, and counts the attempt if so.
-func (t *knownHolders) ask(now time.Duration) bool {
-	if t.any || t.tries >= maxHolderTries || t.tries > 0 && now-t.askedAt < holdersTimeout {
+func (k *knownHolders) ask(now time.Duration) bool {
+	if k.any || k.tries >= maxHolderTries || k.tries > 0 && now-k.askedAt < holdersTimeout {
 		return false
 	}
-	t.tries++
-	t.askedAt = now
+	k.tries++
+	k.askedAt = now
 	return true
 }
 
 // HandleCacheHolders stores the list of cache holders from a disk VM or another router.
 // It returns false if the follower has one already.
-func (f *Follower) HandleCacheHolders(now time.Duration, list balance.KeeperList) bool {
+func (f *Follower) HandleCacheHolders(now time.Duration, list balance.CacheHolderList) bool {
 	if f.holders.any {
 		return false
 	}
@@ -116,6 +117,6 @@
 
 // relayableHolders returns the list of cache holders that this router received, and
 // whether it is recent enough to send to another router that starts.
-func (f *Follower) relayableHolders(now time.Duration) (balance.KeeperList, bool) {
+func (f *Follower) relayableHolders(now time.Duration) (balance.CacheHolderList, bool) {
 	return f.holders.list, f.holders.any && now-f.holders.at < passHoldersPeriod
 }
--- a/coordination/control/publisher.go
+++ b/coordination/control/publisher.go
@@ -46,12 +46,13 @@
 // Message is a message to another process.
 type Message struct {
 	To protocol.RouterID
-	// Body is one of the message types of this package, or a balance.KeeperList.
+	// Body is one of the message types of this package, or a balance.CacheHolderList.
 	Body any
 }
 
 // follower is a disk VM's record of a process that follows it.
 type follower struct {
+	// watch is its last Watch, which came at the time at.
 	watch Watch
 	at    time.Duration
 	// since is when it began to follow.
@@ -74,9 +75,10 @@
 	roster    *roster.Roster
 	followers map[protocol.RouterID]*follower
 	diskVMs   []protocol.RouterID
-	fleet     Fleet
-	fleetAt   time.Duration
-	lists     packedLists
+	// fleet is the list of processes as it was at fleetAt.
+	fleet   Fleet
+	fleetAt time.Duration
+	lists   packedLists
 	// listeners are the routers that take heartbeats of upstreams, by data centre.
 	listeners map[protocol.DataCentre]*listeners
 	inForce   *document.Document
@@ -101,11 +103,11 @@
 	pushes tokenBucket
 	// holders records the engines that hold prompt prefixes in their caches, for routers
 	// that start.
-	holders  *balance.KeeperRecord
+	holders  *balance.CacheHolderRecord
 	unshared unsharedHolders
 	// packedHolders is the list as of packedHoldersAt, for all routers that ask at about
 	// that time.
-	packedHolders   balance.KeeperList
+	packedHolders   balance.CacheHolderList
 	packedHoldersAt time.Duration
 	everPacked      bool
 }
@@ -118,7 +120,7 @@
 		link:         newTokenBucket(linkShare*rate, linkBurst.Seconds()*rate),
 		bulk:         newTokenBucket(bulkShare*rate, bulkBurst),
 		pushes:       newTokenBucket(pushShare*rate, pushShare*rate),
-		holders:      balance.NewKeeperRecord(),
+		holders:      balance.NewCacheHolderRecord(),
 		roster:       r,
 		followers:    map[protocol.RouterID]*follower{},
 		listeners:    map[protocol.DataCentre]*listeners{},
@@ -128,7 +130,7 @@
 
 // CacheHolders returns the record of the engines that hold prompt prefixes in their
 // caches.
-func (p *Publisher) CacheHolders() *balance.KeeperRecord { return p.holders }
+func (p *Publisher) CacheHolders() *balance.CacheHolderRecord { return p.holders }
 
 // SetDiskVMs sets the list of disk VMs. If it changed, all followers get it again with
 // the next answer: a router that has just started may know only a disk VM that has no
--- a/daemon/diskvm/diskvm_test.go
+++ b/daemon/diskvm/diskvm_test.go
@@ -303,7 +303,7 @@
 	// itself to one disk VM. The other VMs must list it, also after all of them have restarted,
 	// or routers would refuse callers until it announces itself again.
 	f := newFleet(t, 3)
-	e := roster.Entry{ID: "u1", Service: "s", Address: "10.0.0.1:80", State: roster.Ready, Born: 5, Sequence: 1}
+	e := roster.Entry{ID: "u1", Service: "s", Address: "10.0.0.1:80", State: roster.Ready, StartedAt: 5, Sequence: 1}
 	f.vms[1].Announce(e)
 	known := func(i int) bool {
 		f.vms[i].mu.Lock()
@@ -314,8 +314,8 @@
 	for i := 1; i <= 3; i++ {
 		f.eventually("all know the upstream", func() bool { return known(i) })
 	}
-	holders := []balance.Kept{{Prompt: 1, ID: 5}}
-	f.vms[3].Receive("r1", balance.NewKeeperList(holders))
+	holders := []balance.CachedPrefix{{Prefix: 1, ID: 5}}
+	f.vms[3].Receive("r1", balance.NewCacheHolderList(holders))
 	for i := 1; i <= 3; i++ {
 		f.eventually("the list is on disk", func() bool {
 			_, err := os.Stat(f.folders[i] + "/" + rosterFolder + "/cache")
--- a/daemon/diskvm/member.go
+++ b/daemon/diskvm/member.go
@@ -99,7 +99,7 @@
 			Heartbeat: heartbeat, ElectionTimeout: electionTimeout, Leaseless: true,
 			SnapshotBytesPerSecond: snapshotRate, SnapshotBurstBytes: snapshotBurst,
 		},
-		Repair:        repair.Settings{Voters: maxVoters, Grow: true, Losses: vm.settings.DiskLosses, SilentAfter: silentVoterTimeout, ForgetAfter: silentLearnerTimeout},
+		Repair:        repair.Settings{Voters: maxVoters, Grow: true, Losses: vm.settings.DiskLosses, SilentAfter: silentVoterTimeout, RemoveLearnerAfter: silentLearnerTimeout},
 		SnapshotEvery: snapshotEvery, SegmentBytes: segmentBytes,
 		OnEvent:  vm.logConsensus,
 		OnFailed: func(err error) { vm.log.Error().Str("event", "disk-failed").Err(err).Send() },
@@ -161,7 +161,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
 	defer cancel()
-	if err := member.HandOver(ctx); err != nil {
+	if err := member.TransferLeadership(ctx); err != nil {
 		vm.log.Warn().Str("event", "not-handed-over").Err(err).Send()
 		return
 	}
--- a/daemon/diskvm/savedstate.go
+++ b/daemon/diskvm/savedstate.go
@@ -165,12 +165,12 @@
 }
 
 func (vm *VM) restoreCacheHolders(content []byte) {
-	var entries []balance.RememberedKeeper
+	var entries []balance.AgedPrefix
 	if err := codec.Unmarshal(content, &entries); err != nil {
 		vm.logNotRestored(vm.saved.cacheHolders, err)
 		return
 	}
-	vm.publisher.CacheHolders().Recall(vm.now(), entries)
+	vm.publisher.CacheHolders().Restore(vm.now(), entries)
 	vm.log.Info().Str("event", "keepers-recalled").Int("prompts", len(entries)).Send()
 }
 
--- a/daemon/diskvm/vm.go
+++ b/daemon/diskvm/vm.go
@@ -235,7 +235,7 @@
 			vm.logUpstream(id)
 		}
 		vm.fabric.Send(ack.To, ack.Body)
-	case balance.KeeperList:
+	case balance.CacheHolderList:
 		vm.publisher.HandleCacheHolders(now, from, m)
 	case control.ChangesAck:
 		vm.publisher.HandleChangesAck(from, m)
--- a/daemon/router/fleet.go
+++ b/daemon/router/fleet.go
@@ -35,7 +35,7 @@
 // hasTableAndUpstreams reports whether the router knows a table, an upstream that is
 // ready and most of the upstreams that the disk VMs list. The lock is held.
 func (r *Router) hasTableAndUpstreams() bool {
-	return r.table.Load() != nil && r.book.AnyReady() && r.follower.KnowsMostUpstreams(r.now())
+	return r.table.Load() != nil && r.balancer.AnyReady() && r.follower.KnowsMostUpstreams(r.now())
 }
 
 // Choose implements forward.Fleet.
@@ -43,19 +43,19 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
-	request := balance.Request{Service: job.Service, Tried: job.Tried, Once: job.Once(), Again: job.Erred != ""}
+	request := balance.Request{Service: job.Service, Tried: job.Tried, NoRetry: job.Once(), AllowTried: job.Erred != ""}
 	request.Prompt, request.HasPrompt = job.PromptKey()
-	request.Beginnings = job.Beginnings()
-	capacity, first := r.capacity(job.Service), len(job.Tried) == 0
+	request.SharedPrefixes = job.Beginnings()
+	limiter, first := r.limiter(job.Service), len(job.Tried) == 0
 	if first {
-		request.Limit = capacity.Asked(now, job.Customer)
+		request.LoadLimit = limiter.Arrived(now, job.Customer)
 	}
-	choice := r.book.Pick(now, r.random, request)
+	choice := r.balancer.Pick(now, r.random, request)
 	if choice.ID != "" {
-		r.book.Started(choice.ID)
+		r.balancer.Started(choice.ID)
 	}
 	if first && choice.ID != "" {
-		capacity.Served(now)
+		limiter.Admitted(now)
 	}
 	return choice
 }
@@ -65,22 +65,22 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if prompt, any := job.PromptKey(); any {
-		r.book.NotKept(upstream, prompt)
+		r.balancer.ForgetUnconfirmed(upstream, prompt)
 	}
-	r.book.Ended(r.now(), upstream, result)
+	r.balancer.Ended(r.now(), upstream, result)
 }
 
 // Judged implements forward.Fleet.
 func (r *Router) Judged(upstream protocol.UpstreamID, result balance.Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.book.Judged(r.now(), upstream, result)
+	r.balancer.RecordResult(r.now(), upstream, result)
 }
 
 // answerKind returns the kind of an attempt's answer, by which answer times are compared.
 func answerKind(job forward.Job, choice balance.Choice) answertime.Kind {
 	_, prompt := job.PromptKey()
-	return answertime.Kind{Route: job.Route.Name, Cold: prompt && choice.Reason != balance.ReasonKeeper && choice.CopyFrom == ""}
+	return answertime.Kind{Route: job.Route.Name, Cold: prompt && choice.Reason != balance.ReasonCacheHolder && choice.CopyFrom == ""}
 }
 
 // Overdue implements forward.Fleet. It returns most, the longest time, for an upstream that
@@ -89,45 +89,45 @@
 func (r *Router) Overdue(job forward.Job, choice balance.Choice, most time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.book.Suspected(r.now(), choice.ID) {
+	if !r.balancer.IsOutlier(r.now(), choice.ID) {
 		return most
 	}
-	return r.times.Overdue(answerKind(job, choice), most)
+	return r.times.Timeout(answerKind(job, choice), most)
 }
 
 // Silent implements forward.Fleet.
 func (r *Router) Silent(job forward.Job, choice balance.Choice, after time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.times.Note(answerKind(job, choice), after)
-	r.book.Overdue(r.now(), choice.ID)
+	r.times.Record(answerKind(job, choice), after)
+	r.balancer.Overdue(r.now(), choice.ID)
 }
 
 // Began implements forward.Fleet.
 func (r *Router) Began(job forward.Job, choice balance.Choice, took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.times.Note(answerKind(job, choice), took)
+	r.times.Record(answerKind(job, choice), took)
 	if prompt, any := job.PromptKey(); any {
-		r.book.Keeps(r.now(), choice.ID, prompt, job.Beginnings())
+		r.balancer.ConfirmCached(r.now(), choice.ID, prompt, job.Beginnings())
 	}
 }
 
-// capacity returns the estimate of a service's capacity. The lock is held.
-func (r *Router) capacity(service protocol.Service) *room.Service {
-	capacity := r.capacities[service]
-	if capacity == nil {
-		capacity = room.NewService()
-		r.capacities[service] = capacity
+// limiter returns the load limiter of a service. The lock is held.
+func (r *Router) limiter(service protocol.Service) *room.Limiter {
+	limiter := r.limiters[service]
+	if limiter == nil {
+		limiter = room.NewLimiter()
+		r.limiters[service] = limiter
 	}
-	return capacity
+	return limiter
 }
 
 // Timed implements forward.Fleet.
 func (r *Router) Timed(job forward.Job, choice balance.Choice, inTime bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.capacity(job.Service).Note(r.now(), choice.Load, inTime)
+	r.limiter(job.Service).Record(r.now(), choice.Load, inTime)
 }
 
 // window returns the retry budget of a service. The lock is held.
@@ -146,21 +146,21 @@
 func (r *Router) Arrived(service protocol.Service) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.window(service).Request(r.now())
+	r.window(service).RecordRequest(r.now())
 }
 
 // MayRetry implements forward.Fleet.
 func (r *Router) MayRetry(service protocol.Service) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.window(service).Retry(r.now(), r.fleetSize)
+	return r.window(service).TryRetry(r.now(), r.fleetSize)
 }
 
 // Condemned implements forward.Fleet.
 func (r *Router) Condemned(digest uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.crashes.Condemned(r.now(), digest)
+	return r.crashes.Quarantined(r.now(), digest)
 }
 
 // Crashed implements forward.Fleet.
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -73,17 +73,17 @@
 	// stopping is set once a planned stop has begun.
 	stopping atomic.Bool
 
-	mu         sync.Mutex
-	random     *rand.Rand
-	settings   direct.Settings
-	roster     *roster.Roster
-	follower   *control.Follower
-	relay      *control.Relay
-	book       *balance.Book
-	crashes    *crashes.Record
-	times      *answertime.Times
-	windows    map[protocol.Service]*retry.Window
-	capacities map[protocol.Service]*room.Service
+	mu       sync.Mutex
+	random   *rand.Rand
+	settings direct.Settings
+	roster   *roster.Roster
+	follower *control.Follower
+	relay    *control.Relay
+	balancer *balance.Balancer
+	crashes  *crashes.Record
+	times    *answertime.Times
+	windows  map[protocol.Service]*retry.Window
+	limiters map[protocol.Service]*room.Limiter
 	// loggedLimits holds, by service, whether logLimits last reported a limit.
 	loggedLimits map[protocol.Service]bool
 	routers      []control.Router
@@ -113,7 +113,7 @@
 		crashes:      crashes.New(crashes.DefaultSettings()),
 		times:        answertime.New(),
 		windows:      map[protocol.Service]*retry.Window{},
-		capacities:   map[protocol.Service]*room.Service{},
+		limiters:     map[protocol.Service]*room.Limiter{},
 		loggedLimits: map[protocol.Service]bool{},
 		quit:         make(chan struct{}),
 	}
@@ -122,7 +122,7 @@
 	r.relay = control.NewRelay(control.Router{ID: self, DataCentre: options.Settings.DataCentre}, options.Settings.LinkRate())
 	r.follower.SetRelay(r.relay)
 	r.follower.SetAnnounceAddress(options.Settings.Listen.Announcements)
-	r.book = balance.NewBook(balance.Settings{
+	r.balancer = balance.NewBalancer(balance.Settings{
 		Multiple: options.Settings.Load.Multiple, Slack: options.Settings.Load.Slack,
 		DataCentre: options.Settings.DataCentre,
 	})
@@ -177,7 +177,7 @@
 	r.updateRouters(now)
 	r.fabric.SendAll(r.relay.Due(now))
 	r.sendLoads(now)
-	for _, id := range r.book.Expire(now) {
+	for _, id := range r.balancer.Expire(now) {
 		r.log.Info().Str("event", "router-silent").Str("router", string(id)).Msg("no message from this router lately, its load no longer counts")
 	}
 	r.applyRoster()
@@ -216,7 +216,7 @@
 	self := r.settings.Self()
 	r.routers = slices.DeleteFunc(r.follower.Routers(now), func(other control.Router) bool { return other.ID == self })
 	r.relay.SetRouters(r.routers)
-	r.book.SetNeighbours(r.relay.Neighbours())
+	r.balancer.SetNeighbours(r.relay.Neighbours())
 	size := len(r.routers) + 1
 	if size >= r.fleetSize || now-r.fleetSizeSetAt > 3*r.settings.Retries.Window() {
 		r.fleetSize = size
@@ -225,18 +225,18 @@
 }
 
 // sendLoads sends this router's loads to its neighbours, which may relay them: all loads at
-// every balance.WholeInterval, and in between only the changes.
+// every balance.FullReportInterval, and in between only the changes.
 func (r *Router) sendLoads(now time.Duration) {
-	if now-r.loadsSentAt < r.book.TellInterval() {
+	if now-r.loadsSentAt < r.balancer.ReportInterval() {
 		return
 	}
 	r.loadsSentAt = now
-	full := now-r.fullLoadsSentAt >= balance.WholeInterval
+	full := now-r.fullLoadsSentAt >= balance.FullReportInterval
 	if full {
 		r.fullLoadsSentAt = now
 	}
-	for _, message := range r.book.Tell(full) {
-		r.fabric.Send(message.To, message.Loads)
+	for _, message := range r.balancer.PendingReports(full) {
+		r.fabric.Send(message.To, message.Report)
 	}
 	if full {
 		r.sendCacheHolders(now)
@@ -249,8 +249,8 @@
 	if to == "" {
 		return
 	}
-	if holders := r.book.Unrecorded(); len(holders) > 0 {
-		r.fabric.Send(to, balance.NewKeeperList(holders))
+	if holders := r.balancer.TakeUnrecorded(); len(holders) > 0 {
+		r.fabric.Send(to, balance.NewCacheHolderList(holders))
 	}
 }
 
@@ -258,14 +258,14 @@
 // learns of all of them at once and writes one line.
 const maxUpstreamLines = 8
 
-// applyRoster passes a changed roster to the balancer's book, closes connections to
+// applyRoster passes a changed roster to the balancer, closes connections to
 // upstreams that aren't ready, and logs the changes.
 func (r *Router) applyRoster() {
 	if r.roster.Revision() == r.rosterRevision {
 		return
 	}
 	r.rosterRevision = r.roster.Revision()
-	changed := r.book.SetRoster(r.roster.Entries())
+	changed := r.balancer.SetRoster(r.roster.Entries())
 	for _, e := range changed {
 		if e.State != roster.Ready {
 			r.pool.Forget(e.Address)
@@ -304,13 +304,13 @@
 		r.fabric.SendAll(r.relay.Due(now))
 	case control.AnnouncementsAck:
 		r.announcements.ack(m.Number)
-	case balance.Loads:
-		r.book.TakeLoads(now, from, m)
-	case balance.KeeperList:
+	case balance.LoadReport:
+		r.balancer.ApplyLoadReport(now, from, m)
+	case balance.CacheHolderList:
 		if r.follower.HandleCacheHolders(now, m) {
-			holders := m.Kept()
+			holders := m.Unpack()
 			r.log.Info().Str("event", "keepers-told").Str("from", string(from)).Int("prompts", len(holders)).Send()
-			r.book.RecallKeepers(now, holders)
+			r.balancer.RestoreCacheHolders(now, holders)
 		}
 		r.fabric.SendAll(r.relay.Due(now))
 	case crashes.Crash:
@@ -330,10 +330,10 @@
 		return err
 	}
 	r.table.Store(routing.NewIndex(table))
-	r.times.Keep(func(route string) bool {
+	r.times.Retain(func(route string) bool {
 		return slices.ContainsFunc(table.Routes, func(known routing.Route) bool { return known.Name == route })
 	})
-	maps.DeleteFunc(r.capacities, func(service protocol.Service, _ *room.Service) bool {
+	maps.DeleteFunc(r.limiters, func(service protocol.Service, _ *room.Limiter) bool {
 		return !slices.ContainsFunc(table.Services, func(known routing.Service) bool { return known.Name == service })
 	})
 	return nil
@@ -357,8 +357,8 @@
 
 // logLimits writes a line for each service that has got a concurrency limit or lost it.
 func (r *Router) logLimits(now time.Duration) {
-	for service, capacity := range r.capacities {
-		limit := capacity.Limit(now)
+	for service, limiter := range r.limiters {
+		limit := limiter.Limit(now)
 		limited := limit != room.Unlimited
 		if limited == r.loggedLimits[service] {
 			continue
@@ -375,13 +375,13 @@
 // logEjections writes a line for each upstream that is ejected from now on because of its
 // failures, or no longer ejected.
 func (r *Router) logEjections(now time.Duration) {
-	for _, j := range r.book.Judgements(now) {
+	for _, j := range r.balancer.HealthChanges(now) {
 		line, event := r.log.Info(), "upstream-trusted"
-		if j.Avoided {
+		if j.Ejected {
 			line, event = r.log.Warn(), "upstream-avoided"
 		}
 		line.Str("event", event).Str("upstream", string(j.ID)).Float64("failed", j.Failed).Float64("served", j.Served).
-			Int64("alone_ms", j.Alone.Milliseconds()).Send()
+			Int64("alone_ms", j.Backoff.Milliseconds()).Send()
 	}
 }
 
