--- a/transport/upstream/client.go
+++ b/transport/upstream/client.go
@@ -1,18 +1,21 @@
-// Package upstream calls upstreams over HTTP and turns their answers into the
-// node core's inputs.
+// Package upstream calls upstreams over HTTP and turns their answers into inputs of
+// the node core.
 //
-// Failures guarded:
+// Client makes the calls of one router: requests of callers, probes, orders to
+// engines and moves of cached prefixes. It reports everything to a Sink.
 //
-//   - An idle connection has gone silent, and new work would wait on it. Each
-//     call opens its own connection, so there is no idle one; within a data
-//     centre that costs well under a millisecond.
-//   - The HTTP library repeats a request by itself. It does so when a reused
-//     connection breaks and the request carries an Idempotency-Key, because it
-//     takes the key as leave to repeat; a service that doesn't know the key
-//     would run the order twice. Connections are never reused here and calls go
-//     through RoundTrip, which follows no redirect, so one call is one request.
-//   - A call failed, and nobody knows whether it ran. Sent is false only when
-//     no connection was made, so that no byte can have left.
+// Failures guarded against:
+//
+//   - An idle connection is dead, and a new request would hang on it. Each call
+//     opens its own connection, so there are no idle ones; within a data centre
+//     this costs well under a millisecond.
+//   - The HTTP library resends a request by itself. It does so when a reused
+//     connection breaks and the request has an Idempotency-Key, because it takes the
+//     key as permission to resend; a service that ignores the key would run the
+//     order twice. This package never reuses a connection and calls RoundTrip, which
+//     follows no redirects, so one call is one request.
+//   - A call fails, and it isn't known whether it ran. Sent is false only if no
+//     connection was opened, so that no byte can have reached the upstream.
 package upstream
 
 import (
@@ -40,16 +43,15 @@
 const (
 	// dialTimeout bounds a connection attempt to an upstream.
 	dialTimeout = time.Second
-	// maxEventBytes is the largest server-sent event taken.
+	// maxEventBytes is the largest server-sent event accepted.
 	maxEventBytes = 1 << 20
-	// bodyPiece is how much of a plain answer goes into one chunk.
-	bodyPiece = 64 << 10
-	// statusServerError is the first of the statuses by which an engine says
-	// that it failed.
+	// bodyChunkBytes is how much of a plain answer goes into one chunk.
+	bodyChunkBytes = 64 << 10
+	// statusServerError is the lowest status that means that the engine failed.
 	statusServerError = 500
 )
 
-// Sink takes the inputs that calls produce.
+// Sink receives the inputs that calls produce.
 type Sink interface{ Input(node.Input) }
 
 // Client makes the calls of one router.
@@ -58,9 +60,9 @@
 	tracer    *tracing.Tracer
 	transport *http.Transport
 
-	mu    sync.Mutex
-	calls map[fleet.Attempt]context.CancelFunc
-	done  sync.WaitGroup
+	mu      sync.Mutex
+	calls   map[fleet.Attempt]context.CancelFunc
+	running sync.WaitGroup
 }
 
 // New returns a client that reports to sink and makes spans with tracer, which
@@ -73,7 +75,7 @@
 		transport: &http.Transport{
 			DialContext:       dialer.DialContext,
 			DisableKeepAlives: true,
-			// Bodies are relayed as they are.
+			// Bodies are relayed unchanged.
 			DisableCompression: true,
 		},
 		calls: map[fleet.Attempt]context.CancelFunc{},
@@ -86,20 +88,20 @@
 	c.mu.Lock()
 	c.calls[call.Attempt] = cancel
 	c.mu.Unlock()
-	c.done.Add(1)
+	c.running.Add(1)
 	go func() {
-		defer c.done.Done()
-		end := c.traced(ctx, call)
-		c.forget(call.Attempt)
+		defer c.running.Done()
+		end := c.callTraced(ctx, call)
+		c.removeCall(call.Attempt)
 		c.sink.Input(end)
 	}()
 }
 
-// Probe finds out whether an upstream takes connections.
+// Probe checks whether an upstream accepts connections.
 func (c *Client) Probe(probe node.ProbeUpstream) {
-	c.done.Add(1)
+	c.running.Add(1)
 	go func() {
-		defer c.done.Done()
+		defer c.running.Done()
 		connection, err := net.DialTimeout("tcp", probe.Address, dialTimeout)
 		if err == nil {
 			_ = connection.Close()
@@ -108,7 +110,8 @@
 	}()
 }
 
-// Cancel ends a call by closing its connection.
+// Cancel ends a call. This closes the call's connection, which tells the upstream to
+// stop.
 func (c *Client) Cancel(attempt fleet.Attempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -117,10 +120,10 @@
 	}
 }
 
-// Wait returns when all calls have ended.
-func (c *Client) Wait() { c.done.Wait() }
+// Wait waits until all calls, probes, orders and moves have ended.
+func (c *Client) Wait() { c.running.Wait() }
 
-func (c *Client) forget(attempt fleet.Attempt) {
+func (c *Client) removeCall(attempt fleet.Attempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if cancel := c.calls[attempt]; cancel != nil {
@@ -129,17 +132,17 @@
 	}
 }
 
-// traced makes one call within a span.
-func (c *Client) traced(ctx context.Context, call node.CallUpstream) node.UpstreamEnd {
+// callTraced makes one call within a span.
+func (c *Client) callTraced(ctx context.Context, call node.CallUpstream) node.UpstreamEnd {
 	span, headers := c.tracer.Upstream(call.Place)
 	call.Place.Headers = headers
-	end := c.run(ctx, call)
+	end := c.doCall(ctx, call)
 	span.End(tracing.Result{Status: end.Status, Failed: !end.Complete})
 	return end
 }
 
-// run makes one call and returns how it ended.
-func (c *Client) run(ctx context.Context, call node.CallUpstream) node.UpstreamEnd {
+// doCall makes one call and returns how it ended.
+func (c *Client) doCall(ctx context.Context, call node.CallUpstream) node.UpstreamEnd {
 	end := node.UpstreamEnd{Attempt: call.Attempt}
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -159,13 +162,13 @@
 	if call.Place.Model != "" && response.StatusCode >= statusServerError {
 		return end
 	}
-	reader := &answerReader{sink: c.sink, call: call, response: response, index: call.Place.ResumeAt}
-	end.Complete = reader.relay()
-	end.CachedTokens = reader.cachedTokens
+	relay := &answerRelay{sink: c.sink, call: call, response: response, index: call.Place.ResumeAt}
+	end.Complete = relay.relay()
+	end.CachedTokens = relay.cachedTokens
 	return end
 }
 
-// buildRequest makes the HTTP request of a call.
+// buildRequest builds the HTTP request of a call.
 func buildRequest(ctx context.Context, call node.CallUpstream) (*http.Request, error) {
 	place := call.Place
 	url := "http://" + call.Address + place.Path
@@ -185,8 +188,8 @@
 	return request, nil
 }
 
-// answerReader relays one answer in chunks.
-type answerReader struct {
+// answerRelay relays one answer to the sink in chunks.
+type answerRelay struct {
 	sink         Sink
 	call         node.CallUpstream
 	response     *http.Response
@@ -195,8 +198,8 @@
 	cachedTokens int
 }
 
-// relay passes the answer on and says whether it came whole.
-func (a *answerReader) relay() bool {
+// relay relays the answer and reports whether it is complete.
+func (a *answerRelay) relay() bool {
 	if isEventStream(a.response.Header) {
 		return a.relayEvents()
 	}
@@ -207,12 +210,12 @@
 	return strings.HasPrefix(header.Get("Content-Type"), "text/event-stream")
 }
 
-// relayEvents makes a chunk of each server-sent event. The answer is whole
-// when its last event is the done marker.
-func (a *answerReader) relayEvents() bool {
+// relayEvents makes a chunk of each server-sent event. The answer is complete if its
+// last event is the done marker.
+func (a *answerRelay) relayEvents() bool {
 	scanner := bufio.NewScanner(a.response.Body)
 	scanner.Buffer(make([]byte, 0, 4<<10), maxEventBytes)
-	scanner.Split(splitWholeLines)
+	scanner.Split(splitCompleteLines)
 	for scanner.Scan() {
 		data, found := bytes.CutPrefix(scanner.Bytes(), []byte("data: "))
 		if !found {
@@ -222,7 +225,7 @@
 			return true
 		}
 		a.noteUsage(data)
-		a.chunk(bytes.Clone(data))
+		a.sendChunk(bytes.Clone(data))
 	}
 	return false
 }
@@ -230,25 +233,26 @@
 // doneLine is the line of the done marker.
 var doneLine = []byte("data: " + chat.DoneMarker)
 
-// splitWholeLines is bufio.ScanLines but for a last line without its end.
+// splitCompleteLines is bufio.ScanLines except that it drops a last line without a line
+// end.
 //
-// An engine that dies in mid-write leaves half an event behind. Passed on, it
-// would count as a token that the caller has, and the engine that resumes
-// would leave that token out. Only the done marker is taken without line end:
-// nothing can be missing behind it.
-func splitWholeLines(data []byte, atEnd bool) (int, []byte, error) {
+// An engine that dies in the middle of a write leaves a partial event. If that were
+// relayed, it would count as a token that the caller has, and the engine that resumes
+// the stream would skip that token. Only the done marker is accepted without a line
+// end, because nothing follows it.
+func splitCompleteLines(data []byte, atEnd bool) (int, []byte, error) {
 	if atEnd && bytes.IndexByte(data, '\n') < 0 && !bytes.Equal(data, doneLine) {
 		return len(data), nil, nil
 	}
 	return bufio.ScanLines(data, atEnd)
 }
 
-// usageMark is in every event that carries usage; looking for it first saves
-// parsing the others.
-var usageMark = []byte(`"usage":{`)
+// usageMarker occurs in every event that carries usage. Searching for it first saves
+// parsing the other events.
+var usageMarker = []byte(`"usage":{`)
 
-func (a *answerReader) noteUsage(data []byte) {
-	if !bytes.Contains(data, usageMark) {
+func (a *answerRelay) noteUsage(data []byte) {
+	if !bytes.Contains(data, usageMarker) {
 		return
 	}
 	var parsed struct {
@@ -259,18 +263,18 @@
 	}
 }
 
-// relayBody makes chunks of a plain body. The answer is whole when the body
-// ends as its length or encoding says.
-func (a *answerReader) relayBody() bool {
+// relayBody makes chunks of a plain body. The answer is complete if the body ends
+// where its length or encoding says.
+func (a *answerRelay) relayBody() bool {
 	for {
-		piece := make([]byte, bodyPiece)
+		piece := make([]byte, bodyChunkBytes)
 		n, err := io.ReadFull(a.response.Body, piece)
 		if n > 0 || (err == io.EOF && !a.headSent) {
 			a.noteUsage(piece[:n])
-			a.chunk(piece[:n])
+			a.sendChunk(piece[:n])
 		}
 		if err == io.EOF || err == io.ErrUnexpectedEOF {
-			return a.wholeBody(err)
+			return a.isBodyComplete(err)
 		}
 		if err != nil {
 			return false
@@ -278,9 +282,10 @@
 	}
 }
 
-// wholeBody tells an end of the body from a torn one: io.ReadFull gives
-// io.ErrUnexpectedEOF for both, so the body is asked once more.
-func (a *answerReader) wholeBody(err error) bool {
+// isBodyComplete reports whether the body is complete after io.ReadFull failed with err.
+// io.ReadFull returns io.ErrUnexpectedEOF both at the end of the body and where it
+// breaks off, so isBodyComplete reads once more to tell them apart.
+func (a *answerRelay) isBodyComplete(err error) bool {
 	if err == io.EOF {
 		return true
 	}
@@ -289,8 +294,9 @@
 	return again == io.EOF
 }
 
-// chunk hands one piece to the core.
-func (a *answerReader) chunk(data []byte) {
+// sendChunk passes one chunk to the sink. The first chunk carries the answer's status
+// and headers.
+func (a *answerRelay) sendChunk(data []byte) {
 	piece := fleet.Chunk{Attempt: a.call.Attempt, Index: a.index, Data: data}
 	if !a.headSent {
 		a.headSent = true
--- a/transport/upstream/client_test.go
+++ b/transport/upstream/client_test.go
@@ -17,13 +17,13 @@
 	"endiveplank/protocol/fleet"
 )
 
-// record is a Sink that keeps what a call produced.
-type record struct {
+// recordingSink is a Sink that records what a call produces.
+type recordingSink struct {
 	chunks []fleet.Chunk
 	ended  chan node.UpstreamEnd
 }
 
-func (r *record) Input(in node.Input) {
+func (r *recordingSink) Input(in node.Input) {
 	switch in := in.(type) {
 	case node.UpstreamChunk:
 		r.chunks = append(r.chunks, in.Chunk)
@@ -32,8 +32,8 @@
 	}
 }
 
-// serveRaw answers each connection by a function that gets the request, and
-// counts the requests that came.
+// serveRaw starts a server that lets a function answer each connection's request, and
+// counts the requests.
 func serveRaw(t *testing.T, answer func(net.Conn, *http.Request)) (address string, requests *atomic.Int32) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -61,10 +61,10 @@
 	return listener.Addr().String(), requests
 }
 
-// call makes one order and returns its end and what came before.
-func call(t *testing.T, address string, headers ...fleet.Header) (node.UpstreamEnd, *record) {
+// call sends one order and returns how the call ended, and its chunks.
+func call(t *testing.T, address string, headers ...fleet.Header) (node.UpstreamEnd, *recordingSink) {
 	t.Helper()
-	sink := &record{ended: make(chan node.UpstreamEnd, 1)}
+	sink := &recordingSink{ended: make(chan node.UpstreamEnd, 1)}
 	client := New(sink, nil)
 	attempt := fleet.Attempt{Request: "r1-1", Number: 1}
 	client.Call(node.CallUpstream{Attempt: attempt, Address: address, Place: fleet.Place{
@@ -78,10 +78,9 @@
 	return func(connection net.Conn, _ *http.Request) { _, _ = io.WriteString(connection, raw) }
 }
 
-// A desk takes an order and its connection closes before the answer. The HTTP
-// library takes the Idempotency-Key as leave to send it again by itself when
-// the connection had been used before, and a service that doesn't know the key
-// would send a second truck.
+// A desk accepts an order, and its connection closes before the answer. If the
+// connection had been used before, the HTTP library would take the Idempotency-Key as
+// permission to resend the order, and a service that ignores the key would run it twice.
 func TestLibraryRepeatsNoOrderByItself(t *testing.T) {
 	var again atomic.Int32
 	address, requests := serveRaw(t, func(connection net.Conn, _ *http.Request) {
@@ -91,7 +90,7 @@
 			again.Add(1)
 		}
 	})
-	sink := &record{ended: make(chan node.UpstreamEnd, 1)}
+	sink := &recordingSink{ended: make(chan node.UpstreamEnd, 1)}
 	client := New(sink, nil)
 	key := []fleet.Header{{Name: protocol.IdempotencyKeyHeader, Value: "o-1"}}
 	for n := range uint32(3) {
@@ -108,8 +107,8 @@
 	assert.Equal(t, requests.Load(), int32(1))
 }
 
-// A caller is told that its order was not run, and sends it again elsewhere.
-// That may be said only when no byte can have left.
+// A caller that is told that its order was not run sends it again elsewhere. So Sent
+// may be false only if no byte can have reached the upstream.
 func TestOnlyACallWithoutConnectionIsNotSent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -130,11 +129,11 @@
 	assert.Assert(t, end.Sent && !end.Complete)
 }
 
-// A dispatcher must never take part of an answer for the whole. Each answer
-// here breaks off in its own way, or looks as if it did and is whole.
+// The router must never take a part of an answer for the whole. Each answer here breaks
+// off in a different way, or looks as if it did but is complete.
 func TestOnlyAWholeAnswerIsComplete(t *testing.T) {
 	const ok, events = "HTTP/1.1 200 OK\r\n", "Content-Type: text/event-stream\r\n\r\n"
-	long := strings.Repeat("x", bodyPiece)
+	long := strings.Repeat("x", bodyChunkBytes)
 	for name, tc := range map[string]struct {
 		raw   string
 		whole bool
@@ -143,7 +142,7 @@
 		"length kept":              {ok + "Content-Length: 4\r\n\r\nfuel", true, 4},
 		"empty":                    {ok + "Content-Length: 0\r\n\r\n", true, 0},
 		"length not reached":       {ok + "Content-Length: 9\r\n\r\nfuel", false, 4},
-		"torn at a piece's end":    {ok + "Content-Length: 65537\r\n\r\n" + long, false, bodyPiece},
+		"torn at a piece's end":    {ok + "Content-Length: 65537\r\n\r\n" + long, false, bodyChunkBytes},
 		"nothing of the body":      {ok + "Content-Length: 9\r\n\r\n", false, 0},
 		"chunked":                  {ok + "Transfer-Encoding: chunked\r\n\r\n4\r\nfuel\r\n0\r\n\r\n", true, 4},
 		"chunked, torn":            {ok + "Transfer-Encoding: chunked\r\n\r\n4\r\nfuel\r\n", false, 4},
@@ -172,7 +171,9 @@
 	}
 }
 
-func TestHeadersOfOneHopStayThere(t *testing.T) {
+// Headers about one connection, the caller's key, and headers with the fleet's prefix
+// must not pass through the router in either direction.
+func TestHopByHopHeadersAreNotRelayed(t *testing.T) {
 	header := http.Header{
 		"Authorization": {"Bearer key-a"}, "Connection": {"close, X-Hop"}, "X-Hop": {"1"}, "Te": {"trailers"},
 		"Upgrade": {"h2c"}, "Expect": {"100-continue"}, "Proxy-Authorization": {"Basic x"}, "Transfer-Encoding": {"chunked"},
@@ -192,8 +193,8 @@
 	}
 }
 
-// A caller goes away. Its call must end at once: an engine that works for
-// nobody is missing to others.
+// A caller disconnects. Its call must end at once, or the engine would go on working
+// for nobody while other requests wait for it.
 func TestCancelledCallEnds(t *testing.T) {
 	gone := make(chan struct{})
 	address, _ := serveRaw(t, func(connection net.Conn, _ *http.Request) {
@@ -201,7 +202,7 @@
 		_, _ = io.Copy(io.Discard, connection)
 		close(gone)
 	})
-	sink := &record{ended: make(chan node.UpstreamEnd, 1)}
+	sink := &recordingSink{ended: make(chan node.UpstreamEnd, 1)}
 	client := New(sink, nil)
 	attempt := fleet.Attempt{Request: "r1-1", Number: 1}
 	client.Call(node.CallUpstream{Attempt: attempt, Address: address, Place: fleet.Place{Attempt: attempt, Method: http.MethodPost, Path: "/orders"}})
--- a/transport/upstream/engineorder.go
+++ b/transport/upstream/engineorder.go
@@ -12,22 +12,22 @@
 	"endiveplank/protocol/upstreamapi"
 )
 
-// maxStateBytes is the largest engine state taken.
+// maxStateBytes is the largest engine state accepted.
 const maxStateBytes = 1 << 20
 
-// Order sends an order to an engine and reads its state back, both within a
-// time. Exactly one EngineAnswered comes of it.
+// Order sends an order to an engine and reads the engine's state back, both within
+// the given time. It produces exactly one EngineAnswered.
 //
-// Failure: this process is frozen between the owner's decision and the call,
-// and another owner has ordered since. The time is the rest of the lease on
-// the monotonic clock, which goes on during a freeze, and a context that has
-// ended sends nothing. Bytes that the kernel had already taken can't be called
-// back; what they did is found when the engine is read.
+// Failure guarded against: this process is frozen between the owner's decision and
+// the call, and another owner has sent an order in the meantime. The given time is
+// the rest of the lease on the monotonic clock, which goes on during a freeze, and
+// nothing is sent on a context that has ended. Bytes that the kernel has already
+// accepted can't be recalled; their effect shows when the engine's state is read.
 func (c *Client) Order(order node.OrderEngine, within time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
-	c.done.Add(1)
+	c.running.Add(1)
 	go func() {
-		defer c.done.Done()
+		defer c.running.Done()
 		defer cancel()
 		answered := node.EngineAnswered{From: order.From, Ask: order.Ask}
 		if !order.Ask.ReadOnly {
@@ -38,7 +38,7 @@
 	}()
 }
 
-// postOrder returns the status of an order, 0 when no answer came.
+// postOrder sends an order and returns the status of the answer, 0 if none came.
 func (c *Client) postOrder(ctx context.Context, order node.OrderEngine) int {
 	body, err := json.Marshal(upstreamapi.EngineOrder{
 		Fence:   order.Ask.Fence,
@@ -63,7 +63,7 @@
 	return response.StatusCode
 }
 
-// readState returns what an engine holds, nil when it can't be read.
+// readState returns an engine's state, nil if it can't be read.
 func (c *Client) readState(ctx context.Context, address string) *upstreamapi.EngineState {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+upstreamapi.StatePath, nil)
 	if err != nil {
--- a/transport/upstream/engines_test.go
+++ b/transport/upstream/engines_test.go
@@ -18,11 +18,11 @@
 	"endiveplank/standin/engine"
 )
 
-// sinkChannel passes inputs to a test.
-type sinkChannel chan node.Input
+// channelSink is a Sink that passes inputs to a test.
+type channelSink chan node.Input
 
 // Input implements Sink.
-func (s sinkChannel) Input(in node.Input) { s <- in }
+func (s channelSink) Input(in node.Input) { s <- in }
 
 func startEngine(t *testing.T, id string) string {
 	t.Helper()
@@ -35,8 +35,8 @@
 	return server.Address()
 }
 
-// ask sends a chat to an engine and returns the whole answer.
-func ask(t *testing.T, address string) string {
+// sendChat sends a chat to an engine and returns the complete answer.
+func sendChat(t *testing.T, address string) string {
 	t.Helper()
 	body := `{"model":"m1","max_tokens":2,"messages":[{"role":"user","content":"` + question + `"}]}`
 	response, err := http.Post("http://"+address+upstreamapi.CompletionsPath, "application/json", strings.NewReader(body))
@@ -49,29 +49,30 @@
 
 const question = "which pumps at the east gate hold diesel today"
 
-// An engine drains, and the chat's next turn comes to the one that took its
-// cache over. It must find its prompt there. A prefix that is no longer cached
-// must fail alone, without harm.
+// An engine drains, and the chat's next turn goes to the engine to which its cache was
+// moved. It must find its prompt's prefix in that cache. The move of a prefix that is no
+// longer cached must fail without affecting others.
 func TestMovedCacheIsFoundAtTheOtherEngine(t *testing.T) {
 	from, to := startEngine(t, "e1"), startEngine(t, "e2")
-	ask(t, from)
-	sink := make(sinkChannel, 1)
+	sendChat(t, from)
+	sink := make(channelSink, 1)
 	client := New(sink, nil)
 	chain := chat.Chain("m1", []chat.Message{{Role: "user", Content: question}})
 	client.Move(node.MoveCache{Upstream: "e1", From: from, To: to, Hash: chain[0].Hash})
 	assert.DeepEqual(t, <-sink, node.CacheMoved{Upstream: "e1", Hash: chain[0].Hash, Moved: true})
-	answer := ask(t, to)
+	answer := sendChat(t, to)
 	assert.Assert(t, !strings.Contains(answer, `"cached_tokens":0`), answer)
 	client.Move(node.MoveCache{Upstream: "e1", From: from, To: to, Hash: 1})
 	assert.DeepEqual(t, <-sink, node.CacheMoved{Upstream: "e1", Hash: 1})
 	client.Wait()
 }
 
-// An owner thaws with an order in its hands and its lease over. The order must
-// not reach the engine; within the lease it must, and be read back.
+// An owner's process was frozen before it sent an order, and its lease has ended. The
+// order must not reach the engine. Within the lease it must reach the engine, and the
+// state that is read back must show it.
 func TestOrderIsSentWithinTheLeaseOnly(t *testing.T) {
 	address := startEngine(t, "e1")
-	sink := make(sinkChannel, 1)
+	sink := make(channelSink, 1)
 	client := New(sink, nil)
 	order := node.OrderEngine{Address: address, Ask: engineorders.Ask{
 		Upstream: "e1", Fence: 7, Intent: engineorders.Intent{Action: upstreamapi.ActionRole, Role: "prefill"},
--- a/transport/upstream/headers.go
+++ b/transport/upstream/headers.go
@@ -8,7 +8,7 @@
 	"endiveplank/protocol/fleet"
 )
 
-// hopByHop are the headers that belong to one connection.
+// hopByHop lists the headers that apply to a single connection.
 var hopByHop = map[string]bool{
 	"Connection":          true,
 	"Content-Length":      true,
@@ -23,27 +23,27 @@
 	"Upgrade":             true,
 }
 
-// answerHeaders picks the headers of an answer that go to the caller: all but
-// those about the connection to the upstream, and the fleet's own.
+// answerHeaders returns the headers of an answer that go to the caller: all except
+// those about the connection to the upstream, those that only the fleet sets, and Date.
 func answerHeaders(header http.Header) []fleet.Header {
-	return pick(header, func(name string) bool { return name == "Date" })
+	return filterHeaders(header, func(name string) bool { return name == "Date" })
 }
 
-// RequestHeaders picks the headers of a caller's request that go to the
-// upstream: all but the caller's key, those about its connection, and those
-// that the fleet sets itself.
+// RequestHeaders returns the headers of a caller's request that go to the upstream:
+// all except the caller's key, those about its connection, those that only the fleet
+// sets, Accept-Encoding and X-Forwarded-For.
 func RequestHeaders(header http.Header) []fleet.Header {
-	return pick(header, func(name string) bool {
+	return filterHeaders(header, func(name string) bool {
 		return name == "Authorization" || name == "Accept-Encoding" || name == "X-Forwarded-For"
 	})
 }
 
-// pick copies the headers that may pass from one connection to another.
+// filterHeaders copies the headers that may pass from one connection to another.
 //
-// What a caller or an upstream sends under the fleet's own names never passes.
-// A caller's priority or attempt number would reach the engine, and an
-// upstream's outcome or request ID the caller, as if the fleet had said it.
-func pick(header http.Header, drop func(name string) bool) []fleet.Header {
+// Headers with the fleet's own prefix never pass. Otherwise the engine would take a
+// caller's priority or attempt number, and the caller an upstream's outcome or request
+// ID, for one that the fleet has set.
+func filterHeaders(header http.Header, drop func(name string) bool) []fleet.Header {
 	listed := connectionHeaders(header)
 	var kept []fleet.Header
 	for name, values := range header {
@@ -57,8 +57,8 @@
 	return kept
 }
 
-// connectionHeaders returns the headers that the sender lists in Connection:
-// they are for this hop alone (RFC 9110, section 7.6.1).
+// connectionHeaders returns the headers that the sender lists in Connection: they
+// apply to this hop only (RFC 9110, section 7.6.1).
 func connectionHeaders(header http.Header) map[string]bool {
 	var listed map[string]bool
 	for _, value := range header["Connection"] {
--- a/transport/upstream/kvmove.go
+++ b/transport/upstream/kvmove.go
@@ -12,24 +12,26 @@
 	"endiveplank/protocol/upstreamapi"
 )
 
-// moveTimeout bounds one move. A move is given up rather than waited for: the
-// chat then starts cold, as it would have.
+// moveTimeout bounds one move. After it the move is given up, and the chat starts
+// without a cached prefix, as it would have without the move.
 const moveTimeout = 10 * time.Second
 
-// Move carries a cached prefix from one engine to another. The blob is passed
-// on as it comes and never held whole.
+// Move copies a cached prefix from one engine to another. It streams the blob and
+// never holds it completely in memory.
 func (c *Client) Move(move node.MoveCache) {
-	c.done.Add(1)
+	c.running.Add(1)
 	go func() {
-		defer c.done.Done()
+		defer c.running.Done()
 		ctx, cancel := context.WithTimeout(context.Background(), moveTimeout)
 		defer cancel()
-		moved := c.carry(ctx, move)
+		moved := c.copyCache(ctx, move)
 		c.sink.Input(node.CacheMoved{Upstream: move.Upstream, Hash: move.Hash, Moved: moved})
 	}()
 }
 
-func (c *Client) carry(ctx context.Context, move node.MoveCache) bool {
+// copyCache exports a prefix from one engine and imports it into another. It reports
+// whether that succeeded.
+func (c *Client) copyCache(ctx context.Context, move node.MoveCache) bool {
 	body, err := json.Marshal(upstreamapi.KVExport{Hash: fmt.Sprintf("%016x", uint64(move.Hash))})
 	if err != nil {
 		return false
