--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -264,7 +264,7 @@
 	changed := r.book.SetRoster(r.roster.Entries())
 	for _, e := range changed {
 		if e.State != roster.Ready {
-			r.pool.Forget(e.Address)
+			r.pool.CloseIdle(e.Address)
 		}
 	}
 	if len(changed) > linesPerRoster {
--- a/transport/exchange/dial.go
+++ b/transport/exchange/dial.go
@@ -11,20 +11,21 @@
 
 const (
 	// dialTimeout bounds a connection attempt. Data centres are milliseconds
-	// apart, and an upstream that is alive accepts at once; one lost opening
-	// packet is sent again after a second, which is no use to wait for.
+	// apart, and a live upstream accepts at once. TCP resends a lost SYN after a
+	// second, which is too long to wait for.
 	dialTimeout = 400 * time.Millisecond
-	// userTimeout is how long what was sent may stay unacknowledged: several
-	// retransmissions between data centres.
+	// userTimeout is how long sent bytes may stay unacknowledged: the time of
+	// several retransmissions between data centres.
 	userTimeout = 1200 * time.Millisecond
-	// keepAliveIdle and keepAliveInterval find a silent connection on which an
-	// answer is awaited, in about three seconds. The kernel counts in seconds.
+	// With keepAliveIdle, keepAliveInterval and keepAliveCount, a dead connection
+	// on which the router waits for an answer is detected in about three seconds.
+	// The kernel counts in whole seconds.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
 )
 
-// dial opens a connection.
+// dial opens a connection with keep-alive probes and TCP_USER_TIMEOUT.
 func dial(ctx context.Context, address string) (net.Conn, error) {
 	dialer := net.Dialer{
 		Timeout: dialTimeout,
@@ -48,8 +49,8 @@
 	return failed
 }
 
-// isQuiet reports whether a kept connection is open and has nothing to read.
-func isQuiet(conn net.Conn) bool {
+// isUsable reports whether an idle connection is open and has no unread bytes.
+func isUsable(conn net.Conn) bool {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
 		return false
@@ -58,12 +59,12 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	usable := false
 	err = raw.Read(func(fd uintptr) bool {
 		var one [1]byte
 		_, _, received := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = received == syscall.EAGAIN
+		usable = received == syscall.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && usable
 }
--- a/transport/exchange/doc.go
+++ b/transport/exchange/doc.go
@@ -1,23 +1,27 @@
-// Package exchange sends requests to upstreams over connections that are kept,
+// Package exchange sends requests to upstreams over a pool of reused connections,
 // and reads the answers.
 //
+// Pool keeps idle connections; Pool.Send sends a Request and returns an Answer, or a
+// Failure that says whether a byte may have reached the upstream.
+//
 // net/http writes the requests and reads the answers, but its Transport is not
-// used: it sends a request again by itself when a kept connection breaks, it
-// may read an answer that nobody asked for as the answer to the next request,
-// and it doesn't tell whether a byte has left.
+// used: it resends a request by itself when a reused connection breaks, it may take
+// an unsolicited answer for the answer to the next request, and it doesn't report
+// whether any byte was sent.
 //
-// Failures guarded:
+// Failures guarded against:
 //
-//   - A kept connection was closed by the upstream. It is looked at before it
-//     is used again, and isn't kept longer than the upstream says.
-//   - An answer that nobody waits for lies on a kept connection. A connection
-//     with unread bytes isn't used again; one that comes later is known by the
-//     name that it repeats, and skipped.
-//   - An answer without a length ends with its connection; one that was reset
-//     looks the same to a careless reader. Only a clean end counts.
-//   - The upstream answers before it has read the body, and reads on. The rest
-//     of the body is sent, or the connection is dropped.
-//   - The upstream, or the way to it, is gone without a word. What was sent
-//     isn't acknowledged, and TCP_USER_TIMEOUT ends the connection; one on
-//     which nothing is under way is found out by keep-alive probes.
+//   - The upstream has closed an idle connection. A connection is checked before
+//     it is reused, and isn't kept longer than the upstream says.
+//   - An unsolicited answer waits on an idle connection. A connection with unread
+//     bytes isn't reused; an answer that arrives later is recognized by the request
+//     ID that it repeats, and skipped.
+//   - The end of an answer without a length is the end of its connection, and a
+//     connection that was reset looks the same to a careless reader. Only a clean
+//     close counts as the end of the answer.
+//   - The upstream answers before it has read the body, and goes on reading. Either
+//     the rest of the body is sent, or the connection is dropped.
+//   - The upstream, or the network path to it, disappears without closing the
+//     connection. TCP_USER_TIMEOUT ends a connection with unacknowledged bytes;
+//     keep-alive probes detect one on which nothing is being sent.
 package exchange
--- a/transport/exchange/exchange.go
+++ b/transport/exchange/exchange.go
@@ -19,33 +19,33 @@
 )
 
 const (
-	// inlineBody is the largest body that is written before the answer is
-	// read: it fits into the kernel's buffers even if the upstream reads
-	// nothing, so the writer can't be held up by an early answer.
-	inlineBody = 8 << 10
-	// strayAnswers bounds the answers to earlier requests that are skipped on
-	// one connection.
-	strayAnswers = 3
-	// strayBytes bounds the body of an answer that is skipped.
-	strayBytes = 1 << 20
+	// maxInlineBody is the largest body that is written before the answer is
+	// read. It fits into the kernel's buffers even if the upstream reads nothing,
+	// so an upstream that answers early without reading can't block the write.
+	maxInlineBody = 8 << 10
+	// maxStrayAnswers bounds the answers to earlier requests that are skipped on
+	// one connection; after as many, the request fails.
+	maxStrayAnswers = 3
+	// maxStrayBytes bounds the body of an answer that is skipped.
+	maxStrayBytes = 1 << 20
 )
 
-// Request is what is sent.
+// Request is a request to an upstream.
 type Request struct {
 	ID     protocol.RequestID
 	Method string
-	// Target is path and query as the caller wrote them.
+	// Target is the path and query exactly as the caller sent them.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
 }
 
-// Failure is the error of an exchange.
+// Failure is the error of Send.
 type Failure struct {
 	// Sent is false when no byte can have reached the upstream.
 	Sent bool
-	// Reused says that the connection had carried other requests before.
+	// Reused means that the connection had carried other requests before.
 	Reused bool
 	Cause  error
 }
@@ -56,58 +56,59 @@
 // Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.Cause }
 
-// errForeign means that the answers on the connection belong to other requests.
-var errForeign = eris.New("exchange: the answer belongs to another request")
+// errOtherRequest means that the answers on the connection belong to other requests.
+var errOtherRequest = eris.New("exchange: the answer belongs to another request")
 
-// errNoAnswer means that the upstream answered with bytes that are no answer.
-var errNoAnswer = eris.New("exchange: the upstream's bytes are no HTTP answer")
+// errNotHTTP means that the upstream sent bytes that aren't an HTTP answer.
+var errNotHTTP = eris.New("exchange: the upstream sent bytes that aren't an HTTP answer")
 
-// Answer is the head of an answer; Body reads the rest. Close must be called.
+// Answer is an upstream's answer: its head, and the body through Read. Close must be
+// called.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Length is the body's length in bytes, -1 if it isn't known.
+	// Length is the body's length in bytes, -1 if unknown.
 	Length int64
 	Body   io.Reader
 
-	pool     *Pool
-	address  string
-	conn     *conn
-	response *http.Response
-	release  func() bool
-	written  *atomic.Bool
-	whole    bool
+	pool              *Pool
+	address           string
+	conn              *conn
+	response          *http.Response
+	stopCloseOnCancel func() bool
+	written           *atomic.Bool
+	complete          bool
 }
 
-// Send sends a request to an address and returns the head of the answer. nameOf
-// reads the name that an answer repeats, "" for none. When the context ends, the
-// connection is closed, which tells the upstream to stop. The error is a
+// Send sends a request to an address and returns the head of the answer. idOf
+// returns the request ID that an answer repeats, "" for none. When the context ends,
+// the connection is closed, which tells the upstream to stop its work. The error is a
 // *Failure.
-func (p *Pool) Send(ctx context.Context, address string, r Request, nameOf func(http.Header) protocol.RequestID) (*Answer, error) {
+func (p *Pool) Send(ctx context.Context, address string, r Request, idOf func(http.Header) protocol.RequestID) (*Answer, error) {
 	c, err := p.get(ctx, address)
 	if err != nil {
 		return nil, &Failure{Cause: err}
 	}
-	// Closing is what interrupts reads and writes that wait.
-	release := context.AfterFunc(ctx, func() { _ = c.Close() })
-	answer, err := p.send(c, address, r, nameOf)
+	// Closing the connection interrupts blocked reads and writes.
+	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
+	answer, err := p.send(c, address, r, idOf)
 	if err != nil {
-		release()
+		stop()
 		_ = c.Close()
 		return nil, &Failure{Sent: true, Reused: c.reused, Cause: err}
 	}
-	answer.release = release
+	answer.stopCloseOnCancel = stop
 	return answer, nil
 }
 
 // send writes the request and reads the head of its answer.
-func (p *Pool) send(c *conn, address string, r Request, nameOf func(http.Header) protocol.RequestID) (*Answer, error) {
+func (p *Pool) send(c *conn, address string, r Request, idOf func(http.Header) protocol.RequestID) (*Answer, error) {
 	request := r.build()
 	written, err := write(c, request, len(r.Body))
 	if err != nil {
 		return nil, err
 	}
-	response, err := readHead(c, request, r.ID, nameOf)
+	response, err := readHead(c, request, r.ID, idOf)
 	if err != nil {
 		return nil, err
 	}
@@ -117,7 +118,7 @@
 	}, nil
 }
 
-// build returns the request as net/http writes it.
+// build returns the request in the form that net/http writes.
 func (r Request) build() *http.Request {
 	request := &http.Request{
 		Method: r.Method,
@@ -130,120 +131,123 @@
 		request.Body = io.NopCloser(bytes.NewReader(r.Body))
 		request.ContentLength = int64(len(r.Body))
 	}
-	if _, named := r.Header["User-Agent"]; !named {
-		// Without it net/http names itself.
+	if _, present := r.Header["User-Agent"]; !present {
+		// Otherwise net/http would send a User-Agent of its own.
 		request.Header["User-Agent"] = nil
 	}
 	return request
 }
 
-// write sends the request. A long body is written by a goroutine of its own,
-// because the upstream may answer before it has read it; written says when all
-// of it has left.
+// write sends the request. A separate goroutine writes a long body, because the
+// upstream may answer before it has read the body. The returned flag becomes true
+// once the complete request is written.
 func write(c *conn, request *http.Request, bodyBytes int) (*atomic.Bool, error) {
 	written := &atomic.Bool{}
-	if bodyBytes <= inlineBody {
-		if err := writeWhole(c, request); err != nil {
+	if bodyBytes <= maxInlineBody {
+		if err := writeAndFlush(c, request); err != nil {
 			return nil, err
 		}
 		written.Store(true)
 		return written, nil
 	}
 	go func() {
-		if err := writeWhole(c, request); err == nil {
+		if err := writeAndFlush(c, request); err == nil {
 			written.Store(true)
 		}
 	}()
 	return written, nil
 }
 
-func writeWhole(c *conn, request *http.Request) error {
+func writeAndFlush(c *conn, request *http.Request) error {
 	if err := request.Write(c.writer); err != nil {
 		return err
 	}
 	return c.writer.Flush()
 }
 
-// readHead reads the head of the answer. Answers that repeat another request's
-// name belong to nobody any more and are skipped.
-func readHead(c *conn, request *http.Request, id protocol.RequestID, nameOf func(http.Header) protocol.RequestID) (*http.Response, error) {
-	for range strayAnswers {
+// readHead reads the head of the answer. It skips answers that repeat another
+// request's ID, because nobody waits for them any more.
+func readHead(c *conn, request *http.Request, id protocol.RequestID, idOf func(http.Header) protocol.RequestID) (*http.Response, error) {
+	for range maxStrayAnswers {
 		response, err := readResponse(c, request)
 		if err != nil {
 			return nil, err
 		}
-		if name := nameOf(response.Header); name == "" || name == id {
+		if answered := idOf(response.Header); answered == "" || answered == id {
 			return response, nil
 		}
-		if n, err := io.Copy(io.Discard, io.LimitReader(response.Body, strayBytes)); err != nil || n == strayBytes || response.Close {
-			return nil, errForeign
+		if n, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxStrayBytes)); err != nil || n == maxStrayBytes || response.Close {
+			return nil, errOtherRequest
 		}
 	}
-	return nil, errForeign
+	return nil, errOtherRequest
 }
 
-// readResponse reads one head that isn't an interim one.
+// readResponse reads the next head and skips interim (1xx) answers.
 func readResponse(c *conn, request *http.Request) (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(c.reader, request)
 		if err != nil {
-			return nil, asNoAnswer(err)
+			return nil, classifyReadError(err)
 		}
 		interim := response.StatusCode >= 100 && response.StatusCode < 200
 		if !interim {
 			return response, nil
 		}
 		if response.StatusCode == http.StatusSwitchingProtocols {
-			return nil, errNoAnswer
+			return nil, errNotHTTP
 		}
 	}
 }
 
-// asNoAnswer tells bytes that are no answer from a broken connection.
-func asNoAnswer(err error) error {
+// classifyReadError returns errNotHTTP if the bytes read aren't an HTTP answer, and
+// the error itself if the connection broke.
+func classifyReadError(err error) error {
 	var protocolError textproto.ProtocolError
 	if errors.As(err, &protocolError) || strings.Contains(err.Error(), "malformed") {
-		return errNoAnswer
+		return errNotHTTP
 	}
 	return err
 }
 
-// Read reads the body. io.EOF means that it came whole.
+// Read reads the body. io.EOF means that the body is complete.
 func (a *Answer) Read(buffer []byte) (int, error) {
 	n, err := a.Body.Read(buffer)
 	if err == io.EOF {
-		a.whole = true
+		a.complete = true
 	}
 	return n, err
 }
 
-// ReadByDeadline bounds the wait for the next bytes; the zero time lifts the
+// SetReadDeadline bounds the wait for the next bytes; the zero time removes the
 // bound.
-func (a *Answer) ReadByDeadline(at time.Time) {
-	// A connection that takes no deadline is closed; the next read says so.
+func (a *Answer) SetReadDeadline(at time.Time) {
+	// Setting a deadline fails only on a closed connection; the next read returns
+	// that error.
 	_ = a.conn.SetReadDeadline(at)
 }
 
-// Close ends the exchange. The connection is kept if the answer was read to its
-// end and nothing speaks against it; else it is closed, which stops the
-// upstream's work.
+// Close ends the exchange. If the answer was read to its end and the connection is
+// reusable, the connection returns to the pool; otherwise it is closed, which stops
+// the upstream's work.
 func (a *Answer) Close() {
-	if !a.release() || !a.mayKeep() {
+	if !a.stopCloseOnCancel() || !a.reusable() {
 		_ = a.conn.Close()
 		return
 	}
-	a.ReadByDeadline(time.Time{})
-	a.conn.keep = keepFor(a.Header)
+	a.SetReadDeadline(time.Time{})
+	a.conn.idleTimeout = idleTimeoutFrom(a.Header)
 	a.pool.put(a.address, a.conn)
 }
 
-// mayKeep reports whether another request may follow on the connection.
-func (a *Answer) mayKeep() bool {
-	return a.whole && a.written.Load() && !a.response.Close && a.conn.reader.Buffered() == 0
+// reusable reports whether the connection may carry another request.
+func (a *Answer) reusable() bool {
+	return a.complete && a.written.Load() && !a.response.Close && a.conn.reader.Buffered() == 0
 }
 
-// keepFor reads how long the upstream keeps an unused connection.
-func keepFor(header http.Header) time.Duration {
+// idleTimeoutFrom returns how long an idle connection is kept, from the timeout that
+// the upstream's Keep-Alive header gives.
+func idleTimeoutFrom(header http.Header) time.Duration {
 	for _, field := range strings.Split(header.Get("Keep-Alive"), ",") {
 		seconds, found := strings.CutPrefix(strings.TrimSpace(field), "timeout=")
 		if !found {
@@ -251,9 +255,9 @@
 		}
 		n, err := strconv.Atoi(seconds)
 		if err != nil {
-			return keepIdle
+			return defaultIdleTimeout
 		}
 		return max(time.Duration(n)*time.Second-idleMargin, 0)
 	}
-	return keepIdle
+	return defaultIdleTimeout
 }
--- a/transport/exchange/exchange_test.go
+++ b/transport/exchange/exchange_test.go
@@ -17,14 +17,14 @@
 	"endiveplank/protocol"
 )
 
-// nameHeader carries the request's name in these tests.
-const nameHeader = "X-Name"
+// idHeader carries the request ID in these tests.
+const idHeader = "X-Name"
 
-func nameOf(header http.Header) protocol.RequestID {
-	return protocol.RequestID(header.Get(nameHeader))
+func idOf(header http.Header) protocol.RequestID {
+	return protocol.RequestID(header.Get(idHeader))
 }
 
-// upstream runs a script on each connection and counts them.
+// upstream runs a script on each connection and counts the connections.
 type upstream struct {
 	address string
 	opened  atomic.Int32
@@ -52,8 +52,8 @@
 	return u
 }
 
-// take reads one request with its body.
-func take(reader *bufio.Reader) (*http.Request, error) {
+// readRequest reads one request with its body.
+func readRequest(reader *bufio.Reader) (*http.Request, error) {
 	request, err := http.ReadRequest(reader)
 	if err != nil {
 		return nil, err
@@ -62,13 +62,13 @@
 	return request, err
 }
 
-func say(conn net.Conn, text string) {
-	// A caller that has gone is part of several stories.
+func send(conn net.Conn, text string) {
+	// In several tests the client has closed the connection by now.
 	_, _ = io.WriteString(conn, text)
 }
 
 func request(id, body string) Request {
-	return Request{ID: protocol.RequestID(id), Method: "POST", Target: "/a/b?c=%2f", Host: "one.example", Header: http.Header{nameHeader: {id}}, Body: []byte(body)}
+	return Request{ID: protocol.RequestID(id), Method: "POST", Target: "/a/b?c=%2f", Host: "one.example", Header: http.Header{idHeader: {id}}, Body: []byte(body)}
 }
 
 // fetch sends a request and reads the whole answer.
@@ -76,7 +76,7 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	answer, err := p.Send(ctx, u.address, r, nameOf)
+	answer, err := p.Send(ctx, u.address, r, idOf)
 	if err != nil {
 		return 0, "", err
 	}
@@ -93,12 +93,12 @@
 	var seen atomic.Pointer[http.Request]
 	u := startUpstream(t, func(conn *net.TCPConn, reader *bufio.Reader) {
 		for {
-			r, err := take(reader)
+			r, err := readRequest(reader)
 			if err != nil {
 				return
 			}
 			seen.Store(r)
-			say(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nKeep-Alive: timeout=5\r\n\r\nok")
+			send(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nKeep-Alive: timeout=5\r\n\r\nok")
 		}
 	})
 	p := NewPool()
@@ -116,22 +116,22 @@
 }
 
 func TestAnAnswerThatNobodyWaitsForIsNeverTakenForTheNext(t *testing.T) {
-	// An upstream sends an answer twice. The second copy lies on the kept
-	// connection when the next request goes out, or arrives just after. A
-	// caller would get another caller's answer.
+	// An upstream sends an answer twice. The second copy waits on the idle
+	// connection when the next request is sent, or arrives just after. A caller
+	// would get the answer to another caller's request.
 	for name, delay := range map[string]time.Duration{"before the next request": 0, "after it was sent": 30 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
 			u := startUpstream(t, func(conn *net.TCPConn, reader *bufio.Reader) {
 				for {
-					r, err := take(reader)
+					r, err := readRequest(reader)
 					if err != nil {
 						return
 					}
-					id := r.Header.Get(nameHeader)
-					answer := "HTTP/1.1 200 OK\r\n" + nameHeader + ": " + id + "\r\nContent-Length: 1\r\n\r\n" + id
-					say(conn, answer)
+					id := r.Header.Get(idHeader)
+					answer := "HTTP/1.1 200 OK\r\n" + idHeader + ": " + id + "\r\nContent-Length: 1\r\n\r\n" + id
+					send(conn, answer)
 					time.Sleep(delay)
-					say(conn, answer)
+					send(conn, answer)
 				}
 			})
 			p := NewPool()
@@ -147,14 +147,14 @@
 }
 
 func TestAnAnswerWithoutLengthCountsOnlyIfItEndsCleanly(t *testing.T) {
-	// An answer has no length and ends with its connection. If the connection
-	// is reset, half an order list looks like a whole one.
+	// An answer without a length ends when its connection closes. If a reset
+	// counted as such an end, half of an order list would look complete.
 	answer := "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf"
 	for name, reset := range map[string]bool{"closed": false, "reset": true} {
 		t.Run(name, func(t *testing.T) {
 			u := startUpstream(t, func(conn *net.TCPConn, reader *bufio.Reader) {
-				_, _ = take(reader)
-				say(conn, answer)
+				_, _ = readRequest(reader)
+				send(conn, answer)
 				if reset {
 					time.Sleep(20 * time.Millisecond)
 					_ = conn.SetLinger(0)
@@ -172,6 +172,8 @@
 }
 
 func TestATruncatedAnswerIsAnError(t *testing.T) {
+	// An upstream dies in the middle of its answer. The part that arrived must not
+	// be taken for the whole answer.
 	for name, answer := range map[string]string{
 		"length":  "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf",
 		"chunked": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
@@ -180,8 +182,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			u := startUpstream(t, func(conn *net.TCPConn, reader *bufio.Reader) {
-				_, _ = take(reader)
-				say(conn, answer)
+				_, _ = readRequest(reader)
+				send(conn, answer)
 			})
 			p := NewPool()
 			defer p.Close()
@@ -193,8 +195,8 @@
 
 func TestAnEarlyAnswerLeavesNoOtherBytesForTheRestOfTheBody(t *testing.T) {
 	// An upstream answers before it has read a long body, keeps the connection
-	// and reads on. If the next request went over it while the rest of the body
-	// was due, its bytes would be taken for the body's.
+	// open and goes on reading. If the next request were sent on this connection
+	// before the rest of the body, the upstream would take it for the body.
 	body := strings.Repeat("x", 1<<20)
 	var wrong atomic.Bool
 	u := startUpstream(t, func(conn *net.TCPConn, reader *bufio.Reader) {
@@ -202,7 +204,7 @@
 		if err != nil {
 			return
 		}
-		say(conn, "HTTP/1.1 413 Too Large\r\nContent-Length: 0\r\n\r\n")
+		send(conn, "HTTP/1.1 413 Too Large\r\nContent-Length: 0\r\n\r\n")
 		time.Sleep(30 * time.Millisecond)
 		rest, _ := io.ReadAll(r.Body)
 		if strings.Trim(string(rest), "x") != "" {
@@ -220,33 +222,32 @@
 	assert.Assert(t, !wrong.Load())
 }
 
-func TestWhatCannotHaveLeftIsSaidToBeUnsent(t *testing.T) {
+func TestARequestIsUnsentOnlyWithoutAConnection(t *testing.T) {
 	// A refusal may promise that a request didn't run only if no byte of it can
-	// have reached an upstream.
+	// have reached an upstream. That holds only if no connection was opened.
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	address := listener.Addr().String()
 	assert.NilError(t, listener.Close())
 	p := NewPool()
 	defer p.Close()
-	_, err = p.Send(context.Background(), address, request("1", ""), nameOf)
+	_, err = p.Send(context.Background(), address, request("1", ""), idOf)
 	var failure *Failure
 	assert.Assert(t, errors.As(err, &failure))
 	assert.Assert(t, !failure.Sent)
 
-	u := startUpstream(t, func(_ *net.TCPConn, reader *bufio.Reader) { _, _ = take(reader) })
+	u := startUpstream(t, func(_ *net.TCPConn, reader *bufio.Reader) { _, _ = readRequest(reader) })
 	_, _, err = fetch(t, p, u, request("1", ""))
 	assert.Assert(t, errors.As(err, &failure))
 	assert.Assert(t, failure.Sent)
 }
 
 func TestAKeptConnectionThatWasClosedIsNotUsed(t *testing.T) {
-	// The upstream closes a connection that was unused for a moment. A request
-	// that went out on it would be lost, and one that may run once could not be
-	// sent again.
+	// The upstream closes an idle connection. A request sent on it would be lost,
+	// and one that may run only once could not be sent again.
 	u := startUpstream(t, func(conn *net.TCPConn, reader *bufio.Reader) {
-		if _, err := take(reader); err == nil {
-			say(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+		if _, err := readRequest(reader); err == nil {
+			send(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		}
 	})
 	p := NewPool()
@@ -259,21 +260,21 @@
 	assert.Equal(t, u.opened.Load(), int32(3))
 }
 
-func TestTheUpstreamsTimeForUnusedConnectionsIsKept(t *testing.T) {
+func TestTheUpstreamsIdleTimeoutIsRespected(t *testing.T) {
 	for value, want := range map[string]time.Duration{
 		"timeout=5": 5*time.Second - idleMargin, "max=3, timeout=2": 2*time.Second - idleMargin,
-		"timeout=0": 0, "": keepIdle, "timeout=soon": keepIdle,
+		"timeout=0": 0, "": defaultIdleTimeout, "timeout=soon": defaultIdleTimeout,
 	} {
-		assert.Equal(t, keepFor(http.Header{"Keep-Alive": {value}}), want, value)
+		assert.Equal(t, idleTimeoutFrom(http.Header{"Keep-Alive": {value}}), want, value)
 	}
 }
 
 func TestTheUpstreamSeesThatTheCallerHasLeft(t *testing.T) {
-	// A caller leaves while its request runs. The upstream stops only if its
-	// connection ends; else the work goes on for nobody.
+	// A caller disconnects while its request runs. The upstream stops only when
+	// its connection closes; otherwise it goes on working for nobody.
 	gone := make(chan struct{})
 	u := startUpstream(t, func(_ *net.TCPConn, reader *bufio.Reader) {
-		_, _ = take(reader)
+		_, _ = readRequest(reader)
 		_, _ = reader.ReadByte()
 		close(gone)
 	})
@@ -281,7 +282,7 @@
 	defer p.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(20*time.Millisecond, cancel)
-	_, err := p.Send(ctx, u.address, request("1", ""), nameOf)
+	_, err := p.Send(ctx, u.address, request("1", ""), idOf)
 	assert.Assert(t, err != nil)
 	select {
 	case <-gone:
@@ -292,8 +293,8 @@
 
 func TestInterimAnswersAreSkipped(t *testing.T) {
 	u := startUpstream(t, func(conn *net.TCPConn, reader *bufio.Reader) {
-		_, _ = take(reader)
-		say(conn, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+		_, _ = readRequest(reader)
+		send(conn, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	})
 	p := NewPool()
 	defer p.Close()
--- a/transport/exchange/pool.go
+++ b/transport/exchange/pool.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// keepIdle is how long an unused connection is kept where the upstream
-	// says nothing of it.
-	keepIdle = 8 * time.Second
-	// idleMargin is how much before the time that the upstream names a
-	// connection isn't used any more: it may be closing it already.
+	// defaultIdleTimeout is how long an idle connection is kept if the upstream
+	// doesn't say how long it keeps one.
+	defaultIdleTimeout = 8 * time.Second
+	// idleMargin is how long before the upstream's own idle timeout a connection
+	// is no longer reused: the upstream may already be closing it.
 	idleMargin = 700 * time.Millisecond
-	// keepPerUpstream bounds the unused connections to one upstream.
-	keepPerUpstream = 16
-	// bufferBytes is the size of a connection's buffers: an answer's head and
-	// the events of a few milliseconds.
+	// maxIdlePerUpstream bounds the idle connections to one upstream.
+	maxIdlePerUpstream = 16
+	// bufferBytes is the size of each of a connection's buffers: enough for the
+	// head of an answer and the events of a few milliseconds.
 	bufferBytes = 4 << 10
 )
 
@@ -27,14 +27,14 @@
 	net.Conn
 	reader *bufio.Reader
 	writer *bufio.Writer
-	// keep is how long it may stay unused.
-	keep time.Duration
-	// unusedSince is when its last answer ended.
-	unusedSince time.Time
-	reused      bool
+	// idleTimeout is how long the connection may stay idle.
+	idleTimeout time.Duration
+	// idleSince is when its last answer ended.
+	idleSince time.Time
+	reused    bool
 }
 
-// Pool keeps connections. It is safe for concurrent use.
+// Pool keeps idle connections to upstreams for reuse. It is safe for concurrent use.
 type Pool struct {
 	mu     sync.Mutex
 	idle   map[string][]*conn
@@ -48,26 +48,27 @@
 	return &Pool{idle: map[string][]*conn{}}
 }
 
-// Counts returns how many connections were made and how often a kept one was
-// used again.
+// Counts returns how many connections were opened and how often an idle one was
+// taken for reuse.
 func (p *Pool) Counts() (dialed, reused uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.dialed, p.reused
 }
 
-// get returns a connection to an address, a kept one if there is one.
+// get returns a connection to an address: a usable idle one if there is one, else a
+// new one.
 func (p *Pool) get(ctx context.Context, address string) (*conn, error) {
 	for {
-		kept := p.take(address)
-		if kept == nil {
+		idle := p.popIdle(address)
+		if idle == nil {
 			break
 		}
-		if time.Since(kept.unusedSince) < kept.keep && isQuiet(kept.Conn) {
-			kept.reused = true
-			return kept, nil
+		if time.Since(idle.idleSince) < idle.idleTimeout && isUsable(idle.Conn) {
+			idle.reused = true
+			return idle, nil
 		}
-		_ = kept.Close()
+		_ = idle.Close()
 	}
 	opened, err := dial(ctx, address)
 	if err != nil {
@@ -77,16 +78,16 @@
 	p.dialed++
 	p.mu.Unlock()
 	return &conn{
-		Conn:   opened,
-		reader: bufio.NewReaderSize(opened, bufferBytes),
-		writer: bufio.NewWriterSize(opened, bufferBytes),
-		keep:   keepIdle,
+		Conn:        opened,
+		reader:      bufio.NewReaderSize(opened, bufferBytes),
+		writer:      bufio.NewWriterSize(opened, bufferBytes),
+		idleTimeout: defaultIdleTimeout,
 	}, nil
 }
 
-// take removes the connection that was used last, which is the least likely to
-// have been closed.
-func (p *Pool) take(address string) *conn {
+// popIdle removes and returns the most recently used idle connection, which is the
+// least likely to have been closed. It returns nil if there is none.
+func (p *Pool) popIdle(address string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[address]
@@ -100,28 +101,28 @@
 	return last
 }
 
-// put keeps a connection whose answer has been read to its end.
+// put adds a connection whose answer was read to its end to the idle ones.
 func (p *Pool) put(address string, c *conn) {
-	c.unusedSince = time.Now()
+	c.idleSince = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed || len(p.idle[address]) >= keepPerUpstream {
+	if p.closed || len(p.idle[address]) >= maxIdlePerUpstream {
 		_ = c.Close()
 		return
 	}
 	p.idle[address] = append(p.idle[address], c)
 }
 
-// Sweep closes connections that have been unused for too long or that the
-// upstream has closed. An upstream accepts a bounded number of connections from
-// all routers together.
+// Sweep closes connections that have been idle for too long or that the upstream
+// has closed. It is needed because an upstream accepts only a limited number of
+// connections from all routers together.
 func (p *Pool) Sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for address, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if time.Since(c.unusedSince) < c.keep && isQuiet(c.Conn) {
+			if time.Since(c.idleSince) < c.idleTimeout && isUsable(c.Conn) {
 				kept = append(kept, c)
 				continue
 			}
@@ -135,8 +136,8 @@
 	}
 }
 
-// Forget closes the unused connections to an address whose upstream has left.
-func (p *Pool) Forget(address string) {
+// CloseIdle closes the idle connections to the address of an upstream that has left.
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.idle[address] {
@@ -145,8 +146,8 @@
 	delete(p.idle, address)
 }
 
-// Close closes all unused connections; those in use are closed when their
-// answers end.
+// Close closes all idle connections; those in use are closed when their answers
+// end.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/transport/forward/plain.go
+++ b/transport/forward/plain.go
@@ -166,7 +166,7 @@
 // drain reads what is left of a short answer, so that its connection can be
 // kept.
 func drain(answer *exchange.Answer) {
-	answer.ReadByDeadline(time.Now().Add(50 * time.Millisecond))
+	answer.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	// An answer that can't be read to its end costs its connection.
 	_, _ = io.Copy(io.Discard, io.LimitReader(readerOf(answer), drainBytes))
 }
