--- a/daemon/router/fleet.go
+++ b/daemon/router/fleet.go
@@ -21,8 +21,8 @@
 // at any moment: an election of the disk VMs and two announcements of upstreams.
 const settlingFor = 4 * time.Second
 
-// Settling implements forward.Fleet.
-func (r *Router) Settling() bool {
+// WarmingUp implements forward.Fleet.
+func (r *Router) WarmingUp() bool {
 	if r.now() >= settlingFor {
 		return false
 	}
@@ -42,9 +42,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
-	request := balance.Request{Service: job.Service, Tried: job.Tried, Once: job.Once(), Again: job.Erred != ""}
-	request.Prompt, request.HasPrompt = job.PromptKey()
-	request.Beginnings = job.Beginnings()
+	request := balance.Request{Service: job.Service, Tried: job.Tried, Once: job.LastAttempt(), Again: job.ErrorFrom != ""}
+	request.Prompt, request.HasPrompt = job.SharedPrefixKey()
+	request.Beginnings = job.ShorterPrefixKeys()
 	known, first := r.room(job.Service), len(job.Tried) == 0
 	if first {
 		request.Limit = known.Asked(now, job.Customer)
@@ -59,18 +59,18 @@
 	return choice
 }
 
-// Ended implements forward.Fleet.
-func (r *Router) Ended(job forward.Job, upstream protocol.UpstreamID, result balance.Result) {
+// AttemptEnded implements forward.Fleet.
+func (r *Router) AttemptEnded(job forward.Job, upstream protocol.UpstreamID, result balance.Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if prompt, any := job.PromptKey(); any {
+	if prompt, any := job.SharedPrefixKey(); any {
 		r.book.NotKept(upstream, prompt)
 	}
 	r.book.Ended(r.now(), upstream, result)
 }
 
-// Judged implements forward.Fleet.
-func (r *Router) Judged(upstream protocol.UpstreamID, result balance.Result) {
+// DeferredResult implements forward.Fleet.
+func (r *Router) DeferredResult(upstream protocol.UpstreamID, result balance.Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.book.Judged(r.now(), upstream, result)
@@ -78,14 +78,14 @@
 
 // kindOf returns the kind of an attempt's answer.
 func kindOf(job forward.Job, choice balance.Choice) answertime.Kind {
-	_, prompt := job.PromptKey()
+	_, prompt := job.SharedPrefixKey()
 	return answertime.Kind{Route: job.Route.Name, Cold: prompt && choice.Reason != balance.ReasonKeeper && choice.CopyFrom == ""}
 }
 
-// Overdue implements forward.Fleet. An upstream that hasn't lost requests lately is
+// OverdueAfter implements forward.Fleet. An upstream that hasn't lost requests lately is
 // given the longest time: of a hundred answers that take six times as long as usual
 // without a fault, each would be asked for twice, and read twice.
-func (r *Router) Overdue(job forward.Job, choice balance.Choice, most time.Duration) time.Duration {
+func (r *Router) OverdueAfter(job forward.Job, choice balance.Choice, most time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.book.Suspected(r.now(), choice.ID) {
@@ -94,21 +94,21 @@
 	return r.times.Overdue(kindOf(job, choice), most)
 }
 
-// Silent implements forward.Fleet.
-func (r *Router) Silent(job forward.Job, choice balance.Choice, after time.Duration) {
+// AnswerOverdue implements forward.Fleet.
+func (r *Router) AnswerOverdue(job forward.Job, choice balance.Choice, after time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.times.Note(kindOf(job, choice), after)
 	r.book.Overdue(r.now(), choice.ID)
 }
 
-// Began implements forward.Fleet.
-func (r *Router) Began(job forward.Job, choice balance.Choice, took time.Duration) {
+// AnswerBegan implements forward.Fleet.
+func (r *Router) AnswerBegan(job forward.Job, choice balance.Choice, took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.times.Note(kindOf(job, choice), took)
-	if prompt, any := job.PromptKey(); any {
-		r.book.Keeps(r.now(), choice.ID, prompt, job.Beginnings())
+	if prompt, any := job.SharedPrefixKey(); any {
+		r.book.Keeps(r.now(), choice.ID, prompt, job.ShorterPrefixKeys())
 	}
 }
 
@@ -122,8 +122,8 @@
 	return c
 }
 
-// Timed implements forward.Fleet.
-func (r *Router) Timed(job forward.Job, choice balance.Choice, inTime bool) {
+// AnswerTimed implements forward.Fleet.
+func (r *Router) AnswerTimed(job forward.Job, choice balance.Choice, inTime bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.room(job.Service).Note(r.now(), choice.Load, inTime)
@@ -141,29 +141,29 @@
 	return w
 }
 
-// Arrived implements forward.Fleet.
-func (r *Router) Arrived(service protocol.Service) {
+// RequestArrived implements forward.Fleet.
+func (r *Router) RequestArrived(service protocol.Service) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.window(service).Request(r.now())
 }
 
-// MayRetry implements forward.Fleet.
-func (r *Router) MayRetry(service protocol.Service) bool {
+// TakeRetry implements forward.Fleet.
+func (r *Router) TakeRetry(service protocol.Service) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.window(service).Retry(r.now(), r.fleetSize)
 }
 
-// Condemned implements forward.Fleet.
-func (r *Router) Condemned(digest uint64) bool {
+// Quarantined implements forward.Fleet.
+func (r *Router) Quarantined(digest uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.crashes.Condemned(r.now(), digest)
 }
 
-// Crashed implements forward.Fleet.
-func (r *Router) Crashed(digest uint64, upstream protocol.UpstreamID) {
+// UpstreamCrashed implements forward.Fleet.
+func (r *Router) UpstreamCrashed(digest uint64, upstream protocol.UpstreamID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	crash := crashes.Crash{Digest: digest, Upstream: upstream, Attempt: r.random.Uint64()}
--- a/daemon/router/metrics.go
+++ b/daemon/router/metrics.go
@@ -62,9 +62,9 @@
 	switch {
 	case o.CallerGone:
 		m.count("requests_left_total")
-	case o.Cut:
+	case o.Aborted:
 		m.count("requests_cut_total")
-	case o.Own:
+	case o.LocalReply:
 		m.count("refused_total." + o.Reason)
 	default:
 		m.count("answers_total." + statusClass(o.Status))
--- a/daemon/router/router_test.go
+++ b/daemon/router/router_test.go
@@ -326,8 +326,8 @@
 	r.eventually("the router is ready", r.ready)
 	job := forward.Job{Service: "s", Route: &r.router.Table().Table().Routes[0]}
 	for range 20 {
-		r.router.Timed(job, balance.Choice{Load: 10}, true)
-		r.router.Timed(job, balance.Choice{Load: 40}, false)
+		r.router.AnswerTimed(job, balance.Choice{Load: 10}, true)
+		r.router.AnswerTimed(job, balance.Choice{Load: 40}, false)
 	}
 	made := r.router.Choose(t.Context(), job)
 	assert.Equal(t, made.ID, protocol.UpstreamID("u1"))
--- a/transport/forward/doc.go
+++ b/transport/forward/doc.go
@@ -1,22 +1,25 @@
-// Package forward takes callers' requests on a router that sends to upstreams
-// itself, and brings their answers back.
+// Package forward handles callers' requests on a router that sends to upstreams
+// itself, and relays the upstreams' answers.
 //
-// What is decided elsewhere comes through the Fleet interface: which upstream,
-// whether a retry may be spent, whether a request is refused because it crashes
-// upstreams. What is decided here is what an answer means: whether the request
-// has run, whether it may be sent again, and what the caller may be told.
+// Handler is the http.Handler for callers. It asks the router, through the Fleet
+// interface, which upstream to use, whether a retry may be spent, and whether a
+// request is quarantined because it crashes upstreams. The package itself decides
+// what an answer means: whether the request has run, whether it may be sent
+// again, and what the caller may be told.
 //
-// Failures guarded:
+// Failures guarded against:
 //
-//   - An answer that ends early looks complete. Plain answers are read whole
-//     before a byte goes to the caller, up to a bound; streams are passed on by
-//     whole events; what breaks after its head was sent ends with the caller's
-//     connection.
-//   - A caller is told that its request didn't run, and it did. The statuses
-//     that promise it are given only when nothing was sent or the upstream
-//     attests it; an upstream's own 503 without that is turned into a 502.
-//   - A stream breaks and goes on at another upstream. Only whole events are
-//     passed on, so the other one resumes behind an event that the caller has.
-//   - The caller has gone. Its context ends, which closes the connection to the
-//     upstream, and no other attempt follows.
+//   - An answer that breaks off looks complete. Plain answers up to a maximum
+//     size are read completely before the caller gets a byte; streams are relayed
+//     in complete events; if an answer breaks off after its head was sent, the
+//     caller's connection is closed.
+//   - A caller is told that its request didn't run, but it did. The statuses that
+//     promise this are sent only if nothing was sent to an upstream or the
+//     upstream attests that it ran nothing; an upstream's 503 without that
+//     attestation is turned into a 502.
+//   - A stream breaks off and is resumed at another upstream. Because only
+//     complete events are relayed, the other upstream resumes after an event that
+//     the caller has.
+//   - The caller has disconnected. Its context ends, which closes the connection
+//     to the upstream, and no other attempt follows.
 package forward
--- a/transport/forward/handler.go
+++ b/transport/forward/handler.go
@@ -19,38 +19,45 @@
 	"endiveplank/transport/tracing"
 )
 
-// Fleet is what the router knows and decides. It is called from many goroutines.
+// Fleet is the part of the router that knows the table and the upstreams, and
+// decides about them. Its methods are called concurrently.
 type Fleet interface {
 	// Table returns the table in force, nil if none is known.
 	Table() *routing.Index
-	// Settling reports whether the router has just started and lacks the table
-	// or most of the upstreams, which it may learn at any moment.
-	Settling() bool
-	// Choose picks the upstream of an attempt, and counts the attempt as under
-	// way if there is one.
+	// WarmingUp reports whether the router has just started and still lacks the
+	// table or most of the upstreams, which may arrive at any moment.
+	WarmingUp() bool
+	// Choose picks the upstream for an attempt. If there is one, the attempt
+	// counts as in flight until AttemptEnded.
 	Choose(ctx context.Context, job Job) balance.Choice
-	// Ended notes how an attempt ended.
-	Ended(job Job, upstream protocol.UpstreamID, result balance.Result)
-	// Judged notes the result of an attempt that ended without one.
-	Judged(upstream protocol.UpstreamID, result balance.Result)
-	// Overdue returns after how much silence the answer to an attempt is overdue, no
-	// more than most.
-	Overdue(job Job, choice balance.Choice, most time.Duration) time.Duration
-	// Silent notes that an attempt's answer is overdue, after a silence.
-	Silent(job Job, choice balance.Choice, after time.Duration)
-	// Began notes how long an attempt's answer took to begin.
-	Began(job Job, choice balance.Choice, took time.Duration)
-	// Timed notes whether an attempt's answer began in time, or that it is late.
-	Timed(job Job, choice balance.Choice, inTime bool)
-	// Arrived counts a request for a service, which earns retries.
-	Arrived(service protocol.Service)
-	// MayRetry spends a retry for a service, if there is one.
-	MayRetry(service protocol.Service) bool
-	// Condemned reports whether a request has crashed upstreams so often that
-	// it isn't sent to another one.
-	Condemned(digest uint64) bool
-	// Crashed notes that a request's upstream broke off.
-	Crashed(digest uint64, upstream protocol.UpstreamID)
+	// AttemptEnded records the result of an attempt that is no longer in flight.
+	AttemptEnded(job Job, upstream protocol.UpstreamID, result balance.Result)
+	// DeferredResult records the result of an attempt that ended as Abandoned
+	// because its result wasn't known yet.
+	DeferredResult(upstream protocol.UpstreamID, result balance.Result)
+	// OverdueAfter returns the silence after which the answer to an attempt is
+	// overdue, at most maxSilence.
+	OverdueAfter(job Job, choice balance.Choice, maxSilence time.Duration) time.Duration
+	// AnswerOverdue records that an attempt's answer hasn't begun after a silence
+	// of this length.
+	AnswerOverdue(job Job, choice balance.Choice, after time.Duration)
+	// AnswerBegan records how long an attempt's answer took to begin.
+	AnswerBegan(job Job, choice balance.Choice, took time.Duration)
+	// AnswerTimed records whether an attempt's answer began in time. It is called
+	// with false as soon as the answer is known to be late.
+	AnswerTimed(job Job, choice balance.Choice, inTime bool)
+	// RequestArrived counts a request for a service, which adds to the service's
+	// retry budget.
+	RequestArrived(service protocol.Service)
+	// TakeRetry takes a retry from a service's retry budget. False means that the
+	// budget is spent.
+	TakeRetry(service protocol.Service) bool
+	// Quarantined reports whether a request has crashed so many upstreams that it
+	// must not be sent to another one.
+	Quarantined(digest uint64) bool
+	// UpstreamCrashed records that an upstream broke the connection off while it
+	// had the request.
+	UpstreamCrashed(digest uint64, upstream protocol.UpstreamID)
 }
 
 // Job describes a request to the Fleet.
@@ -59,32 +66,35 @@
 	Route    *routing.Route
 	Service  protocol.Service
 	Priority int
-	// Customer is who the request is for, "" where the route is open to all.
+	// Customer is the customer that the key belongs to, "" if the route is public
+	// and the request has no known key.
 	Customer protocol.CustomerID
 	Prompt   *dialect.Prompt
-	// Tried are the upstreams that the request was sent to.
+	// Tried holds the upstreams that the request was sent to.
 	Tried []protocol.UpstreamID
-	// Erred is the last of them, if it answered with an error, "" if not.
-	Erred protocol.UpstreamID
-	// Digest tells requests of the same content apart from others.
+	// ErrorFrom is the last of them if it answered with an error and it isn't known
+	// yet whether the request or the upstream causes the error; else "".
+	ErrorFrom protocol.UpstreamID
+	// Digest is the same for requests of the same content.
 	Digest uint64
 }
 
-// Once reports whether a failure of the next attempt loses the request.
-func (j *Job) Once() bool {
+// LastAttempt reports whether the next attempt is the last one that the request
+// can have, so that its failure fails the request.
+func (j *Job) LastAttempt() bool {
 	return j.Route == nil || !j.Route.MayRepeat() || !j.attemptsLeft()
 }
 
-// attemptsLeft reports whether the request may be sent to another upstream after
-// the next attempt.
+// attemptsLeft reports whether the route's maximum of attempts allows another one
+// after the next.
 func (j *Job) attemptsLeft() bool {
 	return len(j.Tried)+1 < max(j.Route.MaxAttempts, 1)
 }
 
-// Beginnings returns the keys of the shorter beginnings that the prompt shares with
-// others, the longest first.
-func (j *Job) Beginnings() []uint64 {
-	if _, any := j.PromptKey(); !any {
+// ShorterPrefixKeys returns the keys of all prefixes of the prompt that are shorter
+// than the one that SharedPrefixKey returns, the longest first.
+func (j *Job) ShorterPrefixKeys() []uint64 {
+	if _, any := j.SharedPrefixKey(); !any {
 		return nil
 	}
 	var keys []uint64
@@ -94,10 +104,11 @@
 	return keys
 }
 
-// PromptKey returns the key of the longest beginning that the prompt shares with
-// others: all parts but the last, which is its own. False where it has none that
-// is worth looking for.
-func (j *Job) PromptKey() (uint64, bool) {
+// SharedPrefixKey returns the key of the longest prefix that the prompt can share
+// with other prompts: all parts but the last, which is unique to the request or its
+// session. False means that no upstream's prefix cache can help: the route isn't
+// sticky or the request declares no prompt parts.
+func (j *Job) SharedPrefixKey() (uint64, bool) {
 	if j.Route == nil || !j.Route.Sticky || j.Prompt == nil || len(j.Prompt.Parts) == 0 {
 		return 0, false
 	}
@@ -105,19 +116,19 @@
 	return parts[max(len(parts)-2, 0)].Key, true
 }
 
-// Limits on what callers may send where the table sets none, and on what the
-// process holds.
+// Limits that apply where the table or the caller sets none, and the limit on the
+// memory that bodies take.
 const (
-	// defaultMaxBody is the largest body taken without a table's limit.
-	defaultMaxBody = 4 << 20
-	// heldBodies bounds the bytes of all callers' bodies together: a tenth of
-	// the memory of the smallest VM in use.
-	heldBodies = 24 << 20
-	// defaultTimeout is for routes and callers that set no time.
+	// defaultMaxBodyBytes is the largest accepted body if the table sets no limit.
+	defaultMaxBodyBytes = 4 << 20
+	// maxBufferedBodyBytes bounds the bodies of all requests in flight together: a
+	// tenth of the memory of the smallest VM in use.
+	maxBufferedBodyBytes = 24 << 20
+	// defaultTimeout applies to routes and callers that set no timeout.
 	defaultTimeout = 30 * time.Second
 )
 
-// Options of a Handler.
+// Options configures a Handler.
 type Options struct {
 	Fleet   Fleet
 	Dialect dialect.Dialect
@@ -125,15 +136,15 @@
 	Log     zerolog.Logger
 	// Observe is called with the outcome of each request.
 	Observe func(Outcome)
-	// Tracer makes a span for each request and attempt; nil for none.
+	// Tracer makes a span for each request and each attempt; nil disables tracing.
 	Tracer *tracing.Tracer
 }
 
 // Handler is the http.Handler for callers.
 type Handler struct {
-	options Options
-	held    atomic.Int64
-	active  atomic.Int64
+	options       Options
+	bufferedBytes atomic.Int64
+	active        atomic.Int64
 }
 
 // New returns a handler.
@@ -141,21 +152,21 @@
 	return &Handler{options: options}
 }
 
-// Active returns how many requests are under way.
+// Active returns the number of requests in flight.
 func (h *Handler) Active() int { return int(h.active.Load()) }
 
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	h.active.Add(1)
 	defer h.active.Add(-1)
-	f := &flight{handler: h, writer: w, request: r, arrived: time.Now()}
+	f := &forwarding{handler: h, writer: w, request: r, arrived: time.Now()}
 	f.control = http.NewResponseController(w)
 	defer f.report()
 	if !f.admit() {
 		return
 	}
-	defer h.held.Add(-f.heldBytes)
-	deadline := f.arrived.Add(f.patience)
+	defer h.bufferedBytes.Add(-f.bodyBytes)
+	deadline := f.arrived.Add(f.timeout)
 	ctx, cancel := context.WithDeadline(r.Context(), deadline)
 	defer cancel()
 	f.context = ctx
@@ -163,8 +174,8 @@
 	f.run()
 }
 
-// flight is one request on its way.
-type flight struct {
+// forwarding is the state of one request while the Handler serves it.
+type forwarding struct {
 	handler *Handler
 	writer  http.ResponseWriter
 	control *http.ResponseController
@@ -175,39 +186,40 @@
 	job       Job
 	customer  *routing.Customer
 	body      []byte
-	heldBytes int64
-	patience  time.Duration
+	bodyBytes int64
+	timeout   time.Duration
 	deadline  time.Time
 	context   context.Context
 
-	// mayHaveRun says that an attempt was sent whose run nobody ruled out.
+	// mayHaveRun means that an attempt was sent and may have run.
 	mayHaveRun bool
-	// retryPaid says that the next attempt has been taken from the budget.
-	retryPaid bool
-	watch     *watch
-	timing    timing
-	stream    streamState
-	span      tracing.Span
-	outcome   Outcome
+	// retryTaken means that the retry for the next attempt has already been taken
+	// from the retry budget.
+	retryTaken bool
+	watchdog   *watchdog
+	timing     timing
+	stream     streamState
+	span       tracing.Span
+	outcome    Outcome
 }
 
-// admit reads the request and finds its route and customer. It answers the
-// caller and returns false where the request can't go on.
-func (f *flight) admit() bool {
+// admit reads the request and finds its route and customer. If the request can't be
+// forwarded, it answers the caller and returns false.
+func (f *forwarding) admit() bool {
 	call, err := f.handler.options.Dialect.ReadCall(f.request.Header)
 	if err != nil {
-		// What it declares beside the request itself only helps to serve it
-		// well. The upstream may still find it in order.
-		f.outcome.Doubt = err.Error()
+		// The request is served all the same: what the dialect reads from the
+		// headers only helps to serve it well, and the upstream may accept it.
+		f.outcome.HeaderError = err.Error()
 	}
 	f.call = call
 	f.span = f.handler.options.Tracer.Request(call.ID, f.request.Header)
 	f.job.ID = call.ID
 	f.job.Prompt = call.Prompt
-	f.patience = patience(call.Left, 0)
-	index := f.awaitTable()
+	f.timeout = requestTimeout(call.Left, 0)
+	index := f.waitForTable()
 	if index == nil {
-		f.refuse(http.StatusServiceUnavailable, "no-table", retryWithoutTable)
+		f.refuse(http.StatusServiceUnavailable, "no-table", retryAfterNoTable)
 		return false
 	}
 	path, _, _ := strings.Cut(f.request.RequestURI, "?")
@@ -222,12 +234,13 @@
 	if !f.identify(index) {
 		return false
 	}
-	f.patience = patience(call.Left, route.Timeout)
+	f.timeout = requestTimeout(call.Left, route.Timeout)
 	return f.readBody(index.Table().Limits)
 }
 
-// identify finds the customer of a route that isn't public.
-func (f *flight) identify(index *routing.Index) bool {
+// identify finds the customer by the request's key and sets the priority. It refuses
+// requests without a known key, except on public routes.
+func (f *forwarding) identify(index *routing.Index) bool {
 	f.job.Priority = f.job.Route.Priority
 	if !index.NeedsKeys() {
 		return true
@@ -248,9 +261,9 @@
 	return true
 }
 
-// patience is how long a request may take: what the caller has left, and what
-// the operator allows on the route.
-func patience(left, timeout time.Duration) time.Duration {
+// requestTimeout returns how long a request may take: the shorter of the time that
+// the caller will wait and the route's timeout.
+func requestTimeout(left, timeout time.Duration) time.Duration {
 	if left <= 0 {
 		left = defaultTimeout
 	}
@@ -260,32 +273,32 @@
 	return min(left, timeout)
 }
 
-// readBody takes the whole body: it may have to be sent twice.
-func (f *flight) readBody(limits routing.Limits) bool {
-	most := int64(limits.MaxBodyBytes)
-	if most <= 0 {
-		most = defaultMaxBody
+// readBody reads the complete body into memory, because a retry sends it again.
+func (f *forwarding) readBody(limits routing.Limits) bool {
+	maxBytes := int64(limits.MaxBodyBytes)
+	if maxBytes <= 0 {
+		maxBytes = defaultMaxBodyBytes
 	}
-	if f.request.ContentLength > most {
+	if f.request.ContentLength > maxBytes {
 		f.refuse(http.StatusRequestEntityTooLarge, "body-too-large", 0)
 		return false
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(f.writer, f.request.Body, most))
+	body, err := io.ReadAll(http.MaxBytesReader(f.writer, f.request.Body, maxBytes))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
 		f.refuse(http.StatusRequestEntityTooLarge, "body-too-large", 0)
 		return false
 	case err != nil:
-		// The caller broke off in its own request.
+		// The caller's connection ended before its body was complete.
 		f.outcome.Reason = "caller-broke-off"
 		panic(http.ErrAbortHandler)
 	}
 	f.body = body
-	f.heldBytes = int64(len(body))
-	if f.handler.held.Add(f.heldBytes) > heldBodies {
-		f.handler.held.Add(-f.heldBytes)
-		f.refuse(http.StatusServiceUnavailable, "bodies-fill-memory", retryWhenFull)
+	f.bodyBytes = int64(len(body))
+	if f.handler.bufferedBytes.Add(f.bodyBytes) > maxBufferedBodyBytes {
+		f.handler.bufferedBytes.Add(-f.bodyBytes)
+		f.refuse(http.StatusServiceUnavailable, "bodies-fill-memory", retryAfterFull)
 		return false
 	}
 	f.job.Digest = f.digest()
--- a/transport/forward/rig_test.go
+++ b/transport/forward/harness_test.go
@@ -24,24 +24,24 @@
 
 // fakeFleet sends attempts to its upstreams in order.
 type fakeFleet struct {
-	mu        sync.Mutex
-	index     *routing.Index
-	addresses []string
-	retries   int
-	condemned bool
-	settling  bool
-	chosen    int
-	underWay  int
-	results   []balance.Result
-	crashed   int
-	// overdue is after how much silence an answer is overdue, 0 for the longest.
-	overdue       time.Duration
-	silent, began int
-	// judged are the results told after the end of their attempts.
-	judged []balance.Result
-	// unchosen is why there is no upstream where there is none.
-	unchosen balance.Reason
-	// timed says of each attempt whether its answer began in time, where that is known.
+	mu          sync.Mutex
+	index       *routing.Index
+	addresses   []string
+	retries     int
+	quarantined bool
+	warmingUp   bool
+	chosen      int
+	inFlight    int
+	results     []balance.Result
+	crashed     int
+	// overdueAfter is the silence after which an answer is overdue, 0 for the longest.
+	overdueAfter        time.Duration
+	overdueCount, begun int
+	// deferred are the results that were reported after the end of their attempts.
+	deferred []balance.Result
+	// noChoiceReason is the reason that Choose returns if there is no upstream left.
+	noChoiceReason balance.Reason
+	// timed says of each attempt with known timing whether its answer began in time.
 	timed []bool
 }
 
@@ -51,85 +51,85 @@
 	return f.index
 }
 
-func (f *fakeFleet) Settling() bool { return f.settling }
+func (f *fakeFleet) WarmingUp() bool { return f.warmingUp }
 
 func (f *fakeFleet) Choose(context.Context, Job) balance.Choice {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.chosen >= len(f.addresses) {
-		return balance.Choice{Reason: f.unchosen}
+		return balance.Choice{Reason: f.noChoiceReason}
 	}
 	f.chosen++
-	f.underWay++
+	f.inFlight++
 	return balance.Choice{ID: protocol.UpstreamID(fmt.Sprint("u", f.chosen)), Address: f.addresses[f.chosen-1]}
 }
 
-func (f *fakeFleet) Ended(_ Job, _ protocol.UpstreamID, result balance.Result) {
+func (f *fakeFleet) AttemptEnded(_ Job, _ protocol.UpstreamID, result balance.Result) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.underWay--
+	f.inFlight--
 	f.results = append(f.results, result)
 }
 
-func (f *fakeFleet) Judged(_ protocol.UpstreamID, result balance.Result) {
+func (f *fakeFleet) DeferredResult(_ protocol.UpstreamID, result balance.Result) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.judged = append(f.judged, result)
+	f.deferred = append(f.deferred, result)
 }
 
-func (f *fakeFleet) Overdue(_ Job, _ balance.Choice, most time.Duration) time.Duration {
-	if f.overdue > 0 {
-		return min(f.overdue, most)
+func (f *fakeFleet) OverdueAfter(_ Job, _ balance.Choice, most time.Duration) time.Duration {
+	if f.overdueAfter > 0 {
+		return min(f.overdueAfter, most)
 	}
 	return most
 }
 
-func (f *fakeFleet) Silent(Job, balance.Choice, time.Duration) {
+func (f *fakeFleet) AnswerOverdue(Job, balance.Choice, time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.silent++
+	f.overdueCount++
 }
 
-func (f *fakeFleet) Began(Job, balance.Choice, time.Duration) {
+func (f *fakeFleet) AnswerBegan(Job, balance.Choice, time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.began++
+	f.begun++
 }
 
-func (f *fakeFleet) Timed(_ Job, _ balance.Choice, inTime bool) {
+func (f *fakeFleet) AnswerTimed(_ Job, _ balance.Choice, inTime bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.timed = append(f.timed, inTime)
 }
 
-func (f *fakeFleet) Arrived(protocol.Service) {}
+func (f *fakeFleet) RequestArrived(protocol.Service) {}
 
-func (f *fakeFleet) MayRetry(protocol.Service) bool {
+func (f *fakeFleet) TakeRetry(protocol.Service) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.retries--
 	return f.retries >= 0
 }
 
-func (f *fakeFleet) Condemned(uint64) bool { return f.condemned }
+func (f *fakeFleet) Quarantined(uint64) bool { return f.quarantined }
 
-func (f *fakeFleet) Crashed(uint64, protocol.UpstreamID) {
+func (f *fakeFleet) UpstreamCrashed(uint64, protocol.UpstreamID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.crashed++
 }
 
-// rig is a router before scripted upstreams.
-type rig struct {
+// testRouter is a router in front of scripted upstreams.
+type testRouter struct {
 	*fakeFleet
 	t      *testing.T
 	server *httptest.Server
 	pool   *exchange.Pool
 }
 
-// newRig starts a router whose nth attempt goes to the nth upstream; an empty
-// script is an upstream that takes no connection.
-func newRig(t *testing.T, upstreams ...http.HandlerFunc) *rig {
+// newTestRouter starts a router whose nth attempt goes to the nth upstream. A nil
+// script is an upstream that accepts no connection.
+func newTestRouter(t *testing.T, upstreams ...http.HandlerFunc) *testRouter {
 	t.Helper()
 	route := func(name string, change func(*routing.Route)) routing.Route {
 		r := routing.Route{
@@ -155,7 +155,7 @@
 		},
 	}
 	assert.Assert(t, routing.Check(table) == nil)
-	r := &rig{fakeFleet: &fakeFleet{index: routing.NewIndex(table), retries: 10, unchosen: balance.ReasonNone}, t: t, pool: exchange.NewPool()}
+	r := &testRouter{fakeFleet: &fakeFleet{index: routing.NewIndex(table), retries: 10, noChoiceReason: balance.ReasonNone}, t: t, pool: exchange.NewPool()}
 	for _, script := range upstreams {
 		r.addresses = append(r.addresses, startScript(t, script))
 	}
@@ -181,16 +181,16 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// answer is what the caller got.
+// answer is what the caller received.
 type answer struct {
 	status     int
 	body       string
 	retryAfter string
-	// broken says that the answer ended early.
+	// broken means that the answer broke off or none came.
 	broken bool
 }
 
-func (r *rig) call(path string, change ...func(*http.Request)) answer {
+func (r *testRouter) call(path string, change ...func(*http.Request)) answer {
 	r.t.Helper()
 	request, err := http.NewRequest("POST", r.server.URL+path, strings.NewReader("body"))
 	assert.NilError(r.t, err)
@@ -218,7 +218,7 @@
 	}
 }
 
-// after waits, unless the request is given up, and then goes on.
+// after waits, at most until the request is cancelled, and then calls the next script.
 func after(wait time.Duration, then http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, request *http.Request) {
 		select {
--- a/transport/forward/limits_test.go
+++ b/transport/forward/limits_test.go
@@ -14,8 +14,8 @@
 )
 
 func TestTheCallersLeavingEndsTheAttempt(t *testing.T) {
-	// A caller leaves while its request runs. Work for nobody has to stop, and
-	// no other attempt may follow.
+	// A caller disconnects while its request runs. The upstream must stop working
+	// for nobody, and no other attempt may follow.
 	arrived, stopped := make(chan struct{}), make(chan struct{})
 	waits := func(_ http.ResponseWriter, request *http.Request) {
 		_, _ = io.Copy(io.Discard, request.Body)
@@ -23,7 +23,7 @@
 		<-request.Context().Done()
 		close(stopped)
 	}
-	r := newRig(t, waits, serves("second"))
+	r := newTestRouter(t, waits, serves("second"))
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		<-arrived
@@ -39,9 +39,9 @@
 	assert.Equal(t, r.chosen, 1)
 }
 
-func TestTimeIsHandedOnAsWhatIsLeft(t *testing.T) {
-	// The first attempt takes 60 of the caller's 2,000 ms. An upstream that was
-	// told 2,000 again would work for a caller that has gone.
+func TestAttemptsGetTheRemainingTime(t *testing.T) {
+	// The first attempt takes 60 of the caller's 2,000 ms. If the second upstream
+	// were told 2,000 ms again, it could work for a caller that has disconnected.
 	var left [2]atomic.Int64
 	slow := func(_ http.ResponseWriter, request *http.Request) {
 		ms, _ := strconv.ParseInt(request.Header.Get("T-Left"), 10, 64)
@@ -54,13 +54,14 @@
 		left[1].Store(ms)
 		serves("ok")(w, request)
 	}
-	r := newRig(t, slow, second)
+	r := newTestRouter(t, slow, second)
 	assert.Equal(t, r.call("/idem/x", func(request *http.Request) { request.Header.Set("T-Left", "2000") }).body, "ok")
 	assert.Assert(t, left[0].Load() <= 2000)
 	assert.Assert(t, left[1].Load() <= left[0].Load()-60, "%d then %d", left[0].Load(), left[1].Load())
 }
 
 func TestAtTheRoutesTimeoutTheCallerHasAnAnswer(t *testing.T) {
+	// An upstream hangs. The caller must not wait longer than the route's timeout.
 	stop := make(chan struct{})
 	defer close(stop)
 	hangs := func(_ http.ResponseWriter, request *http.Request) {
@@ -69,7 +70,7 @@
 		case <-request.Context().Done():
 		}
 	}
-	r := newRig(t, hangs)
+	r := newTestRouter(t, hangs)
 	began := time.Now()
 	got := r.call("/quick/x")
 	assert.Equal(t, got.status, http.StatusGatewayTimeout)
@@ -77,7 +78,7 @@
 }
 
 func TestRequestsThatCanNotGoOnAreRefusedAtOnce(t *testing.T) {
-	r := newRig(t, serves("ok"))
+	r := newTestRouter(t, serves("ok"))
 	assert.Equal(t, r.call("/nowhere/x").status, 404)
 	assert.Equal(t, r.call("/once/x", func(request *http.Request) { request.Header.Set("T-Key", "other") }).status, 401)
 	assert.Equal(t, r.call("/once/x", func(request *http.Request) {
@@ -95,12 +96,12 @@
 }
 
 func TestARouterThatHasJustStartedWaitsForTheTable(t *testing.T) {
-	// All VMs lost power and are back. Callers arrive before the router has
-	// heard of the table, which it does a moment later. Refused, most of them
-	// would have used up their one retry.
-	r := newRig(t, serves("ok"))
+	// All VMs lost power and are running again. Callers send requests a moment
+	// before the router receives the table. If they were refused, most of them
+	// would lose their only retry.
+	r := newTestRouter(t, serves("ok"))
 	index := r.index
-	r.index, r.settling = nil, true
+	r.index, r.warmingUp = nil, true
 	time.AfterFunc(100*time.Millisecond, func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -109,13 +110,14 @@
 	assert.Equal(t, r.call("/once/x").body, "ok")
 
 	r.index = nil
-	r.settling = false
+	r.warmingUp = false
 	assert.Equal(t, r.call("/once/x").status, http.StatusServiceUnavailable)
 }
 
-func TestACondemnedRequestReachesNobody(t *testing.T) {
-	r := newRig(t, serves("ok"))
-	r.condemned = true
+func TestAQuarantinedRequestReachesNoUpstream(t *testing.T) {
+	// A request that has crashed upstreams must not reach another one.
+	r := newTestRouter(t, serves("ok"))
+	r.quarantined = true
 	assert.Equal(t, r.call("/idem/x").status, http.StatusServiceUnavailable)
 	assert.Equal(t, r.chosen, 0)
 }
--- a/transport/forward/outcome.go
+++ b/transport/forward/outcome.go
@@ -10,33 +10,37 @@
 	"endiveplank/transport/tracing"
 )
 
-// Outcome is how a request ended, for log and metrics.
+// Outcome describes how a request ended, for the log and the metrics.
 type Outcome struct {
 	Route        string
 	TableVersion uint64
 	Customer     protocol.CustomerID
 	Status       int
-	// Reason is set where this router answered itself or broke off.
+	// Reason is set if this router answered by itself or ended the caller's
+	// connection.
 	Reason string
-	// Limit is the load from which upstreams get no more work and Mean what they have,
-	// where the request was refused for it.
+	// Limit and Mean are set if the request was refused for lack of capacity: an
+	// upstream whose load has reached Limit gets no more requests, and Mean is the
+	// upstreams' mean load.
 	Limit int
 	Mean  float64
-	// Doubt is what could not be read of the caller's headers.
-	Doubt string
-	// Own says that the answer is this router's own.
-	Own bool
-	// Cut says that the caller's connection was ended in mid-answer.
-	Cut        bool
+	// HeaderError says which of the caller's headers could not be read.
+	HeaderError string
+	// LocalReply means that this router made the answer, not an upstream.
+	LocalReply bool
+	// Aborted means that the caller's connection was ended in the middle of the
+	// answer.
+	Aborted    bool
 	CallerGone bool
 	Attempts   []AttemptOutcome
 	Events     int
-	// FirstAfter is when the first byte of the answer went to the caller.
+	// FirstAfter is the time from the request's arrival to the first byte of the
+	// answer to the caller.
 	FirstAfter time.Duration
 	Took       time.Duration
 }
 
-// AttemptOutcome is how one attempt ended.
+// AttemptOutcome describes how one attempt ended.
 type AttemptOutcome struct {
 	Choice balance.Choice
 	Result balance.Result
@@ -44,18 +48,19 @@
 	Reused bool
 	Sent   bool
 	Cause  string
-	// Erred says that the upstream answered with an error.
-	Erred bool
-	// Late says that the answer was overdue.
+	// ServerError means that the upstream answered with a 5xx status other than 503.
+	ServerError bool
+	// Late means that the answer was overdue: the fleet was told so while the
+	// attempt was in flight.
 	Late bool
-	// FirstAfter is how long the answer took to begin, 0 if it didn't.
+	// FirstAfter is how long the answer took to begin, 0 if it never began.
 	FirstAfter time.Duration
 	Took       time.Duration
 }
 
-// counted is the result as it is counted for the upstream. A failure that was told
-// when the answer was overdue isn't told again.
-func (a *AttemptOutcome) counted() balance.Result {
+// reportedResult returns the result to report for the upstream. A late answer was
+// reported when it became overdue, so its failure isn't reported a second time.
+func (a *AttemptOutcome) reportedResult() balance.Result {
 	if a.Late && a.Result == balance.Failed {
 		return balance.Abandoned
 	}
@@ -82,7 +87,7 @@
 	}
 }
 
-// attempts are logged as a list.
+// attempts logs the attempts of a request as a list.
 type attempts []AttemptOutcome
 
 // MarshalZerologArray implements zerolog.LogArrayMarshaler.
@@ -92,22 +97,24 @@
 	}
 }
 
-// failed reports whether a caller was not served as it should.
+// failed reports whether the router refused the request or broke its answer off, the
+// status is 5xx, or more than one attempt was made.
 func (o *Outcome) failed() bool {
-	return o.Own || o.Cut || o.Status >= 500 || len(o.Attempts) > 1
+	return o.LocalReply || o.Aborted || o.Status >= 500 || len(o.Attempts) > 1
 }
 
-// logSent writes the line of an attempt, before it leaves. Of a request whose
-// router dies it is all that tells where it was.
-func (f *flight) logSent(choice balance.Choice, left time.Duration) {
+// logSent logs an attempt before it is sent. If the router dies, this line is the
+// only record of which upstream had the request.
+func (f *forwarding) logSent(choice balance.Choice, left time.Duration) {
 	f.handler.options.Log.Info().Str("event", "sent").Str("request", string(f.call.ID)).
 		Str("route", f.outcome.Route).Uint64("table", f.outcome.TableVersion).Int("attempt", len(f.outcome.Attempts)+1).
 		Str("upstream", string(choice.ID)).Str("why", string(choice.Reason)).Int("load", choice.Load).Float64("mean", choice.Mean).
 		Int64("left_ms", left.Milliseconds()).Send()
 }
 
-// report writes the request's line.
-func (f *flight) report() {
+// report logs the request and reports its outcome to the metrics and the trace. It
+// passes on the panic by which abort ends the caller's connection.
+func (f *forwarding) report() {
 	aborted := recover()
 	f.outcome.Took = time.Since(f.arrived)
 	level := zerolog.InfoLevel
@@ -128,13 +135,13 @@
 	if o.Limit > 0 {
 		line.Int("limit", o.Limit).Float64("mean", o.Mean)
 	}
-	if o.Doubt != "" {
-		line.Str("doubt", o.Doubt)
+	if o.HeaderError != "" {
+		line.Str("doubt", o.HeaderError)
 	}
-	if o.Cut || o.CallerGone {
-		line.Bool("cut", o.Cut).Bool("caller_gone", o.CallerGone)
+	if o.Aborted || o.CallerGone {
+		line.Bool("cut", o.Aborted).Bool("caller_gone", o.CallerGone)
 	}
-	if key, any := f.job.PromptKey(); any {
+	if key, any := f.job.SharedPrefixKey(); any {
 		line.Uint64("prompt", key)
 	}
 	if f.job.Route != nil && f.job.Route.Stream {
--- a/transport/forward/plain.go
+++ b/transport/forward/plain.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"io"
 	"iter"
 	"net/http"
@@ -16,22 +17,23 @@
 )
 
 const (
-	// wholeBytes is the largest plain answer that is read whole before the
-	// caller gets a byte of it, so that a broken one can be asked for again.
-	wholeBytes = 64 << 10
-	// drainBytes bounds what is read of an answer that isn't passed on, to
-	// keep its connection.
-	drainBytes = 16 << 10
+	// maxBufferedAnswer is the largest plain answer that is read completely before
+	// the caller gets a byte of it, so that the request can be sent again if the
+	// answer breaks off.
+	maxBufferedAnswer = 64 << 10
+	// maxDrainBytes bounds how much of an answer that isn't relayed is read in order
+	// to reuse its connection.
+	maxDrainBytes = 16 << 10
 )
 
-// hopByHop are the headers that concern one connection alone (RFC 9110,
-// section 7.6.1).
+// hopByHop lists the headers that apply to a single connection (RFC 9110, section
+// 7.6.1).
 var hopByHop = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// removeHopByHop removes them and those that Connection names.
+// removeHopByHop removes the hop-by-hop headers and those that Connection lists.
 func removeHopByHop(header http.Header) {
 	for _, named := range header.Values("Connection") {
 		for name := range splitList(named) {
@@ -41,7 +43,7 @@
 	for _, name := range hopByHop {
 		header.Del(name)
 	}
-	// The length goes with the body that is sent.
+	// net/http sets the length of the body that it sends.
 	header.Del("Content-Length")
 	header.Del("Expect")
 }
@@ -57,51 +59,53 @@
 	}
 }
 
-// passPlain reads a plain answer whole, if it is small, and passes it on.
-func (f *flight) passPlain(answer *exchange.Answer, choice balance.Choice, outcome *AttemptOutcome) verdict {
-	start := make([]byte, 0, max(min(answer.Length, wholeBytes), 0))
-	start, err := readUpTo(answer, start, wholeBytes)
-	whole := errors.Is(err, io.EOF)
-	if err != nil && !whole {
-		return f.brokenOff(err, choice, outcome)
+// relayPlain relays a plain answer. An answer of less than maxBufferedAnswer bytes is
+// read completely before the caller gets the head.
+func (f *forwarding) relayPlain(answer *exchange.Answer, choice balance.Choice, outcome *AttemptOutcome) verdict {
+	data := make([]byte, 0, max(min(answer.Length, maxBufferedAnswer), 0))
+	data, err := readUpTo(answer, data, maxBufferedAnswer)
+	complete := errors.Is(err, io.EOF)
+	if err != nil && !complete {
+		return f.answerBroken(err, choice, outcome)
 	}
-	if next, final := f.judgeStatus(answer, outcome); !final {
+	if next, final := f.checkStatus(answer, outcome); !final {
 		return next
 	}
 	f.copyHeader(answer)
-	if whole && f.request.Method != http.MethodHead {
-		f.writer.Header().Set("Content-Length", strconv.Itoa(len(start)))
+	if complete && f.request.Method != http.MethodHead {
+		f.writer.Header().Set("Content-Length", strconv.Itoa(len(data)))
 	}
-	f.begin(answer.Status)
-	f.write(start)
-	if !whole {
-		f.passRest(answer, outcome)
+	f.writeHead(answer.Status)
+	f.write(data)
+	if !complete {
+		f.relayRest(answer, outcome)
 	}
 	return answered
 }
 
-// judgeStatus decides whether an upstream's status may be the caller's answer.
-func (f *flight) judgeStatus(answer *exchange.Answer, outcome *AttemptOutcome) (verdict, bool) {
+// checkStatus decides whether an upstream's answer may be the caller's, by its
+// status. If not, it returns false and the verdict on the attempt.
+func (f *forwarding) checkStatus(answer *exchange.Answer, outcome *AttemptOutcome) (verdict, bool) {
 	outcome.Result = balance.Served
-	if answer.Status < http.StatusInternalServerError && !isPromise(answer.Status) {
+	if answer.Status < http.StatusInternalServerError && !promisesNotRun(answer.Status) {
 		return answered, true
 	}
 	outcome.Result = balance.Failed
-	if isPromise(answer.Status) {
-		outcome.Cause = "a refusal that doesn't attest that nothing ran"
+	if promisesNotRun(answer.Status) {
+		outcome.Cause = fmt.Sprintf("status %d without the attestation that the request didn't run", answer.Status)
 		return unknown, false
 	}
-	outcome.Erred = true
-	// The error is the answer unless another attempt may follow.
-	if !f.job.Once() && f.handler.options.Fleet.MayRetry(f.job.Service) {
-		f.retryPaid = true
+	outcome.ServerError = true
+	// The error goes to the caller unless another attempt may follow.
+	if !f.job.LastAttempt() && f.handler.options.Fleet.TakeRetry(f.job.Service) {
+		f.retryTaken = true
 		return unknown, false
 	}
 	return answered, true
 }
 
-// passRest passes on what is left of a large answer.
-func (f *flight) passRest(answer *exchange.Answer, outcome *AttemptOutcome) {
+// relayRest relays the rest of a large answer.
+func (f *forwarding) relayRest(answer *exchange.Answer, outcome *AttemptOutcome) {
 	buffer := make([]byte, 16<<10)
 	for {
 		n, err := answer.Read(buffer)
@@ -117,33 +121,34 @@
 	}
 }
 
-// brokenOff notes an answer that ended early.
-func (f *flight) brokenOff(err error, choice balance.Choice, outcome *AttemptOutcome) verdict {
+// answerBroken records an answer that broke off after its head. Unless the request is
+// over, that counts as a crash of the upstream.
+func (f *forwarding) answerBroken(err error, choice balance.Choice, outcome *AttemptOutcome) verdict {
 	outcome.Cause = err.Error()
 	if f.context.Err() != nil {
 		outcome.Result = balance.Abandoned
 		return unknown
 	}
 	outcome.Result = balance.Failed
-	f.handler.options.Fleet.Crashed(f.job.Digest, choice.ID)
+	f.handler.options.Fleet.UpstreamCrashed(f.job.Digest, choice.ID)
 	return unknown
 }
 
-// copyHeader takes over the upstream's headers.
-func (f *flight) copyHeader(answer *exchange.Answer) {
+// copyHeader copies the headers of the upstream's answer to the caller's.
+func (f *forwarding) copyHeader(answer *exchange.Answer) {
 	removeHopByHop(answer.Header)
 	header := f.writer.Header()
 	for name, values := range answer.Header {
 		header[name] = values
 	}
 	if _, typed := header["Content-Type"]; !typed {
-		// Without it net/http guesses one.
+		// Otherwise net/http would guess a type from the body.
 		header["Content-Type"] = nil
 	}
 }
 
-// begin sends the head of the answer.
-func (f *flight) begin(status int) {
+// writeHead sends the head of the answer.
+func (f *forwarding) writeHead(status int) {
 	f.outcome.Status = status
 	f.outcome.FirstAfter = time.Since(f.arrived)
 	if status < http.StatusMultipleChoices {
@@ -152,8 +157,9 @@
 	f.writer.WriteHeader(status)
 }
 
-// write sends bytes of the answer. A caller that can't be written to has gone.
-func (f *flight) write(data []byte) {
+// write sends bytes of the answer. A failed write means that the caller has
+// disconnected.
+func (f *forwarding) write(data []byte) {
 	if len(data) == 0 {
 		return
 	}
@@ -163,15 +169,15 @@
 	}
 }
 
-// drain reads what is left of a short answer, so that its connection can be
-// kept.
+// drain reads the rest of a short answer, so that its connection can be reused.
 func drain(answer *exchange.Answer) {
 	answer.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
-	// An answer that can't be read to its end costs its connection.
-	_, _ = io.Copy(io.Discard, io.LimitReader(readerOf(answer), drainBytes))
+	// If the answer can't be read to its end, Close drops the connection.
+	_, _ = io.Copy(io.Discard, io.LimitReader(readerOf(answer), maxDrainBytes))
 }
 
-// readerOf makes an io.Reader that notes the end of the answer.
+// readerOf returns an io.Reader of the body that reads through Answer.Read, which
+// records whether the end of the answer was reached.
 func readerOf(answer *exchange.Answer) io.Reader { return readFunc(answer.Read) }
 
 type readFunc func([]byte) (int, error)
@@ -179,8 +185,8 @@
 // Read implements io.Reader.
 func (read readFunc) Read(buffer []byte) (int, error) { return read(buffer) }
 
-// readUpTo reads to the end or to a limit. The error is io.EOF at the end and
-// nil at the limit.
+// readUpTo appends to data until the end of the answer or until data has limit bytes.
+// The error is io.EOF at the end and nil at the limit.
 func readUpTo(answer *exchange.Answer, data []byte, limit int) ([]byte, error) {
 	for len(data) < limit {
 		if len(data) == cap(data) {
@@ -195,5 +201,5 @@
 	return data, nil
 }
 
-// hashOf is a hash of a name that is the same in every process.
+// hashOf hashes a name to the same value in every process.
 func hashOf(name string) uint64 { return xxhash.Sum64String(name) }
--- a/transport/forward/plain_test.go
+++ b/transport/forward/plain_test.go
@@ -14,112 +14,113 @@
 	"endiveplank/protocol"
 )
 
-func TestOneThatMayRunOnceIsNeverSentTwice(t *testing.T) {
-	// A fuel order goes out, and the connection breaks before an answer comes.
-	// It may have run. Sent again it could run twice; refused as not run, the
-	// caller would send it again itself.
-	r := newRig(t, breaks, serves("second run"))
+func TestANonRepeatableRequestIsNeverSentTwice(t *testing.T) {
+	// A fuel order is sent, and the connection breaks before an answer comes. The
+	// order may have run. If the router sent it again, it could run twice; if the
+	// router answered that it didn't run, the caller would send it again.
+	r := newTestRouter(t, breaks, serves("second run"))
 	got := r.call("/once/x")
 	assert.Equal(t, got.status, http.StatusBadGateway)
 	assert.Equal(t, got.retryAfter, "")
 	assert.Equal(t, r.chosen, 1)
 }
 
-func TestARefusalIsSaidToBeOneOnlyIfNothingRan(t *testing.T) {
-	// Callers take 408, 421, 429 and 503 as a promise that their request
-	// didn't run and never will, and send it again.
+func TestARefusalPromisesNotRunOnlyIfNothingRan(t *testing.T) {
+	// Callers take 408, 421, 429 and 503 as a promise that their request didn't
+	// run and never will, and send it again. The router may pass on that promise
+	// only if the upstream attests it.
 	for _, status := range []int{408, 421, 429, 503} {
-		attested := newRig(t, refuses(status, true))
+		attested := newTestRouter(t, refuses(status, true))
 		got := attested.call("/once/x")
 		assert.Equal(t, got.status, http.StatusServiceUnavailable)
 		assert.Assert(t, got.retryAfter != "")
 
-		bare := newRig(t, refuses(status, false))
+		bare := newTestRouter(t, refuses(status, false))
 		assert.Equal(t, bare.call("/once/x").status, http.StatusBadGateway)
 	}
 }
 
 func TestARefusedRequestGoesElsewhere(t *testing.T) {
-	r := newRig(t, refuses(503, true), serves("ok"))
+	r := newTestRouter(t, refuses(503, true), serves("ok"))
 	got := r.call("/once/x")
 	assert.Equal(t, got.status, 200)
 	assert.Equal(t, got.body, "ok")
 	assert.DeepEqual(t, r.results, []balance.Result{balance.Refused, balance.Served})
 }
 
-func TestUpstreamsThatTakeNoConnectionCostNoRetry(t *testing.T) {
-	// A third of the upstreams has just died. Nothing reaches them, so trying
-	// the next one adds no load and must not be counted as a retry.
-	r := newRig(t, nil, nil, serves("ok"))
+func TestUnreachableUpstreamsCostNoRetry(t *testing.T) {
+	// A third of the upstreams has just died. An attempt that can't connect puts no
+	// load on any upstream, so the next attempt must not count as a retry.
+	r := newTestRouter(t, nil, nil, serves("ok"))
 	r.retries = 0
 	assert.Equal(t, r.call("/once/x").body, "ok")
 	assert.DeepEqual(t, r.results, []balance.Result{balance.Unreachable, balance.Unreachable, balance.Served})
 }
 
 func TestIdempotentRequestsAreRepeatedWithinTheirLimits(t *testing.T) {
-	broken := newRig(t, breaks, serves("ok"))
+	broken := newTestRouter(t, breaks, serves("ok"))
 	assert.Equal(t, broken.call("/idem/x").body, "ok")
 
-	failed := newRig(t, refuses(500, false), serves("ok"))
+	failed := newTestRouter(t, refuses(500, false), serves("ok"))
 	assert.Equal(t, failed.call("/idem/x").body, "ok")
 
-	spent := newRig(t, breaks, serves("ok"))
+	spent := newTestRouter(t, breaks, serves("ok"))
 	spent.retries = 0
 	assert.Equal(t, spent.call("/idem/x").status, http.StatusBadGateway)
 	assert.Equal(t, spent.chosen, 1)
 
-	single := newRig(t, breaks, serves("ok"))
+	single := newTestRouter(t, breaks, serves("ok"))
 	assert.Equal(t, single.call("/single/x").status, http.StatusBadGateway)
 	assert.Equal(t, single.chosen, 1)
 
-	attempts := newRig(t, breaks, breaks, breaks, serves("ok"))
+	attempts := newTestRouter(t, breaks, breaks, breaks, serves("ok"))
 	assert.Equal(t, attempts.call("/idem/x").status, http.StatusBadGateway)
 	assert.Equal(t, attempts.chosen, 3)
 }
 
 func TestAnUpstreamsOwnErrorIsPassedOn(t *testing.T) {
-	r := newRig(t, refuses(500, false), serves("second run"))
+	r := newTestRouter(t, refuses(500, false), serves("second run"))
 	assert.Equal(t, r.call("/once/x").status, 500)
 	assert.Equal(t, r.chosen, 1)
 }
 
-func TestASuccessWithoutASignatureIsNone(t *testing.T) {
+func TestASuccessWithoutASignatureIsAFailure(t *testing.T) {
 	unsigned := func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "rubbish") }
-	r := newRig(t, unsigned, serves("ok"))
+	r := newTestRouter(t, unsigned, serves("ok"))
 	assert.Equal(t, r.call("/idem/x").body, "ok")
-	once := newRig(t, unsigned)
+	once := newTestRouter(t, unsigned)
 	assert.Equal(t, once.call("/once/x").status, http.StatusBadGateway)
 }
 
 func TestATruncatedAnswerIsAskedForAgainOrMissing(t *testing.T) {
-	// An upstream breaks off in the middle of its answer. A caller that got the
-	// half with a 200 would take it for the whole.
+	// An upstream breaks off in the middle of its answer. A caller that received
+	// the half with a 200 would take it for the complete answer.
 	half := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("T-Signed", "1")
 		w.Header().Set("Content-Length", "100")
 		_, _ = io.WriteString(w, "half")
 	}
-	r := newRig(t, half, serves("ok"))
+	r := newTestRouter(t, half, serves("ok"))
 	assert.Equal(t, r.call("/idem/x").body, "ok")
-	once := newRig(t, half)
+	once := newTestRouter(t, half)
 	assert.Equal(t, once.call("/once/x").status, http.StatusBadGateway)
 }
 
 func TestALargeAnswerThatBreaksOffIsCut(t *testing.T) {
 	large := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("T-Signed", "1")
-		_, _ = io.WriteString(w, strings.Repeat("x", 3*wholeBytes))
+		_, _ = io.WriteString(w, strings.Repeat("x", 3*maxBufferedAnswer))
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	}
-	r := newRig(t, large, serves("ok"))
+	r := newTestRouter(t, large, serves("ok"))
 	got := r.call("/idem/x")
 	assert.Assert(t, got.broken)
-	assert.Equal(t, r.underWay, 0, "an attempt that ends the caller's connection is counted as ended")
+	assert.Equal(t, r.inFlight, 0, "an attempt that ends the caller's connection is counted as ended")
 }
 
 func TestABrokenAnswerIsTakenForACrash(t *testing.T) {
-	r := newRig(t, breaks)
+	r := newTestRouter(t, breaks)
 	r.call("/once/x")
 	assert.Equal(t, r.crashed, 1)
 }
@@ -135,31 +136,31 @@
 }
 
 func TestAnErrorOfTheRequestsOwnIsNotHeldAgainstItsUpstreams(t *testing.T) {
-	// A service answers some requests with an error wherever they are sent. If each
-	// of these counted as a failure of the upstream, one that loses answers would
-	// look no worse than the others, and orders would go on being lost there.
-	both := newRig(t, refuses(http.StatusInternalServerError, false), refuses(http.StatusInternalServerError, false))
+	// A service answers some requests with an error on every upstream. If each such
+	// error counted as a failure of its upstream, outlier detection couldn't tell an
+	// upstream that loses answers from the others, and it would go on losing orders.
+	both := newTestRouter(t, refuses(http.StatusInternalServerError, false), refuses(http.StatusInternalServerError, false))
 	assert.Equal(t, both.call("/twice/x").status, http.StatusInternalServerError)
 	both.mu.Lock()
 	defer both.mu.Unlock()
 	assert.DeepEqual(t, both.results, []balance.Result{balance.Abandoned, balance.Served})
-	assert.DeepEqual(t, both.judged, []balance.Result{balance.Served})
+	assert.DeepEqual(t, both.deferred, []balance.Result{balance.Served})
 }
 
 func TestAnErrorThatAnotherUpstreamDoesNotMakeIsTheUpstreamsOwn(t *testing.T) {
-	one := newRig(t, refuses(http.StatusInternalServerError, false), serves("done"))
+	one := newTestRouter(t, refuses(http.StatusInternalServerError, false), serves("done"))
 	assert.Equal(t, one.call("/twice/x").body, "done")
 	one.mu.Lock()
 	defer one.mu.Unlock()
 	assert.DeepEqual(t, one.results, []balance.Result{balance.Abandoned, balance.Served})
-	assert.DeepEqual(t, one.judged, []balance.Result{balance.Failed})
+	assert.DeepEqual(t, one.deferred, []balance.Result{balance.Failed})
 }
 
-func TestAnErrorThatNobodyElseWasAskedAboutCounts(t *testing.T) {
-	alone := newRig(t, refuses(http.StatusInternalServerError, false))
+func TestAnErrorWithoutASecondAttemptCounts(t *testing.T) {
+	alone := newTestRouter(t, refuses(http.StatusInternalServerError, false))
 	assert.Equal(t, alone.call("/idem/x").status, http.StatusBadGateway)
 	alone.mu.Lock()
 	defer alone.mu.Unlock()
-	assert.DeepEqual(t, alone.judged, []balance.Result{balance.Failed})
-	assert.Equal(t, alone.underWay, 0)
+	assert.DeepEqual(t, alone.deferred, []balance.Result{balance.Failed})
+	assert.Equal(t, alone.inFlight, 0)
 }
--- a/transport/forward/refuse.go
+++ b/transport/forward/refuse.go
@@ -11,39 +11,40 @@
 	"endiveplank/coordination/balance"
 )
 
-// When to come back after a refusal.
+// Retry-After values by the cause of the refusal.
 const (
-	// retryWithoutTable: a router that has no table after it has waited for one
-	// started together with the disk VMs, which have a leader within a second.
-	// Most callers come back once only, so it has to be long enough.
-	retryWithoutTable = time.Second
-	// retryWhenFull: some requests' time on a plain service.
-	retryWhenFull = 250 * time.Millisecond
-	// retryWithoutUpstream: upstreams announce themselves about once a second,
-	// and one that was out of reach is tried again after less.
-	retryWithoutUpstream = time.Second
-	// retryCondemned: as long as a request that crashes upstreams is refused.
-	retryCondemned = 30 * time.Second
+	// retryAfterNoTable: a router that still has no table after its wait started
+	// together with the disk VMs, which elect a leader within a second. Most callers
+	// retry only once, so the wait must cover the election.
+	retryAfterNoTable = time.Second
+	// retryAfterFull is the time that a plain service takes for a few requests.
+	retryAfterFull = 250 * time.Millisecond
+	// retryAfterNoUpstream: upstreams announce themselves about once a second, and
+	// the router tries an unreachable one again sooner than that.
+	retryAfterNoUpstream = time.Second
+	// retryAfterQuarantine is how long a request that crashes upstreams stays
+	// quarantined.
+	retryAfterQuarantine = 30 * time.Second
 )
 
-// refusal is the body of this router's own answers.
-type refusal struct {
+// refusalBody is the body of the answers that this router makes itself.
+type refusalBody struct {
 	Error  string `json:"error"`
 	Reason string `json:"reason"`
 }
 
-// refuse answers the caller without an upstream's answer. after is when to come
-// back; 0 says nothing of it.
-func (f *flight) refuse(status int, reason string, after time.Duration) {
+// refuse answers the caller without an upstream's answer. after becomes the
+// Retry-After header; 0 sends none.
+func (f *forwarding) refuse(status int, reason string, after time.Duration) {
 	f.outcome.Status = status
 	f.outcome.Reason = reason
-	f.outcome.Own = true
+	f.outcome.LocalReply = true
 	header := f.writer.Header()
 	header.Set("Content-Type", "application/json")
 	if after > 0 {
 		header.Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 2, 64))
 	}
-	body, err := json.Marshal(refusal{Error: http.StatusText(status), Reason: reason})
+	body, err := json.Marshal(refusalBody{Error: http.StatusText(status), Reason: reason})
 	if err != nil {
 		panic("forward: invariant broken: a refusal always encodes: " + err.Error())
 	}
@@ -54,9 +55,10 @@
 	}
 }
 
-// giveUp answers a request that no upstream has answered. A promise that it
-// didn't run is made only if that is certain.
-func (f *flight) giveUp(reason string, after time.Duration) {
+// giveUp ends a request that no upstream has answered. It promises that the request
+// didn't run (503) only if that is certain; else it answers 502. If a stream has
+// started, it ends the caller's connection.
+func (f *forwarding) giveUp(reason string, after time.Duration) {
 	switch {
 	case f.stream.started:
 		f.abort(reason)
@@ -67,46 +69,47 @@
 	}
 }
 
-// refuseUnchosen answers a request for which there is no upstream.
+// refuseNoUpstream answers a request for which Choose found no upstream.
 //
-// Load: for ten seconds twice the work that the engines can do. Harm prevented:
-// callers who are refused for it come back at once, and are refused again, or so late
-// that they can't be answered in time. After half of the objective a request that
-// finds room then is still in time.
-func (f *flight) refuseUnchosen(choice balance.Choice) {
+// Load: for ten seconds, callers send twice the work that the engines can do. Without
+// a Retry-After, refused callers retry at once and are refused again, or retry so
+// late that they can't be answered in time. A request that is retried after half of
+// the route's objective, and finds capacity then, is still answered in time.
+func (f *forwarding) refuseNoUpstream(choice balance.Choice) {
 	if choice.Reason == balance.ReasonNoRoom {
 		f.outcome.Limit, f.outcome.Mean = choice.Limit, choice.Mean
 		f.giveUp(string(balance.ReasonNoRoom), f.job.Route.Objective/2)
 		return
 	}
-	f.giveUp(string(balance.ReasonNone), retryWithoutUpstream)
+	f.giveUp(string(balance.ReasonNone), retryAfterNoUpstream)
 }
 
-// timeUp answers a request whose time has run out.
-func (f *flight) timeUp() {
+// answerTimeout answers a request whose deadline has passed.
+func (f *forwarding) answerTimeout() {
 	switch {
 	case f.stream.started:
 		f.abort("time-up")
 	case f.mayHaveRun:
 		f.refuse(http.StatusGatewayTimeout, "time-up", 0)
 	default:
-		f.refuse(http.StatusServiceUnavailable, "time-up", retryWhenFull)
+		f.refuse(http.StatusServiceUnavailable, "time-up", retryAfterFull)
 	}
 }
 
-// abort ends the caller's connection in the middle of an answer, so that it
-// can't be taken for complete.
-func (f *flight) abort(reason string) {
+// abort ends the caller's connection in the middle of an answer, so that the caller
+// can't take the answer for complete. It panics, which unwinds the whole request.
+func (f *forwarding) abort(reason string) {
 	f.outcome.Reason = reason
-	f.outcome.Cut = true
+	f.outcome.Aborted = true
 	panic(http.ErrAbortHandler)
 }
 
-// digest tells requests of the same content, from the same customer, apart from
-// others. A caller that sends one again gives it another name.
-func (f *flight) digest() uint64 {
+// digest hashes the method, the target, the customer's key and the body, so that a
+// request that is sent again is recognized. The request ID is left out: a caller that
+// sends a request again gives it a new one.
+func (f *forwarding) digest() uint64 {
 	d := xxhash.New()
-	// A hash takes every write.
+	// Writes to a hash never fail.
 	_, _ = d.WriteString(f.request.Method + " " + f.request.RequestURI + "\n" + f.call.Key + "\n")
 	_, _ = d.Write(f.body)
 	return d.Sum64()
--- a/transport/forward/run.go
+++ b/transport/forward/run.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"net/http"
 	"time"
 
@@ -14,94 +15,98 @@
 	"endiveplank/transport/tracing"
 )
 
-// verdict says how to go on after an attempt.
+// verdict says whether an attempt ran, which decides what may follow it.
 type verdict uint8
 
 const (
-	// answered: the caller has its answer, or has gone.
+	// answered: the caller has its answer, or has disconnected.
 	answered verdict = iota + 1
-	// notRun: the attempt didn't run; another one does no harm.
+	// notRun: the attempt certainly didn't run, so another one can't run the request
+	// twice.
 	notRun
 	// unknown: the attempt may have run.
 	unknown
 )
 
-// run sends the request until it is answered or no other attempt may follow.
-func (f *flight) run() {
+// run makes attempts until the request is answered or no other attempt may follow.
+func (f *forwarding) run() {
 	fleet := f.handler.options.Fleet
-	f.job.Service = f.service()
-	defer f.judgeErred()
-	fleet.Arrived(f.job.Service)
-	if fleet.Condemned(f.job.Digest) {
-		f.refuse(http.StatusServiceUnavailable, "crashes-upstreams", retryCondemned)
+	f.job.Service = f.chooseService()
+	defer f.reportOpenError()
+	fleet.RequestArrived(f.job.Service)
+	if fleet.Quarantined(f.job.Digest) {
+		f.refuse(http.StatusServiceUnavailable, "crashes-upstreams", retryAfterQuarantine)
 		return
 	}
 	for {
-		if f.ended() {
+		if f.isOver() {
 			return
 		}
 		choice := f.choose()
 		if choice.ID == "" {
-			f.refuseUnchosen(choice)
+			f.refuseNoUpstream(choice)
 			return
 		}
-		next := f.tryOnce(choice)
-		if next == answered || f.ended() {
+		next := f.tryUpstream(choice)
+		if next == answered || f.isOver() {
 			return
 		}
-		if !f.mayGoOn(next, f.outcome.Attempts[len(f.outcome.Attempts)-1]) {
+		if !f.mayRetry(next, f.outcome.Attempts[len(f.outcome.Attempts)-1]) {
 			return
 		}
 	}
 }
 
-// tryOnce makes one attempt. Its end is noted also where it ends the caller's
-// connection, which unwinds the whole request.
-func (f *flight) tryOnce(choice balance.Choice) verdict {
+// tryUpstream makes one attempt. The deferred function records its end also when the
+// attempt ends the caller's connection by a panic, which unwinds the whole request.
+func (f *forwarding) tryUpstream(choice balance.Choice) verdict {
 	outcome := AttemptOutcome{Choice: choice, Result: balance.Abandoned}
 	began := time.Now()
 	defer func() {
 		outcome.Took = time.Since(began)
 		f.outcome.Attempts = append(f.outcome.Attempts, outcome)
-		f.handler.options.Fleet.Ended(f.job, choice.ID, f.judge(choice, outcome))
+		f.handler.options.Fleet.AttemptEnded(f.job, choice.ID, f.resultToReport(choice, outcome))
 	}()
 	return f.attempt(choice, &outcome)
 }
 
-// judgeErred counts an error that no other upstream was asked about.
-func (f *flight) judgeErred() {
-	if f.job.Erred != "" {
-		f.handler.options.Fleet.Judged(f.job.Erred, balance.Failed)
+// reportOpenError reports an upstream's error as the upstream's failure if no other
+// attempt has followed it.
+func (f *forwarding) reportOpenError() {
+	if f.job.ErrorFrom != "" {
+		f.handler.options.Fleet.DeferredResult(f.job.ErrorFrom, balance.Failed)
 	}
 }
 
-// judge returns the result of an attempt as it is counted for the upstream.
+// resultToReport returns the result of an attempt that is reported for the upstream.
 //
-// Load: a service that answers one request in seven with an error, whichever
-// upstream is asked, and four of five of those again. Harm prevented: an upstream
-// that loses answers isn't told apart from the others, as errors that are the
-// requests' own are one outcome in ten. So an error counts for nothing until
-// another upstream has been asked: the same from both is the request's own.
-func (f *flight) judge(choice balance.Choice, outcome AttemptOutcome) balance.Result {
-	if outcome.Erred && f.retryPaid {
-		f.job.Erred = choice.ID
+// Load: a service answers one request in seven with an error on whichever upstream,
+// and four of five of those with an error again. If these errors, one outcome in ten,
+// counted against the upstreams, outlier detection couldn't tell an upstream that
+// loses answers from the others. So an error that is followed by a retry is reported
+// only once another upstream has been tried: if both answer with an error, the request
+// is the cause.
+func (f *forwarding) resultToReport(choice balance.Choice, outcome AttemptOutcome) balance.Result {
+	if outcome.ServerError && f.retryTaken {
+		f.job.ErrorFrom = choice.ID
 		return balance.Abandoned
 	}
-	if f.job.Erred == "" {
-		return outcome.counted()
+	if f.job.ErrorFrom == "" {
+		return outcome.reportedResult()
 	}
-	first := f.job.Erred
-	f.job.Erred = ""
-	if outcome.Erred {
-		f.handler.options.Fleet.Judged(first, balance.Served)
+	first := f.job.ErrorFrom
+	f.job.ErrorFrom = ""
+	if outcome.ServerError {
+		f.handler.options.Fleet.DeferredResult(first, balance.Served)
 		return balance.Served
 	}
-	f.handler.options.Fleet.Judged(first, balance.Failed)
-	return outcome.counted()
+	f.handler.options.Fleet.DeferredResult(first, balance.Failed)
+	return outcome.reportedResult()
 }
 
-// ended answers where the time is up or the caller has gone, and says so.
-func (f *flight) ended() bool {
+// isOver reports whether the caller has disconnected or the deadline has passed. It
+// answers the caller if the deadline has passed.
+func (f *forwarding) isOver() bool {
 	switch {
 	case f.request.Context().Err() != nil:
 		f.outcome.CallerGone = true
@@ -111,75 +116,78 @@
 		}
 		return true
 	case f.context.Err() != nil:
-		f.timeUp()
+		f.answerTimeout()
 		return true
 	}
 	return false
 }
 
-// mayGoOn decides whether another attempt follows one that brought no answer,
-// and answers the caller if not.
+// mayRetry decides whether another attempt follows one that brought no answer. If
+// not, it answers the caller.
 //
-// Load: a failed upstream's requests all at once, on all routers. Harm
-// prevented: a second run of what may run once, and a storm of retries on the
-// upstreams that are left. An attempt that never left costs nothing and is free.
-func (f *flight) mayGoOn(last verdict, outcome AttemptOutcome) bool {
+// Load: an upstream fails, and all its requests on all routers fail at once. Without
+// these limits, a request that may run only once could run twice, and a storm of
+// retries could overload the remaining upstreams. An attempt that was never sent put
+// no load on an upstream, so it takes nothing from the retry budget.
+func (f *forwarding) mayRetry(last verdict, outcome AttemptOutcome) bool {
 	if last == unknown {
 		f.mayHaveRun = true
 	}
 	if !outcome.Sent {
-		return f.mayTryElsewhere(outcome)
+		return f.mayRetryUnsent(outcome)
 	}
 	f.job.Tried = append(f.job.Tried, outcome.Choice.ID)
 	switch {
 	case last == unknown && !f.job.Route.MayRepeat():
 		f.giveUp("outcome-unknown", 0)
 	case len(f.job.Tried) >= max(f.job.Route.MaxAttempts, 1):
-		f.giveUp("attempts-spent", retryWhenFull)
-	case f.handler.options.Fleet.Condemned(f.job.Digest):
-		f.giveUp("crashes-upstreams", retryCondemned)
-	case !f.payRetry():
-		f.giveUp("retries-spent", retryWhenFull)
+		f.giveUp("attempts-spent", retryAfterFull)
+	case f.handler.options.Fleet.Quarantined(f.job.Digest):
+		f.giveUp("crashes-upstreams", retryAfterQuarantine)
+	case !f.takeRetry():
+		f.giveUp("retries-spent", retryAfterFull)
 	default:
 		return true
 	}
 	return false
 }
 
-// payRetry spends a retry, unless the attempt that failed has done so.
-func (f *flight) payRetry() bool {
-	paid := f.retryPaid
-	f.retryPaid = false
-	return paid || f.handler.options.Fleet.MayRetry(f.job.Service)
+// takeRetry takes a retry from the budget, unless the failed attempt has already done
+// so.
+func (f *forwarding) takeRetry() bool {
+	taken := f.retryTaken
+	f.retryTaken = false
+	return taken || f.handler.options.Fleet.TakeRetry(f.job.Service)
 }
 
-// unreachableTries bounds the upstreams that may take no connection before a
+// maxUnreachable is how many attempts of a request may fail to connect before the
 // request is refused.
-const unreachableTries = 4
+const maxUnreachable = 4
 
-// mayTryElsewhere goes on after an attempt that never left.
-func (f *flight) mayTryElsewhere(outcome AttemptOutcome) bool {
+// mayRetryUnsent decides whether another attempt follows one that was never sent.
+func (f *forwarding) mayRetryUnsent(outcome AttemptOutcome) bool {
 	unreachable := 0
 	for _, a := range f.outcome.Attempts {
 		if !a.Sent {
 			unreachable++
 		}
 	}
-	if unreachable < unreachableTries {
+	if unreachable < maxUnreachable {
 		return true
 	}
-	f.giveUp("upstreams-unreachable", retryWithoutUpstream)
+	f.giveUp("upstreams-unreachable", retryAfterNoUpstream)
 	return false
 }
 
-// service draws the service of a request by the route's weights. The draw comes
-// from the request's name, so that it is the same on every router.
-func (f *flight) service() protocol.Service {
+// chooseService chooses the service of a request by the weights of the route's split.
+// The choice depends on the request's ID alone, so that every router makes the same
+// choice.
+func (f *forwarding) chooseService() protocol.Service {
 	return drawService(f.job.Route.Split, string(f.job.ID))
 }
 
-// attempt sends the request to one upstream and brings its answer to the caller.
-func (f *flight) attempt(choice balance.Choice, outcome *AttemptOutcome) verdict {
+// attempt sends the request to one upstream and relays its answer to the caller.
+func (f *forwarding) attempt(choice balance.Choice, outcome *AttemptOutcome) verdict {
 	header := f.request.Header.Clone()
 	removeHopByHop(header)
 	attempt := dialect.Attempt{Upstream: choice.ID, Left: time.Until(f.deadline), Priority: f.job.Priority, LastEvent: f.stream.lastID, CopyFrom: choice.CopyFrom}
@@ -197,42 +205,43 @@
 	}
 	ctx, cancel := context.WithCancel(f.context)
 	defer cancel()
-	f.watchOver(choice, cancel)
-	defer f.endWatch(outcome)
-	f.timing = f.timeOf(choice)
+	f.startWatchdog(choice, cancel)
+	defer f.stopWatchdog(outcome)
+	f.timing = f.startTiming(choice)
 	defer f.timing.ended()
 	f.logSent(choice, attempt.Left)
 	began := time.Now()
-	answer, err := f.handler.options.Pool.Send(ctx, choice.Address, request, f.nameOf)
+	answer, err := f.handler.options.Pool.Send(ctx, choice.Address, request, f.answeredID)
 	if err != nil {
-		return f.unanswered(err, choice, outcome)
+		return f.handleFailure(err, choice, outcome)
 	}
 	defer answer.Close()
 	outcome.Sent = true
 	outcome.Status = answer.Status
 	outcome.FirstAfter = time.Since(began)
 	f.progress()
-	return f.take(answer, choice, outcome)
+	return f.handleAnswer(answer, choice, outcome)
 }
 
-// endWatch notes whether the answer was overdue, and whether the attempt was ended
-// for its silence; then the next one is paid for already.
-func (f *flight) endWatch(outcome *AttemptOutcome) {
-	fired, late := f.watch.stop()
+// stopWatchdog stops the watchdog and records whether the answer was overdue and
+// whether the watchdog cancelled the attempt. If it did, it has already taken the retry
+// for the next attempt from the budget.
+func (f *forwarding) stopWatchdog(outcome *AttemptOutcome) {
+	fired, late := f.watchdog.stop()
 	outcome.Late = late
 	if fired {
-		f.retryPaid = true
+		f.retryTaken = true
 		outcome.Cause = "silent for too long: " + outcome.Cause
 	}
 }
 
-// nameOf reads the request's name that an answer repeats.
-func (f *flight) nameOf(header http.Header) protocol.RequestID {
+// answeredID returns the request ID that an answer repeats.
+func (f *forwarding) answeredID(header http.Header) protocol.RequestID {
 	return f.handler.options.Dialect.ReadAnswer(http.StatusOK, header).ID
 }
 
-// unanswered notes an attempt that brought no head of an answer.
-func (f *flight) unanswered(err error, choice balance.Choice, outcome *AttemptOutcome) verdict {
+// handleFailure records an attempt that failed before the head of an answer came.
+func (f *forwarding) handleFailure(err error, choice balance.Choice, outcome *AttemptOutcome) verdict {
 	var failure *exchange.Failure
 	if !errors.As(err, &failure) {
 		panic("forward: invariant broken: an exchange fails with a Failure")
@@ -250,45 +259,47 @@
 		return notRun
 	}
 	outcome.Result = balance.Failed
-	if !f.watch.isLate() {
-		// An upstream that says nothing for a while hasn't crashed.
-		f.handler.options.Fleet.Crashed(f.job.Digest, choice.ID)
+	if !f.watchdog.isLate() {
+		// An upstream whose answer was only overdue hasn't crashed.
+		f.handler.options.Fleet.UpstreamCrashed(f.job.Digest, choice.ID)
 	}
 	return unknown
 }
 
-// take judges the head of an answer and passes the rest on.
-func (f *flight) take(answer *exchange.Answer, choice balance.Choice, outcome *AttemptOutcome) verdict {
+// handleAnswer decides by the head of an answer whether it counts, and relays it to
+// the caller if so.
+func (f *forwarding) handleAnswer(answer *exchange.Answer, choice balance.Choice, outcome *AttemptOutcome) verdict {
 	said := f.handler.options.Dialect.ReadAnswer(answer.Status, answer.Header)
 	switch {
 	case said.NotRun || said.Misdirected:
 		drain(answer)
 		outcome.Result = balance.Refused
 		if !said.Misdirected {
-			f.timing.full()
+			f.timing.refused()
 		}
 		return notRun
 	case answer.Status < http.StatusMultipleChoices && !said.Signed:
 		outcome.Result = balance.Failed
-		outcome.Cause = "success without a signature"
+		outcome.Cause = fmt.Sprintf("status %d without the upstream's signature", answer.Status)
 		return unknown
 	}
 	if answer.Status < http.StatusMultipleChoices {
-		f.handler.options.Fleet.Began(f.job, choice, outcome.FirstAfter)
+		f.handler.options.Fleet.AnswerBegan(f.job, choice, outcome.FirstAfter)
 	}
 	switch {
 	case f.job.Route.Stream && answer.Status < http.StatusMultipleChoices && isEventStream(answer.Header):
-		return f.passStream(answer, choice, outcome)
+		return f.relayStream(answer, choice, outcome)
 	case f.stream.started:
 		outcome.Result = balance.Failed
-		outcome.Cause = "the upstream didn't resume the stream"
+		outcome.Cause = fmt.Sprintf("status %d instead of the rest of the stream", answer.Status)
 		return unknown
 	}
-	return f.passPlain(answer, choice, outcome)
+	return f.relayPlain(answer, choice, outcome)
 }
 
-// isPromise reports whether a status promises that the request didn't run.
-func isPromise(status int) bool {
+// promisesNotRun reports whether callers take a status as a promise that the request
+// didn't run.
+func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -296,7 +307,8 @@
 	return false
 }
 
-// drawService draws one share by weight.
+// drawService chooses one share of a split by weight, at the point that the hash of
+// the name gives.
 func drawService(split []routing.Share, name string) protocol.Service {
 	if len(split) == 1 {
 		return split[0].Service
--- a/transport/forward/stream.go
+++ b/transport/forward/stream.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"bytes"
 	"errors"
+	"fmt"
 	"io"
 	"net/http"
 	"strconv"
@@ -13,55 +14,56 @@
 	"endiveplank/transport/exchange"
 )
 
-// maxEventBytes is the largest event taken from an upstream.
+// maxEventBytes is the largest event accepted from an upstream.
 const maxEventBytes = 1 << 20
 
-// eventBuffer is how much of a stream is read at once: some dozens of events.
-const eventBuffer = 4 << 10
+// streamBufferBytes is how much of a stream is read at once: a few dozen events.
+const streamBufferBytes = 4 << 10
 
-// errHalfEvent means that a stream ended in the middle of an event.
-var errHalfEvent = errors.New("forward: the stream ended within an event")
+// errPartialEvent means that a stream ended in the middle of an event.
+var errPartialEvent = errors.New("forward: the stream ended in the middle of an event")
 
-// errLongEvent means that an event is longer than maxEventBytes.
-var errLongEvent = errors.New("forward: an event is too long")
+// errEventTooLong means that an event is longer than maxEventBytes.
+var errEventTooLong = fmt.Errorf("forward: an event of the stream is longer than %d bytes", maxEventBytes)
 
-// errDisorder means that a stream's event ids don't grow.
-var errDisorder = errors.New("forward: an event's id is not above the one before")
+// errEventOrder means that the ids of a stream's events don't increase.
+var errEventOrder = errors.New("forward: an event's id isn't greater than that of the event before it")
 
-// streamState is what the caller has of a stream, over all attempts.
+// streamState is what the caller has received of a stream, over all attempts.
 type streamState struct {
-	// started says that the head was sent.
+	// started means that the head was sent.
 	started bool
 	// lastID is the id of the last event sent, "" if none had one.
 	lastID string
 }
 
-// event is one server-sent event with the blank line that ends it.
+// event is one server-sent event, including the blank line that ends it.
 type event struct {
 	raw []byte
 	id  string
 }
 
-// isEventStream reports whether an answer is a series of events.
+// isEventStream reports whether an answer is a stream of server-sent events.
 func isEventStream(header http.Header) bool {
 	return strings.HasPrefix(header.Get("Content-Type"), "text/event-stream")
 }
 
-// passStream passes a stream on, event by event.
+// relayStream relays a stream event by event.
 //
-// The head goes to the caller with the first event. Until then nothing is lost
-// if the upstream fails, and another one may be asked where the route allows.
-func (f *flight) passStream(answer *exchange.Answer, choice balance.Choice, outcome *AttemptOutcome) verdict {
-	reader := bufio.NewReaderSize(readerOf(answer), eventBuffer)
+// The head goes to the caller together with the first event. If the upstream fails
+// before that, the caller has received nothing, and another upstream may be tried if
+// the route allows it.
+func (f *forwarding) relayStream(answer *exchange.Answer, choice balance.Choice, outcome *AttemptOutcome) verdict {
+	reader := bufio.NewReaderSize(readerOf(answer), streamBufferBytes)
 	for {
 		next, err := readEvent(reader)
 		switch {
 		case err == nil:
 			f.progress()
 			if err := f.checkOrder(next); err != nil {
-				return f.streamBroke(err, choice, outcome)
+				return f.streamBroken(err, choice, outcome)
 			}
-			f.passEvent(answer, next)
+			f.relayEvent(answer, next)
 			if reader.Buffered() == 0 {
 				f.flush()
 			}
@@ -71,46 +73,47 @@
 			outcome.Result = balance.Served
 			return answered
 		default:
-			return f.streamBroke(err, choice, outcome)
+			return f.streamBroken(err, choice, outcome)
 		}
 	}
 }
 
-// streamBroke decides about a stream that ended early.
-func (f *flight) streamBroke(err error, choice balance.Choice, outcome *AttemptOutcome) verdict {
-	next := f.brokenOff(err, choice, outcome)
+// streamBroken records a stream that broke off. If the caller has part of it and the
+// route allows no other attempt, it ends the caller's connection.
+func (f *forwarding) streamBroken(err error, choice balance.Choice, outcome *AttemptOutcome) verdict {
+	next := f.answerBroken(err, choice, outcome)
 	if f.stream.started && !f.job.Route.MayRepeat() && f.context.Err() == nil {
 		f.abort("stream-broke-off")
 	}
 	return next
 }
 
-// checkOrder refuses an event that doesn't follow the one before: the bytes are
-// damaged, or the upstream didn't resume where it was asked to.
-func (f *flight) checkOrder(e event) error {
+// checkOrder returns an error if an event's id isn't greater than that of the event
+// before: the bytes are damaged, or the upstream didn't resume where it was told to.
+func (f *forwarding) checkOrder(e event) error {
 	if f.stream.lastID == "" || e.id == "" {
 		return nil
 	}
 	last, lastErr := strconv.ParseUint(f.stream.lastID, 10, 64)
 	id, idErr := strconv.ParseUint(e.id, 10, 64)
 	if lastErr == nil && idErr == nil && id <= last {
-		return errDisorder
+		return errEventOrder
 	}
 	return nil
 }
 
-// startStream sends the head, once.
-func (f *flight) startStream(answer *exchange.Answer) {
+// startStream sends the head unless it was sent before.
+func (f *forwarding) startStream(answer *exchange.Answer) {
 	if f.stream.started {
 		return
 	}
 	f.copyHeader(answer)
-	f.begin(answer.Status)
+	f.writeHead(answer.Status)
 	f.stream.started = true
 }
 
-// passEvent sends one event.
-func (f *flight) passEvent(answer *exchange.Answer, e event) {
+// relayEvent sends one event.
+func (f *forwarding) relayEvent(answer *exchange.Answer, e event) {
 	f.startStream(answer)
 	f.write(e.raw)
 	f.outcome.Events++
@@ -119,15 +122,15 @@
 	}
 }
 
-// flush sends what is buffered. A caller that can't be written to has gone.
-func (f *flight) flush() {
+// flush sends the buffered bytes. A failure means that the caller has disconnected.
+func (f *forwarding) flush() {
 	if err := f.control.Flush(); err != nil {
 		f.outcome.CallerGone = true
 		f.abort("caller-gone")
 	}
 }
 
-// readEvent reads up to and with the next blank line. io.EOF means that the
+// readEvent reads up to and including the next blank line. io.EOF means that the
 // stream ended between two events.
 func readEvent(reader *bufio.Reader) (event, error) {
 	var e event
@@ -135,7 +138,7 @@
 		line, err := reader.ReadSlice('\n')
 		e.raw = append(e.raw, line...)
 		if len(e.raw) > maxEventBytes {
-			return e, errLongEvent
+			return e, errEventTooLong
 		}
 		switch {
 		case errors.Is(err, bufio.ErrBufferFull):
@@ -143,7 +146,7 @@
 		case errors.Is(err, io.EOF) && len(e.raw) == 0:
 			return e, io.EOF
 		case errors.Is(err, io.EOF):
-			return e, errHalfEvent
+			return e, errPartialEvent
 		case err != nil:
 			return e, err
 		}
--- a/transport/forward/stream_test.go
+++ b/transport/forward/stream_test.go
@@ -13,8 +13,8 @@
 	"endiveplank/coordination/balance"
 )
 
-// streams sends events from the one after the caller's last, up to and with the
-// last of the whole stream, and breaks off after so many bytes if that isn't 0.
+// streams sends the events after the caller's last one up to and including last. If
+// breakAfter isn't 0, it breaks off after that many bytes.
 func streams(last, breakAfter int) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
@@ -41,43 +41,43 @@
 	return text
 }
 
-func TestAStreamGoesOnAtAnotherUpstreamWithoutASeam(t *testing.T) {
-	// An engine dies in the middle of an event. Passed on, the half event would
-	// be followed by the next engine's, and the caller would get a stream with
-	// an event torn or twice.
+func TestAStreamIsResumedAtAnotherUpstreamWithoutLossOrRepeat(t *testing.T) {
+	// An engine dies in the middle of an event. If the partial event were relayed,
+	// the next engine's events would follow it, and the caller would receive a
+	// damaged event, or one event twice.
 	for _, breakAfter := range []int{1, 23, 30, 46, 60} {
-		r := newRig(t, streams(5, breakAfter), streams(5, 0))
+		r := newTestRouter(t, streams(5, breakAfter), streams(5, 0))
 		got := r.call("/resume/x")
 		assert.Equal(t, got.body, events(1, 5), "broken after %d bytes", breakAfter)
 		assert.Assert(t, !got.broken)
 	}
 }
 
-func TestAStreamThatMayNotGoOnElsewhereIsCut(t *testing.T) {
-	r := newRig(t, streams(5, 60), streams(5, 0))
+func TestAStreamThatMayNotBeResumedIsAborted(t *testing.T) {
+	r := newTestRouter(t, streams(5, 60), streams(5, 0))
 	got := r.call("/stream/x")
 	assert.Assert(t, got.broken)
 	assert.Equal(t, r.chosen, 1)
-	unseen := newRig(t, streams(5, 1), streams(5, 0))
+	unseen := newTestRouter(t, streams(5, 1), streams(5, 0))
 	assert.Equal(t, unseen.call("/stream/x").status, http.StatusBadGateway)
 }
 
 func TestAResumedStreamHasToGoOnWhereItWasAskedTo(t *testing.T) {
-	// The second engine ignores the event that it should resume behind and
-	// starts anew. Its events must not be joined to the first one's.
+	// The second engine ignores the id after which it should resume, and sends the
+	// stream from its start. Its events must not be appended to the first engine's.
 	fromStart := func(w http.ResponseWriter, request *http.Request) {
 		request.Header.Del("T-Last")
 		streams(5, 0)(w, request)
 	}
-	r := newRig(t, streams(5, 60), fromStart, streams(5, 0))
+	r := newTestRouter(t, streams(5, 60), fromStart, streams(5, 0))
 	got := r.call("/resume/x")
 	assert.Equal(t, got.body, events(1, 5))
 	assert.Equal(t, r.chosen, 3)
 }
 
 func TestASilentStreamIsResumedElsewhereWithinItsBudget(t *testing.T) {
-	// An engine hangs after two events. Its callers leave after some seconds;
-	// before that another engine goes on, if a retry may be spent.
+	// An engine hangs after two events. Before its callers give up after a few
+	// seconds, another engine must resume the stream, if the retry budget allows.
 	stop := make(chan struct{})
 	defer close(stop)
 	hangs := func(w http.ResponseWriter, request *http.Request) {
@@ -88,7 +88,7 @@
 		case <-request.Context().Done():
 		}
 	}
-	r := newRig(t, hangs, streams(5, 0))
+	r := newTestRouter(t, hangs, streams(5, 0))
 	r.index.Table().Routes[4].Objective = 0
 	got := r.call("/resume/x")
 	assert.Equal(t, got.body, events(1, 5))
@@ -96,10 +96,10 @@
 }
 
 func TestEventsArriveAsTheyAreMade(t *testing.T) {
-	// Two events come at once, the next much later. A caller has to see the
-	// first two before the third is made.
+	// Two events come at once and the next much later. The caller must receive the
+	// first two before the upstream sends the third.
 	proceed := make(chan struct{})
-	r := newRig(t, func(w http.ResponseWriter, _ *http.Request) {
+	r := newTestRouter(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
 		w.Header().Set("T-Signed", "1")
 		_, _ = io.WriteString(w, events(1, 2))
--- a/transport/forward/timing.go
+++ b/transport/forward/timing.go
@@ -6,48 +6,50 @@
 	"endiveplank/coordination/balance"
 )
 
-// timelyPart is the part of a route's objective within which an answer begins that
-// hasn't waited at the upstream. The rest is for what the load grows by until other
-// routers know of it.
-const timelyPart = 0.5
+// inTimeShare is the share of a route's objective within which an answer has to begin
+// to count as in time. The rest is a margin for the load that is added before other
+// routers learn of this router's requests.
+const inTimeShare = 0.5
 
-// timing tells the fleet once of each attempt whether its answer began in time, as
+// timing reports to the fleet once per attempt whether its answer began in time, as
 // soon as that is known.
 type timing struct {
-	sent   time.Time
-	within time.Duration
-	// tell is nil before an attempt and once it has been called.
-	tell func(inTime bool)
+	sent        time.Time
+	inTimeLimit time.Duration
+	// report is nil before an attempt and after it has been called.
+	report func(inTime bool)
 }
 
-// timeOf starts the timing of an attempt that is about to be sent.
-func (f *flight) timeOf(choice balance.Choice) timing {
+// startTiming returns the timing of an attempt that is about to be sent.
+func (f *forwarding) startTiming(choice balance.Choice) timing {
 	return timing{
-		sent:   time.Now(),
-		within: time.Duration(timelyPart * float64(f.job.Route.Objective)),
-		tell:   func(inTime bool) { f.handler.options.Fleet.Timed(f.job, choice, inTime) },
+		sent:        time.Now(),
+		inTimeLimit: time.Duration(inTimeShare * float64(f.job.Route.Objective)),
+		report:      func(inTime bool) { f.handler.options.Fleet.AnswerTimed(f.job, choice, inTime) },
 	}
 }
 
-// began notes that the answer begins.
-func (t *timing) began() { t.know(time.Since(t.sent) <= t.within) }
+// began records that the answer begins.
+func (t *timing) began() { t.reportOnce(time.Since(t.sent) <= t.inTimeLimit) }
 
-// full notes that the upstream had no room: whatever waits there is late.
-func (t *timing) full() { t.know(false) }
+// refused records that the upstream refused the request for lack of capacity: whatever
+// waits there counts as late.
+func (t *timing) refused() { t.reportOnce(false) }
 
-// ended notes that the attempt is over. One without an answer is late if it had the
-// time for it.
+// ended records the end of the attempt. An attempt without an answer counts as late if
+// it lasted longer than inTimeLimit.
 func (t *timing) ended() {
-	if time.Since(t.sent) > t.within {
-		t.know(false)
+	if time.Since(t.sent) > t.inTimeLimit {
+		t.reportOnce(false)
 	}
 }
 
-// know tells what has become known, the first time, on routes that have an objective.
-func (t *timing) know(inTime bool) {
-	if t.tell == nil || t.within <= 0 {
+// reportOnce reports the first result of the attempt, and only on routes that have an
+// objective.
+func (t *timing) reportOnce(inTime bool) {
+	if t.report == nil || t.inTimeLimit <= 0 {
 		return
 	}
-	t.tell(inTime)
-	t.tell = nil
+	t.report(inTime)
+	t.report = nil
 }
--- a/transport/forward/timing_test.go
+++ b/transport/forward/timing_test.go
@@ -10,11 +10,11 @@
 	"endiveplank/coordination/balance"
 )
 
-func TestARequestWithoutRoomIsToldWhenToComeBack(t *testing.T) {
-	// Engines have twice the work that they can do. A caller that is told so at once,
-	// and comes back within its objective, may still be answered in time.
-	r := newRig(t)
-	r.unchosen = balance.ReasonNoRoom
+func TestARequestWithoutCapacityGetsARetryAfter(t *testing.T) {
+	// Engines have twice the work that they can do. A caller that is refused at once
+	// and retries within the objective may still be answered in time.
+	r := newTestRouter(t)
+	r.noChoiceReason = balance.ReasonNoRoom
 	began := time.Now()
 	got := r.call("/idem/x")
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
@@ -24,9 +24,9 @@
 }
 
 func TestEachAttemptIsTimedOnce(t *testing.T) {
-	// What engines have room for is learned from how long answers take to begin. One
-	// that is refused as the queue is full, or given up by its caller, tells as much
-	// as one that comes late; the end of a long answer tells nothing.
+	// The router learns the engines' capacity from how long answers take to begin. An
+	// attempt that is refused because the queue is full, or whose caller gives up,
+	// counts like a late answer. The end of a long answer must not count.
 	late := 700 * time.Millisecond
 	for name, c := range map[string]struct {
 		path      string
@@ -41,7 +41,7 @@
 		"nobody listens there": {"/single/x", []http.HandlerFunc{nil}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, c.upstreams...)
+			r := newTestRouter(t, c.upstreams...)
 			r.call(c.path)
 			r.server.Close()
 			assert.DeepEqual(t, r.timed, c.timed)
@@ -49,12 +49,12 @@
 	}
 }
 
-func TestACallerThatLeavesTellsThatItsAnswerWasLate(t *testing.T) {
-	// Callers leave engines that have too much to do before anything comes. If that
-	// told nothing, the only answers known would be those of callers who wait.
+func TestAnAnswerWhoseCallerLeftIsTimedAsLate(t *testing.T) {
+	// Callers of overloaded engines disconnect before the answer begins. If that
+	// didn't count as late, only the answers to callers who wait would be known.
 	stop := make(chan struct{})
 	defer close(stop)
-	r := newRig(t, hangs(stop))
+	r := newTestRouter(t, hangs(stop))
 	got := r.call("/quick/x")
 	assert.Equal(t, got.status, http.StatusGatewayTimeout)
 	assert.DeepEqual(t, r.timed, []bool{false})
