--- a/daemon/diskvm/diskvm_test.go
+++ b/daemon/diskvm/diskvm_test.go
@@ -303,7 +303,7 @@
 	// still do when all have lost power: routers would else refuse callers until
 	// it announces itself again.
 	f := newFleet(t, 3)
-	e := roster.Entry{ID: "u1", Service: "s", Address: "10.0.0.1:80", State: roster.Ready, Born: 5, Sequence: 1}
+	e := roster.Entry{ID: "u1", Service: "s", Address: "10.0.0.1:80", State: roster.Ready, StartedAt: 5, Sequence: 1}
 	f.vms[1].Announce(e)
 	known := func(i int) bool {
 		f.vms[i].mu.Lock()
@@ -314,8 +314,8 @@
 	for i := 1; i <= 3; i++ {
 		f.eventually("all know the upstream", func() bool { return known(i) })
 	}
-	kept := []balance.Kept{{Prompt: 1, ID: 5}}
-	f.vms[3].Receive("r1", balance.NewKeeperList(kept))
+	kept := []balance.CachedPrefix{{Prefix: 1, ID: 5}}
+	f.vms[3].Receive("r1", balance.NewCacheHolderList(kept))
 	for i := 1; i <= 3; i++ {
 		f.eventually("the list is on disk", func() bool {
 			_, err := os.Stat(f.folders[i] + "/" + rosterFolder + "/cache")
--- a/transport/forward/harness_test.go
+++ b/transport/forward/harness_test.go
@@ -155,7 +155,7 @@
 		},
 	}
 	assert.Assert(t, routing.Check(table) == nil)
-	r := &testRouter{fakeFleet: &fakeFleet{index: routing.NewIndex(table), retries: 10, noChoiceReason: balance.ReasonNone}, t: t, pool: exchange.NewPool()}
+	r := &testRouter{fakeFleet: &fakeFleet{index: routing.NewIndex(table), retries: 10, noChoiceReason: balance.ReasonNoUpstream}, t: t, pool: exchange.NewPool()}
 	for _, script := range upstreams {
 		r.addresses = append(r.addresses, startScript(t, script))
 	}
--- a/transport/forward/refuse.go
+++ b/transport/forward/refuse.go
@@ -76,12 +76,12 @@
 // late that they can't be answered in time. A request that is retried after half of
 // the route's objective, and finds capacity then, is still answered in time.
 func (f *forwarding) refuseNoUpstream(choice balance.Choice) {
-	if choice.Reason == balance.ReasonNoRoom {
+	if choice.Reason == balance.ReasonNoCapacity {
 		f.outcome.Limit, f.outcome.Mean = choice.Limit, choice.Mean
-		f.giveUp(string(balance.ReasonNoRoom), f.job.Route.Objective/2)
+		f.giveUp(string(balance.ReasonNoCapacity), f.job.Route.Objective/2)
 		return
 	}
-	f.giveUp(string(balance.ReasonNone), retryAfterNoUpstream)
+	f.giveUp(string(balance.ReasonNoUpstream), retryAfterNoUpstream)
 }
 
 // answerTimeout answers a request whose deadline has passed.
--- a/transport/forward/timing_test.go
+++ b/transport/forward/timing_test.go
@@ -14,7 +14,7 @@
 	// Engines have twice the work that they can do. A caller that is refused at once
 	// and retries within the objective may still be answered in time.
 	r := newTestRouter(t)
-	r.noChoiceReason = balance.ReasonNoRoom
+	r.noChoiceReason = balance.ReasonNoCapacity
 	began := time.Now()
 	got := r.call("/idem/x")
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
