--- a/transport/exchange/exchange_test.go
+++ b/transport/exchange/exchange_test.go
@@ -90,6 +90,8 @@
 func (f readerFunc) Read(b []byte) (int, error) { return f(b) }
 
 func TestRequestsArriveUnchangedAndConnectionsAreKept(t *testing.T) {
+	// A path that is decoded and encoded again, or a header that net/http adds, would change
+	// the caller's request. A new connection per request would cost a round trip each.
 	var seen atomic.Pointer[http.Request]
 	u := startUpstream(t, func(conn *net.TCPConn, reader *bufio.Reader) {
 		for {
@@ -261,6 +263,8 @@
 }
 
 func TestTheUpstreamsIdleTimeoutIsRespected(t *testing.T) {
+	// An upstream closes idle connections after the time in its Keep-Alive header. A request
+	// sent on a connection that is being closed would be lost.
 	for value, want := range map[string]time.Duration{
 		"timeout=5": 5*time.Second - idleMargin, "max=3, timeout=2": 2*time.Second - idleMargin,
 		"timeout=0": 0, "": defaultIdleTimeout, "timeout=soon": defaultIdleTimeout,
@@ -292,6 +296,7 @@
 }
 
 func TestInterimAnswersAreSkipped(t *testing.T) {
+	// An upstream sends 100 Continue before its answer. The caller must get the answer.
 	u := startUpstream(t, func(conn *net.TCPConn, reader *bufio.Reader) {
 		_, _ = readRequest(reader)
 		send(conn, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
--- a/transport/forward/limits_test.go
+++ b/transport/forward/limits_test.go
@@ -78,6 +78,9 @@
 }
 
 func TestRequestsThatCanNotGoOnAreRefusedAtOnce(t *testing.T) {
+	// A request without a route, a known key or an acceptable body must not reach an
+	// upstream. A router without a table must answer 503 and not 404, or callers would
+	// take the route for missing and not retry.
 	r := newTestRouter(t, serves("ok"))
 	assert.Equal(t, r.call("/nowhere/x").status, 404)
 	assert.Equal(t, r.call("/once/x", func(request *http.Request) { request.Header.Set("T-Key", "other") }).status, 401)
--- a/transport/forward/plain_test.go
+++ b/transport/forward/plain_test.go
@@ -41,6 +41,8 @@
 }
 
 func TestARefusedRequestGoesElsewhere(t *testing.T) {
+	// An upstream is full and attests that it didn't run the request. Even a request that
+	// may run only once can then be sent to another upstream.
 	r := newTestRouter(t, refuses(503, true), serves("ok"))
 	got := r.call("/once/x")
 	assert.Equal(t, got.status, 200)
@@ -58,6 +60,9 @@
 }
 
 func TestIdempotentRequestsAreRepeatedWithinTheirLimits(t *testing.T) {
+	// A broken connection or an error is retried if the request is idempotent. Without the
+	// retry budget and the route's maximum of attempts, retries would overload the
+	// remaining upstreams.
 	broken := newTestRouter(t, breaks, serves("ok"))
 	assert.Equal(t, broken.call("/idem/x").body, "ok")
 
@@ -79,12 +84,16 @@
 }
 
 func TestAnUpstreamsOwnErrorIsPassedOn(t *testing.T) {
+	// An upstream answers a request that may run only once with a 500. It may have run, so
+	// the caller must get this answer and no other upstream the request.
 	r := newTestRouter(t, refuses(500, false), serves("second run"))
 	assert.Equal(t, r.call("/once/x").status, 500)
 	assert.Equal(t, r.chosen, 1)
 }
 
 func TestASuccessWithoutASignatureIsAFailure(t *testing.T) {
+	// Something other than the upstream answers on its address. A caller would take an
+	// answer without the upstream's signature for the upstream's own.
 	unsigned := func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "rubbish") }
 	r := newTestRouter(t, unsigned, serves("ok"))
 	assert.Equal(t, r.call("/idem/x").body, "ok")
@@ -107,6 +116,8 @@
 }
 
 func TestALargeAnswerThatBreaksOffIsCut(t *testing.T) {
+	// An answer that is too large to be buffered breaks off after its head was sent. The
+	// caller's connection must end, so that the caller can't take the part for the whole.
 	large := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("T-Signed", "1")
 		_, _ = io.WriteString(w, strings.Repeat("x", 3*maxBufferedAnswer))
@@ -120,12 +131,16 @@
 }
 
 func TestABrokenAnswerIsTakenForACrash(t *testing.T) {
+	// A request that crashes upstreams is recognized only if each crash is counted. The
+	// router sees a crash as a connection that breaks after the request was sent.
 	r := newTestRouter(t, breaks)
 	r.call("/once/x")
 	assert.Equal(t, r.crashed, 1)
 }
 
 func TestServicesAreDrawnByWeight(t *testing.T) {
+	// A split that ignores its weights would send too many requests to a service that is
+	// being rolled out, or some to a service of weight 0.
 	split := []routing.Share{{Service: "a", Weight: 9}, {Service: "b", Weight: 1}, {Service: "c", Weight: 0}}
 	drawn := map[protocol.Service]int{}
 	for i := range 10_000 {
@@ -148,6 +163,8 @@
 }
 
 func TestAnErrorThatAnotherUpstreamDoesNotMakeIsTheUpstreamsOwn(t *testing.T) {
+	// One upstream answers with an error, and another one serves the same request. Then the
+	// first upstream is at fault, and outlier detection must count its error.
 	one := newTestRouter(t, refuses(http.StatusInternalServerError, false), serves("done"))
 	assert.Equal(t, one.call("/twice/x").body, "done")
 	one.mu.Lock()
@@ -157,6 +174,8 @@
 }
 
 func TestAnErrorWithoutASecondAttemptCounts(t *testing.T) {
+	// An upstream answers with an error, and no other upstream is left for the retry. The
+	// error must count once, and no attempt may stay in flight.
 	alone := newTestRouter(t, refuses(http.StatusInternalServerError, false))
 	assert.Equal(t, alone.call("/idem/x").status, http.StatusBadGateway)
 	alone.mu.Lock()
--- a/transport/forward/run.go
+++ b/transport/forward/run.go
@@ -269,16 +269,16 @@
 // handleAnswer decides by the head of an answer whether it counts, and relays it to
 // the caller if so.
 func (f *forwarding) handleAnswer(answer *exchange.Answer, choice balance.Choice, outcome *AttemptOutcome) verdict {
-	said := f.handler.options.Dialect.ReadAnswer(answer.Status, answer.Header)
+	head := f.handler.options.Dialect.ReadAnswer(answer.Status, answer.Header)
 	switch {
-	case said.NotRun || said.Misdirected:
+	case head.NotRun || head.Misdirected:
 		drain(answer)
 		outcome.Result = balance.Refused
-		if !said.Misdirected {
+		if !head.Misdirected {
 			f.timing.refused()
 		}
 		return notRun
-	case answer.Status < http.StatusMultipleChoices && !said.Signed:
+	case answer.Status < http.StatusMultipleChoices && !head.Signed:
 		outcome.Result = balance.Failed
 		outcome.Cause = fmt.Sprintf("status %d without the upstream's signature", answer.Status)
 		return unknown
--- a/transport/forward/stream_test.go
+++ b/transport/forward/stream_test.go
@@ -54,6 +54,9 @@
 }
 
 func TestAStreamThatMayNotBeResumedIsAborted(t *testing.T) {
+	// A stream breaks off on a route that isn't resumable. If the caller has part of it, the
+	// connection must end, so that the caller can't take the part for the whole; if not, the
+	// caller gets a 502. No other upstream may get the request.
 	r := newTestRouter(t, streams(5, 60), streams(5, 0))
 	got := r.call("/stream/x")
 	assert.Assert(t, got.broken)
--- a/transport/forward/watchdog_test.go
+++ b/transport/forward/watchdog_test.go
@@ -64,6 +64,8 @@
 }
 
 func TestAnOverdueAnswerIsWaitedForWhereNoRepeatIsLeft(t *testing.T) {
+	// The answer is overdue, but the retry budget is spent. If the watchdog cancelled the
+	// attempt all the same, the caller would get no answer at all.
 	r := newTestRouter(t, after(200*time.Millisecond, serves("done")), serves("second"))
 	r.overdueAfter = 30 * time.Millisecond
 	r.retries = 0
