--- a/daemon/router/fleet.go
+++ b/daemon/router/fleet.go
@@ -17,13 +17,13 @@
 // Table implements forward.Fleet.
 func (r *Router) Table() *routing.Index { return r.table.Load() }
 
-// settlingPeriod is how long after its start a router may still be about to learn what
+// warmUpPeriod is how long after its start a router may still be about to learn what
 // it lacks: an election of the disk VMs and two announcements of the upstreams fit into it.
-const settlingPeriod = 4 * time.Second
+const warmUpPeriod = 4 * time.Second
 
-// Settling implements forward.Fleet.
-func (r *Router) Settling() bool {
-	if r.now() >= settlingPeriod {
+// WarmingUp implements forward.Fleet.
+func (r *Router) WarmingUp() bool {
+	if r.now() >= warmUpPeriod {
 		return false
 	}
 	r.mu.Lock()
@@ -43,9 +43,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
-	request := balance.Request{Service: job.Service, Tried: job.Tried, NoRetry: job.Once(), AllowTried: job.Erred != ""}
-	request.Prompt, request.HasPrompt = job.PromptKey()
-	request.SharedPrefixes = job.Beginnings()
+	request := balance.Request{Service: job.Service, Tried: job.Tried, NoRetry: job.LastAttempt(), AllowTried: job.ErrorFrom != ""}
+	request.Prompt, request.HasPrompt = job.SharedPrefixKey()
+	request.SharedPrefixes = job.ShorterPrefixKeys()
 	limiter, first := r.limiter(job.Service), len(job.Tried) == 0
 	if first {
 		request.LoadLimit = limiter.Arrived(now, job.Customer)
@@ -60,18 +60,18 @@
 	return choice
 }
 
-// Ended implements forward.Fleet.
-func (r *Router) Ended(job forward.Job, upstream protocol.UpstreamID, result balance.Result) {
+// AttemptEnded implements forward.Fleet.
+func (r *Router) AttemptEnded(job forward.Job, upstream protocol.UpstreamID, result balance.Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if prompt, any := job.PromptKey(); any {
+	if prompt, any := job.SharedPrefixKey(); any {
 		r.balancer.ForgetUnconfirmed(upstream, prompt)
 	}
 	r.balancer.Ended(r.now(), upstream, result)
 }
 
-// Judged implements forward.Fleet.
-func (r *Router) Judged(upstream protocol.UpstreamID, result balance.Result) {
+// DeferredResult implements forward.Fleet.
+func (r *Router) DeferredResult(upstream protocol.UpstreamID, result balance.Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.balancer.RecordResult(r.now(), upstream, result)
@@ -79,14 +79,14 @@
 
 // answerKind returns the kind of an attempt's answer, by which answer times are compared.
 func answerKind(job forward.Job, choice balance.Choice) answertime.Kind {
-	_, prompt := job.PromptKey()
+	_, prompt := job.SharedPrefixKey()
 	return answertime.Kind{Route: job.Route.Name, Cold: prompt && choice.Reason != balance.ReasonCacheHolder && choice.CopyFrom == ""}
 }
 
-// Overdue implements forward.Fleet. It returns most, the longest time, for an upstream that
+// OverdueAfter implements forward.Fleet. It returns most, the longest time, for an upstream that
 // hasn't lost requests lately. Otherwise each of a hundred answers that merely take six times
 // as long as usual would be requested a second time, and its prompt processed twice.
-func (r *Router) Overdue(job forward.Job, choice balance.Choice, most time.Duration) time.Duration {
+func (r *Router) OverdueAfter(job forward.Job, choice balance.Choice, most time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.balancer.IsOutlier(r.now(), choice.ID) {
@@ -95,21 +95,21 @@
 	return r.times.Timeout(answerKind(job, choice), most)
 }
 
-// Silent implements forward.Fleet.
-func (r *Router) Silent(job forward.Job, choice balance.Choice, after time.Duration) {
+// AnswerOverdue implements forward.Fleet.
+func (r *Router) AnswerOverdue(job forward.Job, choice balance.Choice, after time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.times.Record(answerKind(job, choice), after)
 	r.balancer.Overdue(r.now(), choice.ID)
 }
 
-// Began implements forward.Fleet.
-func (r *Router) Began(job forward.Job, choice balance.Choice, took time.Duration) {
+// AnswerBegan implements forward.Fleet.
+func (r *Router) AnswerBegan(job forward.Job, choice balance.Choice, took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.times.Record(answerKind(job, choice), took)
-	if prompt, any := job.PromptKey(); any {
-		r.balancer.ConfirmCached(r.now(), choice.ID, prompt, job.Beginnings())
+	if prompt, any := job.SharedPrefixKey(); any {
+		r.balancer.ConfirmCached(r.now(), choice.ID, prompt, job.ShorterPrefixKeys())
 	}
 }
 
@@ -123,8 +123,8 @@
 	return limiter
 }
 
-// Timed implements forward.Fleet.
-func (r *Router) Timed(job forward.Job, choice balance.Choice, inTime bool) {
+// AnswerTimed implements forward.Fleet.
+func (r *Router) AnswerTimed(job forward.Job, choice balance.Choice, inTime bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.limiter(job.Service).Record(r.now(), choice.Load, inTime)
@@ -142,29 +142,29 @@
 	return w
 }
 
-// Arrived implements forward.Fleet.
-func (r *Router) Arrived(service protocol.Service) {
+// RequestArrived implements forward.Fleet.
+func (r *Router) RequestArrived(service protocol.Service) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.window(service).RecordRequest(r.now())
 }
 
-// MayRetry implements forward.Fleet.
-func (r *Router) MayRetry(service protocol.Service) bool {
+// TakeRetry implements forward.Fleet.
+func (r *Router) TakeRetry(service protocol.Service) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.window(service).TryRetry(r.now(), r.fleetSize)
 }
 
-// Condemned implements forward.Fleet.
-func (r *Router) Condemned(digest uint64) bool {
+// Quarantined implements forward.Fleet.
+func (r *Router) Quarantined(digest uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.crashes.Quarantined(r.now(), digest)
 }
 
-// Crashed implements forward.Fleet.
-func (r *Router) Crashed(digest uint64, upstream protocol.UpstreamID) {
+// UpstreamCrashed implements forward.Fleet.
+func (r *Router) UpstreamCrashed(digest uint64, upstream protocol.UpstreamID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	crash := crashes.Crash{Digest: digest, Upstream: upstream, Attempt: r.random.Uint64()}
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -33,7 +33,7 @@
 )
 
 const (
-	// tickInterval is how often the router checks whether watches or loads are due.
+	// tickInterval is how often the router checks whether watches or load reports are due.
 	tickInterval = 50 * time.Millisecond
 	// sweepInterval is how often the router closes idle connections and removes upstreams
 	// that no disk VM lists.
@@ -88,12 +88,12 @@
 	loggedLimits map[protocol.Service]bool
 	routers      []control.Router
 	// fleetSize is the largest number of routers known lately, including this one.
-	fleetSize       int
-	fleetSizeSetAt  time.Duration
-	rosterRevision  uint64
-	loadsSentAt     time.Duration
-	fullLoadsSentAt time.Duration
-	sweptAt         time.Duration
+	fleetSize        int
+	fleetSizeSetAt   time.Duration
+	rosterRevision   uint64
+	reportSentAt     time.Duration
+	fullReportSentAt time.Duration
+	sweptAt          time.Duration
 	// noDiskVMAt is when no disk VM was alive last.
 	noDiskVMAt time.Duration
 	// initialized is set once the router has known a table and most of the upstreams. It
@@ -166,8 +166,8 @@
 	}
 }
 
-// tick sends watches to the disk VMs and loads to the other routers, and removes the loads of
-// silent routers and the upstreams that no disk VM lists any more.
+// tick sends watches to the disk VMs and load reports to the other routers, and removes the
+// loads of silent routers and the upstreams that no disk VM lists any more.
 func (r *Router) tick() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -176,7 +176,7 @@
 	r.logEvents()
 	r.updateRouters(now)
 	r.fabric.SendAll(r.relay.Due(now))
-	r.sendLoads(now)
+	r.sendLoadReports(now)
 	for _, id := range r.balancer.Expire(now) {
 		r.log.Info().Str("event", "router-silent").Str("router", string(id)).Msg("no message from this router lately, its load no longer counts")
 	}
@@ -224,16 +224,16 @@
 	}
 }
 
-// sendLoads sends this router's loads to its neighbours, which may relay them: all loads at
-// every balance.FullReportInterval, and in between only the changes.
-func (r *Router) sendLoads(now time.Duration) {
-	if now-r.loadsSentAt < r.balancer.ReportInterval() {
+// sendLoadReports sends load reports to this router's neighbours, which may relay them: all of
+// its loads at every balance.FullReportInterval, and in between only the changes.
+func (r *Router) sendLoadReports(now time.Duration) {
+	if now-r.reportSentAt < r.balancer.ReportInterval() {
 		return
 	}
-	r.loadsSentAt = now
-	full := now-r.fullLoadsSentAt >= balance.FullReportInterval
+	r.reportSentAt = now
+	full := now-r.fullReportSentAt >= balance.FullReportInterval
 	if full {
-		r.fullLoadsSentAt = now
+		r.fullReportSentAt = now
 	}
 	for _, message := range r.balancer.PendingReports(full) {
 		r.fabric.Send(message.To, message.Report)
@@ -258,8 +258,8 @@
 // learns of all of them at once and writes one line.
 const maxUpstreamLines = 8
 
-// applyRoster passes a changed roster to the balancer, closes connections to
-// upstreams that aren't ready, and logs the changes.
+// applyRoster passes a changed roster to the balancer, closes idle connections to upstreams
+// that aren't ready, and logs the changes.
 func (r *Router) applyRoster() {
 	if r.roster.Revision() == r.rosterRevision {
 		return
@@ -268,7 +268,7 @@
 	changed := r.balancer.SetRoster(r.roster.Entries())
 	for _, e := range changed {
 		if e.State != roster.Ready {
-			r.pool.Forget(e.Address)
+			r.pool.CloseIdle(e.Address)
 		}
 	}
 	if len(changed) > maxUpstreamLines {
@@ -375,13 +375,13 @@
 // logEjections writes a line for each upstream that is ejected from now on because of its
 // failures, or no longer ejected.
 func (r *Router) logEjections(now time.Duration) {
-	for _, j := range r.balancer.HealthChanges(now) {
+	for _, change := range r.balancer.HealthChanges(now) {
 		line, event := r.log.Info(), "upstream-trusted"
-		if j.Ejected {
+		if change.Ejected {
 			line, event = r.log.Warn(), "upstream-avoided"
 		}
-		line.Str("event", event).Str("upstream", string(j.ID)).Float64("failed", j.Failed).Float64("served", j.Served).
-			Int64("alone_ms", j.Backoff.Milliseconds()).Send()
+		line.Str("event", event).Str("upstream", string(change.ID)).Float64("failed", change.Failed).Float64("served", change.Served).
+			Int64("alone_ms", change.Backoff.Milliseconds()).Send()
 	}
 }
 
