--- a/coordination/fleetstate/command.go
+++ b/coordination/fleetstate/command.go
@@ -11,8 +11,8 @@
 	"endiveplank/protocol/codec"
 )
 
-// MaxCommand bounds one encoded command in bytes. It holds a change of 2,400
-// customer rows.
+// MaxCommand is the maximum size of an encoded command in bytes. A change of
+// 2,400 customer rows fits.
 const MaxCommand = 4 << 20
 
 // Command is one entry of the replicated log. Exactly one field is set.
@@ -28,26 +28,26 @@
 	Move      *ownership.Move    `msgpack:"m,omitempty"`
 	Release   *ownership.Release `msgpack:"r,omitempty"`
 	Forget    *ownership.Forget  `msgpack:"f,omitempty"`
-	// Register and Remove change what is known of an upstream.
+	// Register and Remove change the registered upstreams.
 	Register *registry.Register `msgpack:"n,omitempty"`
 	Remove   *registry.Remove   `msgpack:"d,omitempty"`
-	// Engine is about orders to engines.
+	// Engine is a command about orders to engines.
 	Engine *engineorders.Command `msgpack:"e,omitempty"`
 }
 
-// Outcome says whether a command could be run at all. What it did is in the
-// part's own answer.
+// Outcome says whether a command could be run at all. Its effect is in the
+// answer of the part that ran it.
 type Outcome string
 
 const (
-	// Ran means that the part's answer is set.
+	// Ran means that the command was run and its part's answer is set.
 	Ran Outcome = "ran"
 	// Malformed means that the command could not be decoded or does not hold
 	// exactly one request. It changed nothing.
 	Malformed Outcome = "malformed"
 )
 
-// Result is the answer to a command.
+// Result is the result of a command. At most one answer is set.
 type Result struct {
 	Outcome Outcome `msgpack:"o"`
 	// Index is the log index of the command.
@@ -65,23 +65,22 @@
 	return codec.Marshal(&c)
 }
 
-// DecodeCommand reads a command. An error means that Apply would give
-// Malformed.
+// DecodeCommand decodes a command. On an error, Apply would return Malformed.
 func DecodeCommand(encoded []byte) (Command, error) {
 	var command Command
 	if len(encoded) > MaxCommand {
-		return command, eris.Errorf("fleetstate: a command of %d bytes is over the limit", len(encoded))
+		return command, eris.Errorf("fleetstate: command of %d bytes exceeds the limit of %d bytes", len(encoded), MaxCommand)
 	}
 	if err := codec.Unmarshal(encoded, &command); err != nil {
 		return Command{}, eris.Wrap(err, "fleetstate: decode command")
 	}
-	if command.requests() != 1 {
-		return Command{}, eris.New("fleetstate: a command must hold exactly one request")
+	if command.countRequests() != 1 {
+		return Command{}, eris.Errorf("fleetstate: command holds %d requests, must hold exactly one", command.countRequests())
 	}
 	return command, nil
 }
 
-func (c Command) requests() int {
+func (c Command) countRequests() int {
 	count := 0
 	for _, set := range []bool{
 		c.Change != nil, c.Order != nil, c.Configure != nil, c.Open != nil, c.Stop != nil, c.Close != nil,
@@ -95,7 +94,7 @@
 	return count
 }
 
-// DecodeResult reads the result that Apply returned.
+// DecodeResult decodes the result that Apply returned.
 func DecodeResult(encoded []byte) (Result, error) {
 	var result Result
 	if err := codec.Unmarshal(encoded, &result); err != nil {
--- a/coordination/fleetstate/delta.go
+++ b/coordination/fleetstate/delta.go
@@ -11,10 +11,10 @@
 	"endiveplank/protocol"
 )
 
-// Kind says what an item is.
+// Kind is the type of an item.
 type Kind uint8
 
-// The kinds of items that routers see.
+// The kinds of items that routers receive.
 const (
 	KindRow Kind = iota + 1
 	KindSession
@@ -24,7 +24,8 @@
 	kindEnd Kind = 255
 )
 
-// Item names one thing that routers see: a row, a session or an assignment.
+// Item identifies one thing that routers receive: a row, a session, an
+// assignment or the descriptor of an upstream.
 type Item struct {
 	Kind    Kind                `msgpack:"k"`
 	Sheet   table.Sheet         `msgpack:"h,omitempty"`
@@ -46,44 +47,46 @@
 	return cmp.Compare(a.Session, b.Session)
 }
 
-// Entry is one changed item in a delta: what it is now, or that it is gone.
+// Entry is one changed item in a delta: its present value, or in Removed the
+// item that was removed.
 type Entry struct {
 	Row        *table.Row            `msgpack:"r,omitempty"`
 	Session    *ownership.Session    `msgpack:"s,omitempty"`
 	Assignment *ownership.Assignment `msgpack:"a,omitempty"`
-	Gone       *Item                 `msgpack:"g,omitempty"`
+	Removed    *Item                 `msgpack:"g,omitempty"`
 	Descriptor *registry.Descriptor  `msgpack:"d,omitempty"`
 }
 
-// Position says how far a reader is.
+// Position is how far a reader has read the changes.
 type Position struct {
-	// Revision and Item are the last entry the reader holds. A zero Item
-	// means that it holds the whole of Revision.
+	// Revision and Item identify the last entry that the reader has. A nil
+	// Item means that the reader has the whole of Revision.
 	Revision uint64 `msgpack:"r"`
 	Item     *Item  `msgpack:"i,omitempty"`
-	// Base is the revision that the reader's state is certainly complete for
-	// as far as removals go: its applied revision, or, in a catch-up from an
-	// empty state, the newest revision when that began. Zero means Revision.
+	// Base is the revision up to which the reader's state certainly reflects
+	// all removals. It is the reader's applied revision, or, in a catch-up
+	// from an empty state, the newest revision when the catch-up began. Zero
+	// means Revision.
 	Base uint64 `msgpack:"b,omitempty"`
 }
 
 // Delta takes a reader from one position to a later one.
 type Delta struct {
-	// From is the position that the delta follows; a reader at another one
-	// ignores the delta.
+	// From is the position that the delta follows. A reader at another
+	// position ignores the delta.
 	From Position `msgpack:"f"`
-	// Reset tells the reader to begin with an empty state, because removals
-	// since its position are no longer known.
+	// Reset tells the reader to start from an empty state, because the
+	// removals since its position are no longer remembered.
 	Reset   bool     `msgpack:"z,omitempty"`
 	Entries []Entry  `msgpack:"e,omitempty"`
 	To      Position `msgpack:"t"`
-	// More says that further chunks follow; the reader must not use what it
-	// has until the last one.
+	// More means that further chunks follow. The reader must not use the new
+	// entries before the last chunk.
 	More bool `msgpack:"m,omitempty"`
 }
 
-// DeltaSince returns what changed after a position, at most about budget bytes
-// of it, but at least one entry.
+// DeltaSince returns the changes after a position. It returns at least one
+// entry, if there are any, and about budget bytes at most.
 func (m *Machine) DeltaSince(from Position, budget int) Delta {
 	delta := Delta{From: from}
 	base := max(from.Base, 0)
@@ -91,12 +94,12 @@
 		base = from.Revision
 	}
 	at := from
-	if base < m.log.Floor() || from.Revision == 0 && from.Item == nil {
+	if base < m.changeLog.Floor() || from.Revision == 0 && from.Item == nil {
 		delta.Reset = true
 		base = m.Revision()
 		at = Position{}
 	}
-	last, more := m.fill(&delta, at, budget)
+	last, more := m.addEntries(&delta, at, budget)
 	if more {
 		delta.More = true
 		delta.To = Position{Revision: last.Revision, Item: &last.Item, Base: base}
@@ -106,15 +109,15 @@
 	return delta
 }
 
-// fill adds entries up to the budget and returns the last one added and
-// whether some are left.
-func (m *Machine) fill(delta *Delta, at Position, budget int) (last revlog.Entry[Item], more bool) {
+// addEntries adds entries to a delta up to the budget. It returns the last
+// entry added and whether more are left.
+func (m *Machine) addEntries(delta *Delta, at Position, budget int) (last revlog.Entry[Item], more bool) {
 	item := Item{Kind: kindEnd}
 	if at.Item != nil {
 		item = *at.Item
 	}
 	used := 0
-	m.log.Since(at.Revision, item, func(change revlog.Entry[Item]) bool {
+	m.changeLog.Since(at.Revision, item, func(change revlog.Entry[Item]) bool {
 		if delta.Reset && change.Gone {
 			return true
 		}
@@ -134,7 +137,7 @@
 func (m *Machine) entry(change revlog.Entry[Item]) Entry {
 	item := change.Item
 	if change.Gone {
-		return Entry{Gone: &item}
+		return Entry{Removed: &item}
 	}
 	switch item.Kind {
 	case KindRow:
@@ -151,11 +154,11 @@
 	return Entry{Assignment: &assignment}
 }
 
-// entryOverhead is the encoded size of an entry beside its texts, in bytes,
+// entryOverhead is the encoded size of an entry without its strings, in bytes,
 // rounded up.
 const entryOverhead = 32
 
-// size estimates the encoded size in bytes, for the chunk budget.
+// size estimates the encoded size in bytes, to keep chunks within the budget.
 func (e Entry) size() int {
 	switch {
 	case e.Row != nil:
@@ -171,5 +174,5 @@
 	case e.Descriptor != nil:
 		return 3*entryOverhead + len(e.Descriptor.ID) + len(e.Descriptor.Address) + 16*len(e.Descriptor.Models)
 	}
-	return entryOverhead + len(e.Gone.Key)
+	return entryOverhead + len(e.Removed.Key)
 }
--- a/coordination/fleetstate/golden_test.go
+++ b/coordination/fleetstate/golden_test.go
@@ -16,10 +16,11 @@
 	"endiveplank/protocol"
 )
 
-// session is one short life of the state: a router joins, a customer and a
-// route are set up, two operators race, an upstream is owned and released, an
-// order runs, another is sealed, and the router leaves.
-func session() []Command {
+// sessionCommands returns the commands of a short session: a router joins, a
+// customer and a route are created, two operators write the same row, an
+// upstream is owned and released, one order runs, another is sealed, and the
+// router leaves.
+func sessionCommands() []Command {
 	weight := func(id string, expect uint64, value string) Command {
 		return Command{Change: &table.Change{ID: id, Who: "ana", Why: "season", At: 1_700_000_000_000, Edits: []table.Edit{
 			{Sheet: table.Customers, Key: "ramp", Expect: expect, Cells: []table.Cell{{Column: "weight", Value: value}}},
@@ -56,13 +57,15 @@
 	}
 }
 
-// A fleet is updated VM by VM, and a voter reads a log and a snapshot that the
-// version before wrote. Commands, results and snapshots must keep their bytes;
-// a change of them is a new format with a way to read the old one.
+// Guards against an encoding that differs from the previous version's. A fleet
+// is updated VM by VM, so a voter reads a log and a snapshot that the previous
+// version wrote. The bytes of commands, results and snapshots must stay the
+// same. A change of them is a new format, and needs code that still reads the
+// old one.
 func TestGoldenSession(t *testing.T) {
 	m := New(DefaultSettings())
 	var out strings.Builder
-	for i, command := range session() {
+	for i, command := range sessionCommands() {
 		encoded := command.Encode()
 		result, err := DecodeResult(m.Apply(uint64(i+1), encoded))
 		assert.NilError(t, err)
--- a/coordination/fleetstate/machine.go
+++ b/coordination/fleetstate/machine.go
@@ -1,25 +1,28 @@
-// Package fleetstate is the fleet's one replicated state machine. Consensus
-// gives every voter the same commands in the same order; Machine applies them.
+// Package fleetstate is the replicated state machine of the fleet. Consensus
+// gives every voter the same commands in the same order, and Machine applies
+// them.
 //
-// It is put together from parts: the operators' table (package table), the
-// journal of orders (package orders), router sessions with the ownership of
-// upstreams (package ownership), what is known of upstreams (package registry)
-// and the orders to engines (package engineorders). Machine routes each command to
-// its part and notes which rows, sessions and assignments changed at which
-// revision. A revision is a log index.
+// Machine consists of parts: the operators' table (package table), the journal
+// of orders (package orders), router sessions and the ownership of upstreams
+// (package ownership), the registered upstreams (package registry) and the
+// orders to engines (package engineorders). It passes each command to its part
+// and records which rows, sessions, assignments and descriptors changed at
+// which revision. A revision is a log index.
 //
-// Routers do not vote. Each keeps a View: rows, sessions and assignments as of
-// one revision. It is fed by deltas (Machine.DeltaSince), which carry only
-// what changed, in chunks of bounded size, and View takes a delta in only when
-// it is whole, so it is never a mixture of two revisions and never goes back.
+// Routers do not vote. Each keeps a View: the rows, sessions, assignments and
+// descriptors as of one revision. Deltas (Machine.DeltaSince) update the view.
+// They carry only the changes, in chunks of bounded size. A View applies the
+// chunks of a delta only when it has all of them, so it never mixes two
+// revisions and never goes back.
 //
-// What it guards against: a command that cannot be decoded (a bug, a newer
-// version, random bytes) gives a typed result on every voter alike and changes
-// nothing. Applying the same index twice would double orders and rows; it is a
-// broken invariant of consensus and stops the process with a message.
+// The package guards against two failures. A command that cannot be decoded
+// (because of a bug, a newer version or random bytes) gives the same typed
+// result on every voter and changes nothing. Applying one index twice would
+// duplicate orders and rows; it means that an invariant of consensus is
+// broken, so Machine panics.
 //
-// Nothing here reads a clock or depends on the order of a map. Times come in
-// as data.
+// The package reads no clock and does not depend on the iteration order of
+// maps. Commands carry the times that it needs.
 package fleetstate
 
 import (
@@ -34,13 +37,13 @@
 	"endiveplank/protocol"
 )
 
-// maxTombstones bounds the remembered removals. Three days of 3,600 changes,
-// all deletions, still leave a router that was away for a weekend able to
-// catch up by delta.
+// maxTombstones bounds how many removals are remembered. With three days of
+// 3,600 changes each, all of them deletions, a router that was away for a
+// weekend can still catch up by deltas.
 const maxTombstones = 10_000
 
-// Settings that an empty state begins with. Every voter must begin with the
-// same ones; later they are changed by a Configure command.
+// Settings are the initial settings of an empty state. Every voter must start
+// with the same ones. A Configure command changes them later.
 type Settings struct {
 	Orders orders.Settings
 }
@@ -50,7 +53,7 @@
 	return Settings{Orders: orders.DefaultSettings()}
 }
 
-// Machine is the state machine. It is not safe for concurrent use; its driver
+// Machine is the state machine. It is not safe for concurrent use: its driver
 // applies, reads and snapshots from one goroutine.
 type Machine struct {
 	index     uint64
@@ -59,10 +62,10 @@
 	ownership *ownership.State
 	registry  *registry.State
 	engines   *engineorders.State
-	log       *revlog.Log[Item]
+	changeLog *revlog.Log[Item]
 }
 
-// New returns the empty state.
+// New returns an empty state machine.
 func New(settings Settings) *Machine {
 	return &Machine{
 		table:     table.New(),
@@ -70,34 +73,35 @@
 		ownership: ownership.NewState(),
 		registry:  registry.NewState(),
 		engines:   engineorders.NewState(),
-		log:       revlog.New(CompareItems, maxTombstones),
+		changeLog: revlog.New(CompareItems, maxTombstones),
 	}
 }
 
 // Index returns the log index of the last applied command.
 func (m *Machine) Index() uint64 { return m.index }
 
-// Revision returns the log index of the last command that changed what
-// routers see.
-func (m *Machine) Revision() uint64 { return m.log.Revision() }
+// Revision returns the log index of the last command that changed what routers
+// receive.
+func (m *Machine) Revision() uint64 { return m.changeLog.Revision() }
 
-// Table returns the operators' table, for reading.
+// Table returns the operators' table. Callers must only read it.
 func (m *Machine) Table() *table.Table { return m.table }
 
-// Orders returns the journal, for reading.
+// Orders returns the journal of orders. Callers must only read it.
 func (m *Machine) Orders() *orders.Journal { return m.journal }
 
-// Ownership returns sessions and assignments, for reading.
+// Ownership returns the sessions and assignments. Callers must only read them.
 func (m *Machine) Ownership() *ownership.State { return m.ownership }
 
-// Registry returns what is known of the upstreams, for reading.
+// Registry returns the registered upstreams. Callers must only read them.
 func (m *Machine) Registry() *registry.State { return m.registry }
 
-// Engines returns the orders to engines, for reading.
+// Engines returns the orders to engines. Callers must only read them.
 func (m *Machine) Engines() *engineorders.State { return m.engines }
 
 // Apply runs the command at a log index and returns its encoded Result.
-// Indexes must grow; consensus may leave some out (its own entries).
+// Indexes must increase. Consensus may skip some, which hold entries of its
+// own.
 func (m *Machine) Apply(index uint64, encoded []byte) []byte {
 	if index <= m.index {
 		panic(fmt.Sprintf("fleetstate: index %d applied after %d", index, m.index))
@@ -107,13 +111,13 @@
 	if err != nil {
 		return Result{Outcome: Malformed, Index: index}.encode()
 	}
-	result := m.run(index, command)
+	result := m.applyCommand(index, command)
 	result.Outcome = Ran
 	result.Index = index
 	return result.encode()
 }
 
-func (m *Machine) run(index uint64, command Command) Result {
+func (m *Machine) applyCommand(index uint64, command Command) Result {
 	switch {
 	case command.Change != nil:
 		answer, touched := m.table.Apply(index, *command.Change)
@@ -140,12 +144,12 @@
 		answer := m.engines.Apply(index, *command.Engine)
 		return Result{Engine: &answer}
 	}
-	answer, touched := m.runOwnership(index, command)
+	answer, touched := m.applyOwnership(index, command)
 	m.recordOwnership(index, touched)
 	return Result{Ownership: &answer}
 }
 
-func (m *Machine) runOwnership(index uint64, command Command) (ownership.Answer, []ownership.Touched) {
+func (m *Machine) applyOwnership(index uint64, command Command) (ownership.Answer, []ownership.Touched) {
 	switch {
 	case command.Open != nil:
 		return m.ownership.Open(index, *command.Open)
@@ -175,7 +179,7 @@
 	if !changed {
 		return
 	}
-	m.log.Record([]revlog.Entry[Item]{{Revision: index, Item: descriptorItem(id), Gone: gone}})
+	m.changeLog.Record([]revlog.Entry[Item]{{Revision: index, Item: descriptorItem(id), Gone: gone}})
 }
 
 func (m *Machine) recordRows(index uint64, touched []table.Touched) {
@@ -183,19 +187,19 @@
 	for _, row := range touched {
 		changes = append(changes, revlog.Entry[Item]{Revision: index, Item: rowItem(row.Ref), Gone: row.Gone})
 	}
-	m.log.Record(changes)
+	m.changeLog.Record(changes)
 }
 
 func (m *Machine) recordOwnership(index uint64, touched []ownership.Touched) {
 	changes := make([]revlog.Entry[Item], 0, len(touched))
 	for _, t := range touched {
-		item := upstreamItem(t.Upstream)
+		item := assignmentItem(t.Upstream)
 		if t.Session != ownership.NoSession {
 			item = sessionItem(t.Session)
 		}
 		changes = append(changes, revlog.Entry[Item]{Revision: index, Item: item, Gone: t.Gone})
 	}
-	m.log.Record(changes)
+	m.changeLog.Record(changes)
 }
 
 func rowItem(ref table.Ref) Item {
@@ -206,7 +210,7 @@
 	return Item{Kind: KindSession, Session: id}
 }
 
-func upstreamItem(upstream protocol.UpstreamID) Item {
+func assignmentItem(upstream protocol.UpstreamID) Item {
 	return Item{Kind: KindAssignment, Key: string(upstream)}
 }
 
--- a/coordination/fleetstate/machine_test.go
+++ b/coordination/fleetstate/machine_test.go
@@ -19,10 +19,10 @@
 	"endiveplank/protocol/codec"
 )
 
-// CI runs the properties on one seed; -rapid.seed gives others.
+// CI runs the properties with one seed; -rapid.seed selects others.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// drawCommand draws a command over few names, so that commands meet.
+// drawCommand draws a command over few names, so that commands conflict.
 func drawCommand(t *rapid.T, m *Machine) Command {
 	small := func(label string) string { return fmt.Sprint(rapid.IntRange(0, 4).Draw(t, label)) }
 	session := ownership.SessionID(rapid.Uint64Range(1, m.index+1).Draw(t, "session"))
@@ -83,13 +83,13 @@
 	return &engineorders.Command{Issue: &engineorders.Issue{Office: office, Upstream: upstream, Intent: intent}}
 }
 
-// assertSame checks that a view shows exactly what the machine holds.
+// assertSame checks that a view holds exactly what the machine holds.
 func assertSame(t *rapid.T, m *Machine, v *View) {
 	rows := 0
 	for _, sheet := range table.Sheets {
 		for _, row := range m.table.Rows(sheet) {
-			shown, ok := v.Row(sheet, row.Key)
-			assert.Assert(t, ok && shown.Revision == row.Revision, "%s %s", sheet, row.Key)
+			got, ok := v.Row(sheet, row.Key)
+			assert.Assert(t, ok && got.Revision == row.Revision, "%s %s", sheet, row.Key)
 			rows++
 		}
 	}
@@ -97,8 +97,8 @@
 	assert.Equal(t, len(v.current.sessions), len(m.ownership.Sessions()))
 	assert.Equal(t, len(v.current.assignments), len(m.ownership.Assignments()))
 	for _, assignment := range m.ownership.Assignments() {
-		shown, _ := v.Assignment(assignment.Upstream)
-		assert.Equal(t, shown, assignment)
+		got, _ := v.Assignment(assignment.Upstream)
+		assert.Equal(t, got, assignment)
 	}
 	for _, row := range m.table.Rows(table.Customers) {
 		for _, hash := range table.CustomerOf(row).KeyHashes {
@@ -108,10 +108,12 @@
 	}
 }
 
-// Whatever commands come, and wherever a voter is restored from a snapshot,
-// replicas hold the same bytes and answer alike; a router that is sent deltas
-// in chunks of any size, with duplicates and losses, between which the state
-// goes on, shows one whole revision, never an older one, and in the end all.
+// Guards against replicas that diverge and views that mix revisions. Whatever
+// the commands, and wherever a voter is restored from a snapshot, replicas
+// hold the same bytes and return the same results. A router receives deltas in
+// chunks of any size, with duplicates and losses, while the state goes on
+// changing. Its view always holds one whole revision, never goes back, and in
+// the end holds everything.
 func TestReplicasAndViewsAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first, second, view := New(DefaultSettings()), New(DefaultSettings()), NewView()
@@ -124,23 +126,24 @@
 				second = New(DefaultSettings())
 				assert.NilError(t, second.Restore(snapshot))
 			}
-			before, shown := view.Revision(), fmt.Sprint(view.current)
+			before, content := view.Revision(), fmt.Sprint(view.current)
 			delta := second.DeltaSince(view.Position(), rapid.IntRange(0, 200).Draw(t, "budget"))
 			for range rapid.IntRange(0, 2).Draw(t, "copies") {
-				view.Take(delta)
+				view.ApplyDelta(delta)
 			}
 			assert.Assert(t, view.Revision() >= before)
-			assert.Assert(t, view.Revision() > before || fmt.Sprint(view.current) == shown, "a mixture of revisions")
+			assert.Assert(t, view.Revision() > before || fmt.Sprint(view.current) == content, "a mixture of revisions")
 		}
 		for view.Revision() < first.Revision() {
-			assert.Assert(t, view.Take(first.DeltaSince(view.Position(), 100)))
+			assert.Assert(t, view.ApplyDelta(first.DeltaSince(view.Position(), 100)))
 		}
 		assertSame(t, first, view)
 	})
 }
 
-// A snapshot of many orders is encoded while the voter goes on: it must show
-// the state as it was when it was taken, byte for byte.
+// Guards against a snapshot that mixes revisions. A snapshot of many orders is
+// encoded while the voter applies further commands. It must hold the state as
+// of its capture, byte for byte.
 func TestCaptureIsASnapshotInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New(DefaultSettings())
@@ -158,10 +161,10 @@
 	})
 }
 
-// A router was away while more rows were deleted than are remembered. Sent
-// only the changes, it would serve the deleted rows for ever; it has to start
-// from an empty state.
-func TestViewBelowTheFloorStartsAnew(t *testing.T) {
+// Guards against a router that serves deleted rows forever. While it was away,
+// more rows were deleted than the machine remembers, so the changes alone do
+// not tell it about all removals. It must start from an empty state.
+func TestViewBelowTombstoneFloorIsReset(t *testing.T) {
 	m, view := New(DefaultSettings()), NewView()
 	index := uint64(0)
 	apply := func(edit table.Edit) {
@@ -174,7 +177,7 @@
 	for i := range maxTombstones + 1 {
 		apply(table.Edit{Sheet: table.Models, Key: fmt.Sprint("m", i), Cells: nil})
 	}
-	assert.Assert(t, view.Take(m.DeltaSince(view.Position(), 1<<30)))
+	assert.Assert(t, view.ApplyDelta(m.DeltaSince(view.Position(), 1<<30)))
 	for i := range maxTombstones + 1 {
 		key := fmt.Sprint("m", i)
 		apply(table.Edit{Sheet: table.Models, Key: key, Expect: m.table.Revision(table.Models, key), Delete: true})
@@ -183,13 +186,14 @@
 	assert.NilError(t, restored.Restore(m.Snapshot()))
 	delta := restored.DeltaSince(view.Position(), 1<<30)
 	assert.Equal(t, delta.Reset, true)
-	assert.Assert(t, view.Take(delta))
+	assert.Assert(t, view.ApplyDelta(delta))
 	assert.Equal(t, len(view.current.rows), 0)
 	assert.Equal(t, view.Revision(), index)
 }
 
-// A key hash moves from one customer to another in one change. Whichever row
-// the delta names first, the key belongs to the new customer.
+// One change moves a key hash from one customer to another. The key must
+// belong to the new customer, whichever of the two rows comes first in the
+// delta.
 func TestKeyHashMoves(t *testing.T) {
 	row := func(key, hash string) table.Row {
 		return table.Row{Sheet: table.Customers, Key: key, Cells: []string{hash, "1", "1", "0", "0", "0", ""}}
@@ -206,7 +210,7 @@
 	}
 }
 
-// A path must find the longest route that ends at a path segment.
+// RouteFor must find the longest route that ends at a path segment.
 func TestRouteFor(t *testing.T) {
 	view := NewView()
 	for _, prefix := range []string{"/desk", "/desk/orders", "/x/"} {
@@ -221,8 +225,9 @@
 	}
 }
 
-// Bytes that no leader wrote (a bug, a newer version, a flipped bit) must not
-// stop a voter: all voters would stop at the same entry, for good.
+// Guards against bytes that stop a voter and that no leader wrote (a bug, a
+// newer version, a flipped bit). All voters would stop at the same entry, at
+// every start.
 func FuzzApply(f *testing.F) {
 	f.Add(Command{Order: &orders.Command{Op: orders.OpReserve, Key: orders.Key{Customer: "c", Key: "k"}}}.Encode())
 	f.Add(Command{Assign: &ownership.Assign{Targets: []ownership.Target{{Upstream: "u", Owner: 1}}}}.Encode())
@@ -235,13 +240,13 @@
 		assert.Assert(t, result.Outcome == Ran || result.Outcome == Malformed)
 		assert.NilError(t, New(DefaultSettings()).Restore(m.Snapshot()))
 		_ = New(DefaultSettings()).Restore(encoded)
-		NewView().Take(m.DeltaSince(Position{}, 1))
+		NewView().ApplyDelta(m.DeltaSince(Position{}, 1))
 	})
 }
 
-// BenchmarkOrders measures one whole order (reserve, dispatch, done with a body
-// of 300 bytes) through the machine: time, bytes in the log, and bytes in the
-// snapshot. Run it with -benchtime=20000x.
+// BenchmarkOrders measures one whole order (reserve, dispatch, done with a
+// body of 300 bytes) in the machine: the time, the bytes in the log, and the
+// bytes in the snapshot. Run it with -benchtime=20000x.
 func BenchmarkOrders(b *testing.B) {
 	settings := DefaultSettings()
 	settings.Orders.MaxBytes = 1 << 30
@@ -275,7 +280,7 @@
 }
 
 // BenchmarkView measures a router's copy of 2,400 customers, 790 assignments
-// and 330 sessions: the bytes to send it whole, in chunks of 16 KB, and its
+// and 330 sessions: the bytes to send all of it, in chunks of 16 KB, and its
 // memory.
 func BenchmarkView(b *testing.B) {
 	m := New(DefaultSettings())
@@ -300,7 +305,7 @@
 			encoded := codec.MarshalArrays(m.DeltaSince(view.Position(), 16<<10))
 			var delta Delta
 			assert.NilError(b, codec.Unmarshal(encoded, &delta))
-			assert.Assert(b, view.Take(delta))
+			assert.Assert(b, view.ApplyDelta(delta))
 			sent += len(encoded)
 			chunks++
 		}
--- a/coordination/fleetstate/registry_test.go
+++ b/coordination/fleetstate/registry_test.go
@@ -9,10 +9,11 @@
 	"endiveplank/coordination/registry"
 )
 
-// A voter restarts from a snapshot, and routers that are new to the fleet catch
-// up from it. If the snapshot left out what upstreams announced, they would see
-// a fleet without engines until each announced a change.
-func TestSnapshotKeepsWhatUpstreamsAnnounced(t *testing.T) {
+// Guards against a snapshot without the upstreams' descriptors. A voter
+// restarts from a snapshot, and routers that are new to the fleet catch up
+// from it. Without the descriptors they would see a fleet without engines
+// until each engine announced a change.
+func TestSnapshotKeepsUpstreamDescriptors(t *testing.T) {
 	machine := fleetstate.New(fleetstate.DefaultSettings())
 	known := registry.Descriptor{ID: "e1", Incarnation: 1, Kind: "engine", Address: "127.0.0.1:1", Capacity: 10, MaxConcurrent: 4}
 	machine.Apply(1, fleetstate.Command{Register: &registry.Register{Descriptor: known}}.Encode())
@@ -22,7 +23,7 @@
 	view := fleetstate.NewView()
 	for more := true; more; {
 		delta := restored.DeltaSince(view.Position(), 1<<20)
-		assert.Assert(t, view.Take(delta))
+		assert.Assert(t, view.ApplyDelta(delta))
 		more = delta.More
 	}
 	found := 0
--- a/coordination/fleetstate/view.go
+++ b/coordination/fleetstate/view.go
@@ -9,64 +9,65 @@
 	"endiveplank/protocol"
 )
 
-// View is a router's copy of what it needs of the state, as of one revision.
-// It is not safe for concurrent use.
+// View is a router's copy of the part of the state that routers need, as of
+// one revision. It is not safe for concurrent use.
 type View struct {
-	current content
-	// staged is the state that chunks are put into until the last one came;
-	// nil when no catch-up runs.
-	staged *content
-	// position is where the next delta has to begin.
+	current viewContent
+	// staged receives the chunks of a catch-up until the last one arrives. It
+	// is nil when no catch-up is running.
+	staged *viewContent
+	// position is where the next delta must begin.
 	position Position
 	revision uint64
 }
 
-type content struct {
-	rows        map[table.Ref]table.Row
-	customers   map[string]protocol.CustomerID
-	sessions    map[ownership.SessionID]ownership.Session
-	assignments map[protocol.UpstreamID]ownership.Assignment
-	descriptors map[protocol.UpstreamID]registry.Descriptor
+type viewContent struct {
+	rows               map[table.Ref]table.Row
+	customersByKeyHash map[string]protocol.CustomerID
+	sessions           map[ownership.SessionID]ownership.Session
+	assignments        map[protocol.UpstreamID]ownership.Assignment
+	descriptors        map[protocol.UpstreamID]registry.Descriptor
 }
 
-func newContent() content {
-	return content{
-		rows:        map[table.Ref]table.Row{},
-		customers:   map[string]protocol.CustomerID{},
-		sessions:    map[ownership.SessionID]ownership.Session{},
-		assignments: map[protocol.UpstreamID]ownership.Assignment{},
-		descriptors: map[protocol.UpstreamID]registry.Descriptor{},
+func newViewContent() viewContent {
+	return viewContent{
+		rows:               map[table.Ref]table.Row{},
+		customersByKeyHash: map[string]protocol.CustomerID{},
+		sessions:           map[ownership.SessionID]ownership.Session{},
+		assignments:        map[protocol.UpstreamID]ownership.Assignment{},
+		descriptors:        map[protocol.UpstreamID]registry.Descriptor{},
 	}
 }
 
-func (c content) clone() content {
-	return content{
-		rows:        maps.Clone(c.rows),
-		customers:   maps.Clone(c.customers),
-		sessions:    maps.Clone(c.sessions),
-		assignments: maps.Clone(c.assignments),
-		descriptors: maps.Clone(c.descriptors),
+func (c viewContent) clone() viewContent {
+	return viewContent{
+		rows:               maps.Clone(c.rows),
+		customersByKeyHash: maps.Clone(c.customersByKeyHash),
+		sessions:           maps.Clone(c.sessions),
+		assignments:        maps.Clone(c.assignments),
+		descriptors:        maps.Clone(c.descriptors),
 	}
 }
 
 // NewView returns an empty view at revision 0.
-func NewView() *View { return &View{current: newContent()} }
+func NewView() *View { return &View{current: newViewContent()} }
 
-// Revision returns the revision that the view shows. It never falls.
+// Revision returns the view's revision. It never decreases.
 func (v *View) Revision() uint64 { return v.revision }
 
-// Position returns where the next delta has to begin. During a catch-up in
+// Position returns where the next delta must begin. During a catch-up in
 // chunks it is ahead of Revision.
 func (v *View) Position() Position { return v.position }
 
-// Take applies a delta and reports whether it fitted. A delta that follows
-// another position (a duplicate, one overtaken by a newer, one of a former
-// leader) is ignored, so the view can neither skip a change nor go back.
-func (v *View) Take(delta Delta) bool {
+// ApplyDelta applies a delta and reports whether it did. It ignores a delta
+// that does not begin at the view's position (a duplicate, one that a newer
+// delta overtook, or one of a former leader), so the view can neither skip a
+// change nor go back.
+func (v *View) ApplyDelta(delta Delta) bool {
 	if !samePosition(delta.From, v.position) || delta.To.Revision < v.position.Revision && !delta.Reset {
 		return false
 	}
-	target := v.target(delta)
+	target := v.targetContent(delta)
 	for _, entry := range delta.Entries {
 		target.put(entry)
 	}
@@ -76,8 +77,9 @@
 		return true
 	}
 	if delta.To.Revision < v.revision {
-		// A catch-up from empty with a leader that knows less than this view:
-		// not possible with a leader that holds its lease. Start again.
+		// This is a catch-up from an empty state by a leader whose state is
+		// older than this view. A leader that holds its lease cannot send one.
+		// Start the catch-up again.
 		v.staged = nil
 		v.position = Position{Revision: v.revision}
 		return false
@@ -88,12 +90,12 @@
 	return true
 }
 
-// target returns the content that a delta's entries go into. A delta that is
-// whole goes straight into the current content; chunks go into a copy.
-func (v *View) target(delta Delta) *content {
+// targetContent returns the content to which a delta's entries are added: the
+// current content for a delta in one piece, a copy for a delta in chunks.
+func (v *View) targetContent(delta Delta) *viewContent {
 	switch {
 	case delta.Reset:
-		fresh := newContent()
+		fresh := newViewContent()
 		return &fresh
 	case v.staged != nil:
 		return v.staged
@@ -114,7 +116,7 @@
 	return *a.Item == *b.Item
 }
 
-func (c *content) put(entry Entry) {
+func (c *viewContent) put(entry Entry) {
 	switch {
 	case entry.Row != nil:
 		c.putRow(*entry.Row)
@@ -124,40 +126,40 @@
 		c.assignments[entry.Assignment.Upstream] = *entry.Assignment
 	case entry.Descriptor != nil:
 		c.descriptors[entry.Descriptor.ID] = *entry.Descriptor
-	case entry.Gone != nil:
-		c.remove(*entry.Gone)
+	case entry.Removed != nil:
+		c.remove(*entry.Removed)
 	}
 }
 
-func (c *content) putRow(row table.Row) {
+func (c *viewContent) putRow(row table.Row) {
 	ref := table.Ref{Sheet: row.Sheet, Key: row.Key}
-	c.dropHashes(ref)
+	c.dropKeyHashes(ref)
 	c.rows[ref] = row
 	if row.Sheet != table.Customers {
 		return
 	}
 	for _, hash := range table.CustomerOf(row).KeyHashes {
-		c.customers[hash] = protocol.CustomerID(row.Key)
+		c.customersByKeyHash[hash] = protocol.CustomerID(row.Key)
 	}
 }
 
-func (c *content) dropHashes(ref table.Ref) {
+func (c *viewContent) dropKeyHashes(ref table.Ref) {
 	old, ok := c.rows[ref]
 	if !ok || ref.Sheet != table.Customers {
 		return
 	}
 	for _, hash := range table.CustomerOf(old).KeyHashes {
-		if c.customers[hash] == protocol.CustomerID(ref.Key) {
-			delete(c.customers, hash)
+		if c.customersByKeyHash[hash] == protocol.CustomerID(ref.Key) {
+			delete(c.customersByKeyHash, hash)
 		}
 	}
 }
 
-func (c *content) remove(item Item) {
+func (c *viewContent) remove(item Item) {
 	switch item.Kind {
 	case KindRow:
 		ref := table.Ref{Sheet: item.Sheet, Key: item.Key}
-		c.dropHashes(ref)
+		c.dropKeyHashes(ref)
 		delete(c.rows, ref)
 	case KindSession:
 		delete(c.sessions, item.Session)
@@ -174,10 +176,10 @@
 	return row, ok
 }
 
-// CustomerByKeyHash finds a customer by the SHA-256 of a bearer key, in lower
-// case hexadecimal.
+// CustomerByKeyHash finds a customer by the SHA-256 of a bearer key, in
+// lower-case hexadecimal.
 func (v *View) CustomerByKeyHash(hash string) (table.Customer, bool) {
-	id, ok := v.current.customers[hash]
+	id, ok := v.current.customersByKeyHash[hash]
 	if !ok {
 		return table.Customer{}, false
 	}
@@ -186,7 +188,7 @@
 }
 
 // RouteFor finds the route with the longest prefix of path. A prefix matches
-// whole path segments.
+// only whole path segments.
 func (v *View) RouteFor(path string) (table.Route, bool) {
 	for end := len(path); end > 0; end-- {
 		if end < len(path) && path[end] != '/' && path[end-1] != '/' {
@@ -211,7 +213,7 @@
 	return assignment, ok
 }
 
-// Rows calls yield for each row of a sheet, in no order.
+// Rows calls yield for each row of a sheet, in no particular order.
 func (v *View) Rows(sheet table.Sheet, yield func(table.Row)) {
 	for ref, row := range v.current.rows {
 		if ref.Sheet == sheet {
@@ -220,21 +222,22 @@
 	}
 }
 
-// Assignments calls yield for each assignment, in no order.
+// Assignments calls yield for each assignment, in no particular order.
 func (v *View) Assignments(yield func(ownership.Assignment)) {
 	for _, assignment := range v.current.assignments {
 		yield(assignment)
 	}
 }
 
-// Sessions calls yield for each open session, in no order.
+// Sessions calls yield for each open session, in no particular order.
 func (v *View) Sessions(yield func(ownership.Session)) {
 	for _, session := range v.current.sessions {
 		yield(session)
 	}
 }
 
-// Descriptors calls yield for each known upstream, in no order.
+// Descriptors calls yield for each registered upstream, in no particular
+// order.
 func (v *View) Descriptors(yield func(registry.Descriptor)) {
 	for _, descriptor := range v.current.descriptors {
 		yield(descriptor)
--- a/coordination/lease/holder.go
+++ b/coordination/lease/holder.go
@@ -148,7 +148,7 @@
 // that asks for what is missing.
 func (h *Holder) OnDelta(now time.Duration, delta fleetstate.Delta) {
 	before := h.view.Position()
-	if !h.view.Take(delta) && delta.To.Revision > before.Revision {
+	if !h.view.ApplyDelta(delta) && delta.To.Revision > before.Revision {
 		h.missed = true
 		h.due = now
 	}
