--- a/coordination/control/restored_test.go
+++ b/coordination/control/restored_test.go
@@ -92,8 +92,8 @@
 		"nobody knows of a newer table": {[]Status{{Version: 4, Restored: true}, {Version: 3, Restored: true}}, restoredTableDelay, true},
 	} {
 		f := NewFollower("r1", true, nil, roster.New(roster.DefaultSettings()))
-		for i, n := range test.status {
-			f.HandleStatus(0, protocol.RouterID(fmt.Sprint("vm", i)), n)
+		for i, status := range test.status {
+			f.HandleStatus(0, protocol.RouterID(fmt.Sprint("vm", i)), status)
 		}
 		_, taken := f.HandleDocument(test.after, "r2", passed, accept)
 		assert.Equal(t, taken, test.taken, name)
@@ -107,7 +107,7 @@
 	w := newWorld(4)
 	w.putTable(1)
 	for i, id := range inOrder(w.vms)[:3] {
-		list := balance.NewKeeperList([]balance.Kept{{Prompt: uint64(i), ID: 7}})
+		list := balance.NewCacheHolderList([]balance.CachedPrefix{{Prefix: uint64(i), ID: 7}})
 		w.vms[id].publisher.HandleCacheHolders(w.now, "r0", list)
 	}
 	w.run(2 * time.Second)
@@ -135,7 +135,7 @@
 		w.restoreTable(id, 8)
 		for i := range 600 {
 			for _, v := range w.vms {
-				v.publisher.CacheHolders().Note(w.now, []balance.Kept{{Prompt: uint64(600*at + i), ID: 7}})
+				v.publisher.CacheHolders().Add(w.now, []balance.CachedPrefix{{Prefix: uint64(600*at + i), ID: 7}})
 			}
 		}
 		for i := range 100 {
--- a/coordination/control/world_test.go
+++ b/coordination/control/world_test.go
@@ -14,15 +14,17 @@
 
 // world connects followers and publishers in one process, with a clock of its own.
 type world struct {
-	now       time.Duration
-	vms       map[protocol.RouterID]*vm
-	routers   map[protocol.RouterID]*testRouter
-	cutOff    map[protocol.RouterID]bool
+	now     time.Duration
+	vms     map[protocol.RouterID]*vm
+	routers map[protocol.RouterID]*testRouter
+	cutOff  map[protocol.RouterID]bool
+	// documents and lists count the tables and lists that disk VMs sent, and listBytes
+	// the bytes of these lists.
 	documents int
 	lists     int
 	listBytes int
 	// cacheHolders are the entries that each router received.
-	cacheHolders map[protocol.RouterID][]balance.Kept
+	cacheHolders map[protocol.RouterID][]balance.CachedPrefix
 }
 
 type vm struct {
@@ -36,7 +38,7 @@
 }
 
 func newWorld(vms int) *world {
-	w := &world{vms: map[protocol.RouterID]*vm{}, routers: map[protocol.RouterID]*testRouter{}, cutOff: map[protocol.RouterID]bool{}, cacheHolders: map[protocol.RouterID][]balance.Kept{}}
+	w := &world{vms: map[protocol.RouterID]*vm{}, routers: map[protocol.RouterID]*testRouter{}, cutOff: map[protocol.RouterID]bool{}, cacheHolders: map[protocol.RouterID][]balance.CachedPrefix{}}
 	for i := range vms {
 		w.startVM(protocol.RouterID(fmt.Sprintf("vm%d", i+1)))
 	}
@@ -93,18 +95,18 @@
 			ack, _ := w.vms[message.To].publisher.HandleAnnouncements(w.now, from, body)
 			w.deliver(message.To, []Message{ack})
 		case Heartbeats:
-			for _, heard := range body.Upstreams {
-				w.vms[message.To].roster.Refresh(w.now, heard)
+			for _, heartbeat := range body.Upstreams {
+				w.vms[message.To].roster.Refresh(w.now, heartbeat)
 			}
 		case List:
 			w.lists++
 			w.listBytes += len(body.Packed)
 			w.routers[message.To].HandleList(w.now, from, body)
-		case balance.KeeperList:
+		case balance.CacheHolderList:
 			if v := w.vms[message.To]; v != nil {
 				v.publisher.HandleCacheHolders(w.now, from, body)
 			} else if w.routers[message.To].HandleCacheHolders(w.now, body) {
-				w.cacheHolders[message.To] = append(w.cacheHolders[message.To], body.Kept()...)
+				w.cacheHolders[message.To] = append(w.cacheHolders[message.To], body.Unpack()...)
 			}
 		case Document:
 			w.documents++
--- a/daemon/fabric/fabric_test.go
+++ b/daemon/fabric/fabric_test.go
@@ -28,15 +28,15 @@
 	control.ChangesAck{Number: 2},
 	control.List{Digest: 5, Packed: []byte{1, 2}},
 	control.Document{Change: document.MakeChange(nil, document.New(7, []byte("a table")))},
-	control.Heartbeats{Upstreams: []roster.Heard{{ID: "u1", Sequence: 35, Content: 9}}},
+	control.Heartbeats{Upstreams: []roster.Heartbeat{{ID: "u1", Sequence: 35, Content: 9}}},
 	control.Announcements{Number: 3, Entries: []roster.Entry{{ID: "u1", Address: "10.0.0.1:80", State: roster.Ready, Sequence: 1}}},
 	control.AnnouncementsAck{Number: 3},
 	control.Put{Call: 1},
 	control.PutReply{Call: 1},
 	control.Read{Call: 2},
 	control.ReadReply{Call: 2},
-	balance.Loads{Whole: true, Works: []balance.Work{{ID: 4, InFlight: 3, Served: 2, Failed: 1}}},
-	balance.NewKeeperList([]balance.Kept{{Prompt: 1 << 63, ID: 4}}),
+	balance.LoadReport{Full: true, Upstreams: []balance.UpstreamLoad{{ID: 4, InFlight: 3, Served: 2, Failed: 1}}},
+	balance.NewCacheHolderList([]balance.CachedPrefix{{Prefix: 1 << 63, ID: 4}}),
 	crashes.Crash{Digest: 1 << 63, Upstream: "u1", Attempt: 6},
 }
 
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -78,12 +78,12 @@
 	roster   *roster.Roster
 	follower *control.Follower
 	relay    *control.Relay
-	book     *balance.Book
+	balancer *balance.Balancer
 	crashes  *crashes.Record
 	times    *answertime.Times
 	windows  map[protocol.Service]*retry.Window
-	rooms    map[protocol.Service]*room.Service
-	// limited says of which services logRooms has told that they have a limit.
+	limiters map[protocol.Service]*room.Limiter
+	// limited says for which services logLimits has logged a limit.
 	limited map[protocol.Service]bool
 	routers []control.Router
 	// fleetSize is the largest number of routers known lately, this one
@@ -108,20 +108,20 @@
 	r := &Router{
 		options: options, settings: options.Settings, log: options.Log, started: time.Now(),
 		pool: exchange.NewPool(), random: options.Random, metrics: newInstruments(),
-		roster:  roster.New(roster.DefaultSettings()),
-		crashes: crashes.New(crashes.DefaultSettings()),
-		times:   answertime.New(),
-		windows: map[protocol.Service]*retry.Window{},
-		rooms:   map[protocol.Service]*room.Service{},
-		limited: map[protocol.Service]bool{},
-		quit:    make(chan struct{}),
+		roster:   roster.New(roster.DefaultSettings()),
+		crashes:  crashes.New(crashes.DefaultSettings()),
+		times:    answertime.New(),
+		windows:  map[protocol.Service]*retry.Window{},
+		limiters: map[protocol.Service]*room.Limiter{},
+		limited:  map[protocol.Service]bool{},
+		quit:     make(chan struct{}),
 	}
 	self := options.Settings.Self()
 	r.follower = control.NewFollower(self, true, options.Settings.SeedPeers(), r.roster)
 	r.relay = control.NewRelay(control.Router{ID: self, DataCentre: options.Settings.DataCentre}, options.Settings.LinkRate())
 	r.follower.SetRelay(r.relay)
 	r.follower.SetAnnounceAddress(options.Settings.Listen.Announcements)
-	r.book = balance.NewBook(balance.Settings{
+	r.balancer = balance.NewBalancer(balance.Settings{
 		Multiple: options.Settings.Load.Multiple, Slack: options.Settings.Load.Slack,
 		DataCentre: options.Settings.DataCentre,
 	})
@@ -175,12 +175,12 @@
 	r.noteRouters(now)
 	r.fabric.SendAll(r.relay.Due(now))
 	r.tellLoads(now)
-	for _, id := range r.book.Expire(now) {
+	for _, id := range r.balancer.Expire(now) {
 		r.log.Info().Str("event", "router-silent").Str("router", string(id)).Msg("its work no longer counts")
 	}
 	r.takeRoster()
 	r.logJudgements(now)
-	r.logRooms(now)
+	r.logLimits(now)
 	if now-r.swept >= sweepInterval {
 		r.swept = now
 		r.forgetUnlisted(now)
@@ -214,7 +214,7 @@
 	self := r.settings.Self()
 	r.routers = slices.DeleteFunc(r.follower.Routers(now), func(other control.Router) bool { return other.ID == self })
 	r.relay.SetRouters(r.routers)
-	r.book.SetNeighbours(r.relay.Neighbours())
+	r.balancer.SetNeighbours(r.relay.Neighbours())
 	size := len(r.routers) + 1
 	if size >= r.fleetSize || now-r.sizedAt > 3*r.settings.Retries.Window() {
 		r.fleetSize = size
@@ -224,16 +224,16 @@
 
 // tellLoads sends this router's work to the others, or to those that pass it on.
 func (r *Router) tellLoads(now time.Duration) {
-	if now-r.told < r.book.TellInterval() {
+	if now-r.told < r.balancer.ReportInterval() {
 		return
 	}
 	r.told = now
-	whole := now-r.toldWhole >= balance.WholeInterval
+	whole := now-r.toldWhole >= balance.FullReportInterval
 	if whole {
 		r.toldWhole = now
 	}
-	for _, tell := range r.book.Tell(whole) {
-		r.fabric.Send(tell.To, tell.Loads)
+	for _, out := range r.balancer.PendingReports(whole) {
+		r.fabric.Send(out.To, out.Report)
 	}
 	if whole {
 		r.tellKeepers(now)
@@ -246,8 +246,8 @@
 	if to == "" {
 		return
 	}
-	if kept := r.book.Unrecorded(); len(kept) > 0 {
-		r.fabric.Send(to, balance.NewKeeperList(kept))
+	if kept := r.balancer.TakeUnrecorded(); len(kept) > 0 {
+		r.fabric.Send(to, balance.NewCacheHolderList(kept))
 	}
 }
 
@@ -255,13 +255,13 @@
 // starts learns all of them at once.
 const linesPerRoster = 8
 
-// takeRoster hands a changed list of upstreams to the book.
+// takeRoster hands a changed list of upstreams to the balancer.
 func (r *Router) takeRoster() {
 	if r.roster.Revision() == r.revision {
 		return
 	}
 	r.revision = r.roster.Revision()
-	changed := r.book.SetRoster(r.roster.Entries())
+	changed := r.balancer.SetRoster(r.roster.Entries())
 	for _, e := range changed {
 		if e.State != roster.Ready {
 			r.pool.Forget(e.Address)
@@ -300,13 +300,13 @@
 		r.fabric.SendAll(r.relay.Due(now))
 	case control.AnnouncementsAck:
 		r.announcements.acknowledged(m.Number)
-	case balance.Loads:
-		r.book.TakeLoads(now, from, m)
-	case balance.KeeperList:
+	case balance.LoadReport:
+		r.balancer.ApplyLoadReport(now, from, m)
+	case balance.CacheHolderList:
 		if r.follower.HandleCacheHolders(now, m) {
-			kept := m.Kept()
+			kept := m.Unpack()
 			r.log.Info().Str("event", "keepers-told").Str("from", string(from)).Int("prompts", len(kept)).Send()
-			r.book.RecallKeepers(now, kept)
+			r.balancer.RestoreCacheHolders(now, kept)
 		}
 		r.fabric.SendAll(r.relay.Due(now))
 	case crashes.Crash:
@@ -325,10 +325,10 @@
 		return err
 	}
 	r.table.Store(routing.NewIndex(table))
-	r.times.Keep(func(route string) bool {
+	r.times.Retain(func(route string) bool {
 		return slices.ContainsFunc(table.Routes, func(known routing.Route) bool { return known.Name == route })
 	})
-	maps.DeleteFunc(r.rooms, func(service protocol.Service, _ *room.Service) bool {
+	maps.DeleteFunc(r.limiters, func(service protocol.Service, _ *room.Limiter) bool {
 		return !slices.ContainsFunc(table.Services, func(known routing.Service) bool { return known.Name == service })
 	})
 	return nil
@@ -350,10 +350,10 @@
 	}
 }
 
-// logRooms writes a line for each service whose upstreams have come to have a limit
+// logLimits writes a line for each service whose upstreams have come to have a limit
 // of load, or no longer have one.
-func (r *Router) logRooms(now time.Duration) {
-	for service, known := range r.rooms {
+func (r *Router) logLimits(now time.Duration) {
+	for service, known := range r.limiters {
 		limit := known.Limit(now)
 		limited := limit != room.Unlimited
 		if limited == r.limited[service] {
@@ -371,13 +371,13 @@
 // logJudgements writes a line for each upstream that is avoided for its outcomes
 // from now on, or no longer.
 func (r *Router) logJudgements(now time.Duration) {
-	for _, j := range r.book.Judgements(now) {
+	for _, j := range r.balancer.HealthChanges(now) {
 		line, event := r.log.Info(), "upstream-trusted"
-		if j.Avoided {
+		if j.Ejected {
 			line, event = r.log.Warn(), "upstream-avoided"
 		}
 		line.Str("event", event).Str("upstream", string(j.ID)).Float64("failed", j.Failed).Float64("served", j.Served).
-			Int64("alone_ms", j.Alone.Milliseconds()).Send()
+			Int64("alone_ms", j.Backoff.Milliseconds()).Send()
 	}
 }
 
--- a/state/replica/recover.go
+++ b/state/replica/recover.go
@@ -67,7 +67,7 @@
 		return RecoveryReport{}, err
 	}
 	defer func() { _ = log.Close() }()
-	state, entry, ok := consensus.Recovered(log.Member(), stored)
+	state, entry, ok := consensus.RecoverAsSoleVoter(log.Member(), stored)
 	if !ok {
 		return RecoveryReport{}, ErrNothingToRecover{}
 	}
--- a/state/replica/replica.go
+++ b/state/replica/replica.go
@@ -177,7 +177,7 @@
 // SetContacts replaces the routers to contact first. It has an effect only with
 // Config.Open.
 func (r *Replica) SetContacts(ctx context.Context, routers []protocol.RouterID) error {
-	return r.enqueue(ctx, func() { r.core.SetContacts(routers) })
+	return r.enqueue(ctx, func() { r.core.SetPeers(routers) })
 }
 
 // TransferLeadership makes this member, if it is the leader, transfer leadership
@@ -187,7 +187,7 @@
 // ErrLostLeadership.
 func (r *Replica) TransferLeadership(ctx context.Context) error {
 	reply := make(chan error, 1)
-	if err := r.enqueue(ctx, func() { reply <- r.core.HandOver(r.config.Now()) }); err != nil {
+	if err := r.enqueue(ctx, func() { reply <- r.core.TransferLeadership(r.config.Now()) }); err != nil {
 		return err
 	}
 	return r.await(ctx, reply)
