--- a/coordination/lease/holder.go
+++ b/coordination/lease/holder.go
@@ -35,7 +35,8 @@
 	nextRenewal time.Duration
 	// overrideUntil is when an operator's override ends.
 	overrideUntil time.Duration
-	lastGrant     time.Duration
+	// lastGrant is when the last renewal was granted or the session started.
+	lastGrant time.Duration
 	// missedDelta is set when a pushed delta did not follow the view's
 	// position.
 	missedDelta bool
@@ -176,9 +177,9 @@
 	return 0, false
 }
 
-// SinceGranted returns the time since a leader last granted a renewal. Once it
-// exceeds Timing.RenewEvery plus Timing.ResendAfter, Member asks another
-// voter.
+// SinceGranted returns the time since a leader last granted a renewal, or
+// since the session started. Once it exceeds Timing.RenewEvery plus
+// Timing.ResendAfter, Member asks another voter.
 func (h *Holder) SinceGranted(now time.Duration) time.Duration { return now - h.lastGrant }
 
 // Override lets the router act without a lease until the given time, for at
--- a/coordination/lease/relay.go
+++ b/coordination/lease/relay.go
@@ -51,12 +51,12 @@
 // Relay runs on a voter or learner between routers and the leader. It bundles
 // the routers' renewals and sends them deltas from its own applied state.
 //
-// It is designed for 330 routers and 7 disk VMs (the leader and 6 relays). Without relays the leader
-// exchanges one packet a second in each direction with each router and pushes
-// each change to each router. That costs it about 19 KB a second with 330
-// routers and 59 KB with 1,000, far more than the budget of 3 KB a second for
-// a VM. With relays the leader exchanges a few bundles a second with each
-// relay and sends no deltas to routers.
+// It is designed for 330 routers and 7 disk VMs (the leader and 6 relays).
+// Without relays the leader exchanges one packet a second in each direction
+// with each router and pushes each change to each router. That costs it about
+// 19 KB a second with 330 routers and 59 KB with 1,000, far more than the
+// budget of 3 KB a second for a VM. With relays the leader exchanges a few
+// bundles a second with each relay and sends no deltas to routers.
 //
 // Correctness does not depend on the relay's clock. A router counts its lease
 // from when it sent its renewal; the leader counts from when it received the
