--- a/coordination/balance/balance_test.go
+++ b/coordination/balance/balance_test.go
@@ -75,9 +75,9 @@
 	b.ApplyLoadReport(now, "a", loads)
 	a.Ended(now, "u01", Served)
 	a.OwnLoadReport(false) // the report is lost
-	whole, any := a.OwnLoadReport(true)
+	full, any := a.OwnLoadReport(true)
 	assert.Assert(t, any)
-	b.ApplyLoadReport(now, "a", whole)
+	b.ApplyLoadReport(now, "a", full)
 	load, _ := b.Load("u01")
 	assert.Equal(t, load, 0)
 	load, _ = b.Load("u02")
@@ -233,9 +233,9 @@
 
 // pickAnswered picks the engine of a prompt, which begins to answer it at once.
 func pickAnswered(b *Balancer, at time.Duration, random *rand.Rand, r Request) Choice {
-	made := b.Pick(at, random, r)
-	b.ConfirmCached(at, made.ID, r.Prompt, r.SharedPrefixes)
-	return made
+	choice := b.Pick(at, random, r)
+	b.ConfirmCached(at, choice.ID, r.Prompt, r.SharedPrefixes)
+	return choice
 }
 
 func TestPromptGoesToItsCacheHolder(t *testing.T) {
@@ -323,7 +323,7 @@
 func TestRestartedEngineHoldsNoPrefixes(t *testing.T) {
 	// Guards: prompts are copied from an engine whose cache is gone. An engine that
 	// crashed and restarted under its ID doesn't hold the prefixes of its former
-	// incarnation; after a vain attempt to copy, the prompt would be prefilled whole.
+	// incarnation; after a failed attempt to copy, the whole prompt would be prefilled.
 	b := newBalancer(2)
 	first := pickAnswered(b, now, seeded(), prompt(7))
 	list := entries(2)
@@ -447,9 +447,9 @@
 	for range 2 {
 		b.Started(holder)
 	}
-	made := pickAnswered(b, now, seeded(), prompt(7))
-	assert.Assert(t, made.ID != holder, "eight, of a mean of 2.3")
-	assert.Assert(t, made.CopyFrom != "")
+	choice := pickAnswered(b, now, seeded(), prompt(7))
+	assert.Assert(t, choice.ID != holder, "eight, of a mean of 2.3")
+	assert.Assert(t, choice.CopyFrom != "")
 }
 
 func TestSharedPrefixIsCopiedForANewPrompt(t *testing.T) {
@@ -457,22 +457,22 @@
 	// prompts share their first part, and each goes to an engine of its own. An engine
 	// that holds the prompt itself, and one that is the only source, copy nothing.
 	b := newBalancer(18)
-	like := func(key uint64) Request {
+	sharing := func(key uint64) Request {
 		return Request{Service: "s", Prompt: key, HasPrompt: true, SharedPrefixes: []uint64{1, 2}}
 	}
-	first := pickAnswered(b, now, seeded(), like(100))
+	first := pickAnswered(b, now, seeded(), sharing(100))
 	assert.Equal(t, first.CopyFrom, "")
-	assert.Equal(t, pickAnswered(b, now, seeded(), like(100)).CopyFrom, "", "it is cached")
+	assert.Equal(t, pickAnswered(b, now, seeded(), sharing(100)).CopyFrom, "", "it is cached")
 	announced := len(b.cacheHolders.unannounced)
 	for key := range uint64(20) {
-		made := pickAnswered(b, now, seeded(), like(200+key))
-		if made.ID == first.ID {
-			assert.Equal(t, made.CopyFrom, "")
+		choice := pickAnswered(b, now, seeded(), sharing(200+key))
+		if choice.ID == first.ID {
+			assert.Equal(t, choice.CopyFrom, "")
 		} else {
-			assert.Equal(t, made.CopyFrom, first.Address)
+			assert.Equal(t, choice.CopyFrom, first.Address)
 		}
 	}
 	assert.Equal(t, len(b.cacheHolders.unannounced)-announced, 20, "the shared prefixes are announced once")
-	pickAnswered(b, now+announceInterval+1, seeded(), like(100))
+	pickAnswered(b, now+announceInterval+1, seeded(), sharing(100))
 	assert.Equal(t, len(b.cacheHolders.unannounced)-announced, 23, "and again after announceInterval")
 }
--- a/coordination/balance/balancer.go
+++ b/coordination/balance/balancer.go
@@ -30,8 +30,8 @@
 	return ShortID(xxhash.Sum64String(string(id)))
 }
 
-// UpstreamLoad is one router's load on an upstream. It is encoded without the names of
-// its fields.
+// UpstreamLoad is one router's load on an upstream, or the sum of several routers' if a
+// relay sends it. It is encoded without the names of its fields.
 type UpstreamLoad struct {
 	ID ShortID `msgpack:"i"`
 	// InFlight counts the requests that the router has sent and that haven't ended.
@@ -41,12 +41,14 @@
 	Failed uint64 `msgpack:"f"`
 }
 
-// LoadReport sends a router's load to the other routers.
+// LoadReport is what a router sends to other routers about its load, or a relay about the
+// load of several routers.
 type LoadReport struct {
 	// Full says that the sender has nothing in flight on upstreams that the report omits.
 	Full      bool           `msgpack:"w"`
 	Upstreams []UpstreamLoad `msgpack:"u"`
-	// Cached names engines that have recently begun to answer prompts of the sender.
+	// Cached announces prefixes that engines have in their caches, because they have
+	// recently begun to answer prompts with them.
 	Cached []CachedPrefix `msgpack:"k,omitempty"`
 }
 
@@ -85,8 +87,8 @@
 	cacheHolders *cacheHolders
 	settings     Settings
 	// neighbours are the routers that this one exchanges load reports with. If this
-	// router is a relay, reported is what each neighbour was sent, and relayQueue holds
-	// the cached prefixes that are still to be sent.
+	// router is a relay, reported is the load as last sent to each neighbour, and
+	// relayQueue holds the cached prefixes that are still to be sent.
 	neighbours Neighbours
 	reported   map[protocol.RouterID]map[ShortID]UpstreamLoad
 	relayQueue []queuedPrefix
@@ -104,7 +106,8 @@
 	// of its service plus Slack.
 	Multiple float64
 	Slack    int
-	// DataCentre is the router's own; upstreams there win ties.
+	// DataCentre is the router's own; of equally loaded upstreams, those there are
+	// preferred.
 	DataCentre protocol.DataCentre
 }
 
@@ -298,7 +301,8 @@
 	b.queueForRelay(from, report.Cached)
 }
 
-// endOmitted ends the load on upstreams that a full report omits.
+// endOmitted sets another router's load to zero on the upstreams that its full report
+// omits.
 func (b *Balancer) endOmitted(now time.Duration, remote *remoteLoads, report LoadReport) {
 	named := map[ShortID]bool{}
 	for _, load := range report.Upstreams {
@@ -317,7 +321,8 @@
 }
 
 // applyUpstreamLoad replaces another router's load on one upstream, and counts the
-// requests that have ended since its last report.
+// requests that have ended since its last report. It counts none if there was no report
+// before, or if the totals are lower than before, as after a restart of that router.
 func (b *Balancer) applyUpstreamLoad(now time.Duration, remote *remoteLoads, load UpstreamLoad) {
 	before, known := remote.upstreams[load.ID]
 	remote.upstreams[load.ID] = load
@@ -332,7 +337,8 @@
 	}
 }
 
-// Expire drops the load of routers that have stopped reporting, and returns their IDs.
+// Expire drops the load of routers that have stopped reporting, and returns their IDs. It
+// also drops restored cache holders that have waited for the roster too long.
 func (b *Balancer) Expire(now time.Duration) []protocol.RouterID {
 	b.expireRestored(now)
 	var silent []protocol.RouterID
--- a/coordination/balance/busy_test.go
+++ b/coordination/balance/busy_test.go
@@ -10,36 +10,36 @@
 	"endiveplank/protocol"
 )
 
-// failingAtOnce simulates ten seconds of three busy upstreams, of which the first ones
-// begin to answer every request with an error at once. It returns the share of requests
-// that fail.
-func failingAtOnce(b *Balancer, broken int) float64 {
+// failingImmediately simulates ten seconds of three busy upstreams, of which the first
+// broken ones answer every request with an error as soon as it arrives. It returns the
+// share of requests that fail.
+func failingImmediately(b *Balancer, broken int) float64 {
 	const (
-		last      = 300 * time.Millisecond
+		duration  = 300 * time.Millisecond
 		perSecond = 200
 		requests  = 10 * perSecond
 	)
-	type flying struct {
+	type sentRequest struct {
 		id   protocol.UpstreamID
 		ends time.Duration
 	}
 	random := seeded()
-	var flights []flying
+	var inFlight []sentRequest
 	failed := 0
 	for i := range requests {
 		at := now + time.Duration(i)*time.Second/perSecond
-		for len(flights) > 0 && flights[0].ends <= at {
-			b.Ended(at, flights[0].id, Served)
-			flights = flights[1:]
+		for len(inFlight) > 0 && inFlight[0].ends <= at {
+			b.Ended(at, inFlight[0].id, Served)
+			inFlight = inFlight[1:]
 		}
-		made := b.Pick(at, random, plain())
-		b.Started(made.ID)
-		if made.ID < protocol.UpstreamID(fmt.Sprintf("u%02d", broken)) {
-			b.Ended(at, made.ID, Failed)
+		choice := b.Pick(at, random, plain())
+		b.Started(choice.ID)
+		if choice.ID < protocol.UpstreamID(fmt.Sprintf("u%02d", broken)) {
+			b.Ended(at, choice.ID, Failed)
 			failed++
 			continue
 		}
-		flights = append(flights, flying{made.ID, at + last})
+		inFlight = append(inFlight, sentRequest{choice.ID, at + duration})
 	}
 	return float64(failed) / requests
 }
@@ -58,7 +58,7 @@
 			t.Run(fmt.Sprintf("%s, %d of 3 fail", name, broken), func(t *testing.T) {
 				b := NewBalancer(settings)
 				b.SetRoster(entries(3))
-				share := failingAtOnce(b, broken)
+				share := failingImmediately(b, broken)
 				assert.Assert(t, share <= 0.02, "%.3f failed", share)
 			})
 		}
--- a/coordination/balance/cacheholders.go
+++ b/coordination/balance/cacheholders.go
@@ -35,8 +35,9 @@
 // still prefilling the prompt, so that the next request with the same prompt goes there
 // too.
 type cacheHolder struct {
-	id   protocol.UpstreamID
-	born int64
+	id protocol.UpstreamID
+	// startedAt identifies the incarnation, as roster.Entry.StartedAt does.
+	startedAt int64
 	// usedAt is when a router last sent the prompt there, as far as this router knows.
 	usedAt time.Duration
 	// announcedAt is when the routers were last informed of it.
@@ -79,7 +80,7 @@
 	source := ""
 	for _, k := range b.cacheHolders.byPrefix[prefix] {
 		u := b.upstreams[k.id]
-		if u == nil || u.entry.StartedAt != k.born || now-k.usedAt > holderTTL || u.entry.State == roster.Gone || !k.confirmed {
+		if u == nil || u.entry.StartedAt != k.startedAt || now-k.usedAt > holderTTL || u.entry.State == roster.Gone || !k.confirmed {
 			continue
 		}
 		if u == chosen {
@@ -119,15 +120,15 @@
 
 // matches reports whether the holder is this incarnation of an upstream.
 func (k cacheHolder) matches(u *upstream) bool {
-	return k.id == u.entry.ID && k.born == u.entry.StartedAt
+	return k.id == u.entry.ID && k.startedAt == u.entry.StartedAt
 }
 
 // ConfirmCached records that an engine has begun to answer a prompt, so it holds the
 // prompt's prefix and the shorter ones.
 //
-// This guards against a phase in which all engines fail part of their requests: an engine
+// Without it, when all engines fail part of their requests for some seconds, an engine
 // that failed a request before it prefilled the prompt would be taken for a cache holder
-// by all routers, which would go on sending the prompt there, with no source to copy it
+// by all routers. They would go on sending the prompt there, with no source to copy it
 // from.
 func (b *Balancer) ConfirmCached(now time.Duration, id protocol.UpstreamID, prefix uint64, sharedPrefixes []uint64) {
 	u := b.upstreams[id]
@@ -195,7 +196,7 @@
 	if !known && len(k.byPrefix) >= maxPrefixes {
 		k.evict(now)
 	}
-	next := cacheHolder{id: u.entry.ID, born: u.entry.StartedAt, usedAt: now}
+	next := cacheHolder{id: u.entry.ID, startedAt: u.entry.StartedAt, usedAt: now}
 	at := slices.IndexFunc(list, func(old cacheHolder) bool { return old.matches(u) })
 	if at >= 0 {
 		next.announcedAt, next.confirmed = list[at].announcedAt, list[at].confirmed
--- a/coordination/balance/desk_test.go
+++ b/coordination/balance/desk_test.go
@@ -19,8 +19,8 @@
 // knows the others' load as of their last reports.
 type deskRun struct {
 	routers int
-	// places is how many requests each server runs at once; the others wait.
-	places int
+	// slots is how many requests each server runs at once; the others wait.
+	slots int
 	// speeds are the durations of requests on each server, as multiples of work.
 	speeds []float64
 	// perSecond is the rate of requests, work the duration of one.
@@ -63,7 +63,7 @@
 	return last
 }
 
-// deskServer runs requests on its places and queues the others.
+// deskServer runs requests in its slots and queues the others.
 type deskServer struct {
 	busy    int
 	waiting []deskEvent
@@ -150,18 +150,18 @@
 	if m.random.Float64() < m.skew {
 		router -= router % 4
 	}
-	made := m.balancers[router].Pick(now+e.at, m.random, plain())
-	m.balancers[router].Started(made.ID)
-	server := slices.IndexFunc(m.list, func(e roster.Entry) bool { return e.ID == made.ID })
+	choice := m.balancers[router].Pick(now+e.at, m.random, plain())
+	m.balancers[router].Started(choice.ID)
+	server := slices.IndexFunc(m.list, func(e roster.Entry) bool { return e.ID == choice.ID })
 	m.serve(e.at, deskEvent{router: router, server: server, began: e.at})
 	pause := time.Duration(m.random.ExpFloat64() / m.perSecond * float64(time.Second))
 	heap.Push(&m.events, deskEvent{at: e.at + pause, kind: requestArrives})
 }
 
-// serve has a server run a request, once it has a place.
+// serve has a server run a request, once it has a free slot.
 func (m *deskModel) serve(at time.Duration, request deskEvent) {
 	s := &m.servers[request.server]
-	if s.busy >= m.places {
+	if s.busy >= m.slots {
 		s.waiting = append(s.waiting, request)
 		return
 	}
@@ -198,14 +198,14 @@
 		"40 routers, twelve servers, longer work": {routers: 40, speeds: slices.Repeat([]float64{1}, 12), perSecond: 120, work: 300 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
-			run.places, run.seconds = 6, 20
+			run.slots, run.seconds = 6, 20
 			if run.work == 0 {
 				run.work = 30 * time.Millisecond
 			}
 			took := run.play(1)
-			alone := run
-			alone.places = 1000
-			ideal := alone.play(1)
+			unqueued := run
+			unqueued.slots = 1000
+			ideal := unqueued.play(1)
 			for _, q := range []float64{0.5, 0.9, 0.99} {
 				assert.Assert(t, quantile(took, q) <= quantile(ideal, q)*5/4, "%.2f: %v, without waiting %v", q, quantile(took, q), quantile(ideal, q))
 			}
@@ -217,7 +217,7 @@
 	// Guards: a slow server gets as many requests as the others. One server of four takes
 	// three times as long. With a quarter of the requests its queue would grow by the
 	// second, and its callers would wait until their deadlines.
-	run := deskRun{routers: 83, places: 6, speeds: []float64{1, 1, 1, 3}, perSecond: 350, work: 30 * time.Millisecond, seconds: 20}
+	run := deskRun{routers: 83, slots: 6, speeds: []float64{1, 1, 1, 3}, perSecond: 350, work: 30 * time.Millisecond, seconds: 20}
 	took := run.play(1)
 	assert.Assert(t, quantile(took, 0.9) < 150*time.Millisecond, "%v", quantile(took, 0.9))
 	assert.Assert(t, quantile(took, 0.99) < 500*time.Millisecond, "%v", quantile(took, 0.99))
--- a/coordination/balance/doc.go
+++ b/coordination/balance/doc.go
@@ -5,10 +5,10 @@
 // flight, which it knows exactly; the load of the other routers, which they send several
 // times a second in LoadReports; the failure rate that all routers together have seen;
 // and which engines hold the prefixes of prompts in their caches. Pick chooses from this
-// view. A CacheHolderRecord is kept by a disk VM and gives routers that start what is
-// known of the cache holders.
+// view. A disk VM keeps a CacheHolderRecord, from which it sends the known cache holders to
+// routers that start.
 //
-// The strategies that were considered, with measurements: docs/design/platform.md.
+// docs/design/platform.md compares the strategies that were considered, with measurements.
 //
 // The package guards against these failures:
 //
--- a/coordination/balance/exchange.go
+++ b/coordination/balance/exchange.go
@@ -14,8 +14,9 @@
 	// minReportInterval.
 	minReportInterval = 100 * time.Millisecond
 	intervalPerRouter = 5 * time.Millisecond
-	// GroupingThreshold is the number of routers from which a mesh reports too rarely, as
-	// its interval grows with the number of routers.
+	// GroupingThreshold is the number of routers from which on relays aggregate the
+	// reports. A mesh of that size would report too rarely, as its interval grows with
+	// the number of routers.
 	GroupingThreshold = 100
 	// groupReportInterval is the report interval where relays aggregate the reports.
 	groupReportInterval = 250 * time.Millisecond
@@ -63,15 +64,15 @@
 	return n.Relay != "" || len(n.Members) > 0 || len(n.Relays) > 0
 }
 
-// equal compares neighbours.
+// equal reports whether n and other are the same routers in the same roles.
 func (n Neighbours) equal(other Neighbours) bool {
 	return n.Relay == other.Relay && slices.Equal(n.Mesh, other.Mesh) &&
 		slices.Equal(n.Members, other.Members) && slices.Equal(n.Relays, other.Relays)
 }
 
-// SetNeighbours replaces the neighbours. It drops what routers that are no neighbours any
-// more have reported: a router that changes its relay would otherwise count the same load
-// twice.
+// SetNeighbours replaces the neighbours. If relays aggregate the reports, it drops what
+// routers that are no neighbours any more have reported: a router that changes its relay
+// would otherwise count the same load twice.
 func (b *Balancer) SetNeighbours(n Neighbours) {
 	if b.neighbours.equal(n) {
 		return
--- a/coordination/balance/exchange_test.go
+++ b/coordination/balance/exchange_test.go
@@ -11,8 +11,8 @@
 	"endiveplank/protocol"
 )
 
-// groups are routers that exchange their load through relays: r0, r10, r20 and so on
-// aggregate for the nine behind each of them.
+// groups are routers that exchange their load through relays: r0 aggregates for r1 to r9,
+// r10 for r11 to r19, and so on.
 type groups struct {
 	at        time.Duration
 	balancers map[protocol.RouterID]*Balancer
@@ -48,16 +48,16 @@
 }
 
 // round lets each router send one report to its neighbours.
-func (g *groups) round(whole bool) {
+func (g *groups) round(full bool) {
 	g.at += groupReportInterval
 	for _, id := range g.order {
 		if g.gone[id] {
 			continue
 		}
-		for _, tell := range g.balancers[id].PendingReports(whole) {
-			g.messages[tell.To]++
-			if !g.gone[tell.To] {
-				g.balancers[tell.To].ApplyLoadReport(g.at, id, tell.Report)
+		for _, report := range g.balancers[id].PendingReports(full) {
+			g.messages[report.To]++
+			if !g.gone[report.To] {
+				g.balancers[report.To].ApplyLoadReport(g.at, id, report.Report)
 			}
 		}
 	}
@@ -80,8 +80,8 @@
 
 func TestRelaysAggregateLoads(t *testing.T) {
 	// Guards: routers of a large fleet lack part of the load, or get too many messages.
-	// Three hundred routers share twenty upstreams; each must know the load of all, and
-	// can't receive a message from every other router several times a second.
+	// Three hundred routers share twenty upstreams. Each must know the load of all, but
+	// must not receive a message from every other router several times a second.
 	g := newGroups(300, 20)
 	random := seeded()
 	inFlight := map[protocol.UpstreamID]int{}
@@ -98,7 +98,7 @@
 		}
 	}
 	for id, messages := range g.messages {
-		assert.Assert(t, messages <= 15*(29+9), "%s took %d", id, messages)
+		assert.Assert(t, messages <= 15*(29+9), "%s received %d", id, messages)
 	}
 }
 
--- a/coordination/balance/health.go
+++ b/coordination/balance/health.go
@@ -33,13 +33,13 @@
 	// has recovered is used again after about twice as long.
 	healthTimeConstant = 2 * time.Second
 	// minFailures is how many failures, weighted by age, it takes to eject an upstream.
-	// As many in a row are rare where requests fail occasionally by themselves.
+	// Where requests fail occasionally by themselves, so many in a row are rare.
 	minFailures = 2.5
 	// maxFailureRate is the failure rate above which an upstream gets no requests,
-	// however loaded the others are. It covers a case that Balancer.reliable can't, which
-	// excludes an upstream only while the others have spare capacity: one of a few busy
-	// upstreams starts to fail immediately, looks idle for that reason, and attracts
-	// nearly all requests.
+	// however loaded the others are. Balancer.reliable isn't enough, as it excludes an
+	// upstream only while the others have spare capacity: if one of a few busy upstreams
+	// starts to fail requests as soon as they arrive, it has few in flight, looks idle,
+	// and would attract nearly all requests.
 	maxFailureRate = 0.4
 	// minBackoff is how long an upstream to which no connection could be made gets no
 	// request, until one request tries it again. It doubles up to maxBackoff.
--- a/coordination/balance/pick.go
+++ b/coordination/balance/pick.go
@@ -148,7 +148,8 @@
 // A lower bound is no better where prompts are in demand and engines have capacity for
 // many times their load: engines that exceeded it would have their prompts copied
 // elsewhere, and no more callers would be answered in time, as an engine with a few more
-// requests is as quick. Where each request weighs more, operators set a lower multiple.
+// requests is as quick. Where each request takes more of an engine's capacity, operators
+// set a lower multiple.
 func (b *Balancer) loadBound(mean float64) float64 {
 	return b.settings.Multiple*mean + float64(b.settings.Slack) - 1
 }
--- a/coordination/balance/record.go
+++ b/coordination/balance/record.go
@@ -43,8 +43,8 @@
 	// maxRestoredAge is the age up to which a disk VM sends a prefix to a router that
 	// starts. Routers announce the prefixes in use every announceInterval.
 	maxRestoredAge = announceInterval + announceInterval/2
-	// restoredTTL is how long a router keeps cache holders that it doesn't know yet,
-	// while it waits for the roster.
+	// restoredTTL is how long a router keeps restored cache holders whose upstreams
+	// aren't in its roster yet.
 	restoredTTL = 5 * time.Second
 )
 
--- a/coordination/balance/record_test.go
+++ b/coordination/balance/record_test.go
@@ -10,26 +10,26 @@
 	"endiveplank/protocol/codec"
 )
 
-// warmed returns a router's Balancer after some seconds of prompts, during which a third
-// of the engines have joined, and the record of a disk VM.
-func warmed(engines, prompts int) (*Balancer, *CacheHolderRecord) {
+// warmedUp returns a router's Balancer after forty requests of each prompt, half-way
+// through which a third of the engines joined, and the record of a disk VM.
+func warmedUp(engines, prompts int) (*Balancer, *CacheHolderRecord) {
 	b, record, random := newBalancer(engines*2/3), NewCacheHolderRecord(), seeded()
-	var flights []protocol.UpstreamID
+	var inFlight []protocol.UpstreamID
 	for i := range 40 * prompts {
 		if i == 20*prompts {
 			b.SetRoster(entries(engines))
 		}
-		made := pickAnswered(b, now, random, prompt(uint64(i%prompts)*7919))
-		b.Started(made.ID)
-		flights = append(flights, made.ID)
-		if len(flights) > 3*engines {
-			at := random.IntN(len(flights))
-			b.Ended(now, flights[at], Served)
-			flights = append(flights[:at], flights[at+1:]...)
+		choice := pickAnswered(b, now, random, prompt(uint64(i%prompts)*7919))
+		b.Started(choice.ID)
+		inFlight = append(inFlight, choice.ID)
+		if len(inFlight) > 3*engines {
+			at := random.IntN(len(inFlight))
+			b.Ended(now, inFlight[at], Served)
+			inFlight = append(inFlight[:at], inFlight[at+1:]...)
 		}
 		record.Add(now, b.TakeUnrecorded())
 	}
-	for _, id := range flights {
+	for _, id := range inFlight {
 		b.Ended(now, id, Served)
 	}
 	return b, record
@@ -41,9 +41,9 @@
 	cached := 0
 	for i := range prompts {
 		key := uint64(i) * 7919
-		made := pickAnswered(b, now, seeded(), prompt(key))
+		choice := pickAnswered(b, now, seeded(), prompt(key))
 		for _, u := range reference.holdersOf(now, key, reference.services["s"]) {
-			if u.entry.ID == made.ID {
+			if u.entry.ID == choice.ID {
 				cached++
 			}
 		}
@@ -55,7 +55,7 @@
 	// Guards: after a restart, engines prefill prompts that other engines still have
 	// cached. All VMs lose power, the engines run on, and the callers come back at once.
 	const engines, prompts = 18, 220
-	before, record := warmed(engines, prompts)
+	before, record := warmedUp(engines, prompts)
 	unrestored := newBalancer(engines)
 	restored := newBalancer(engines)
 	restored.RestoreCacheHolders(now, record.Newest(now))
--- a/coordination/balance/relay.go
+++ b/coordination/balance/relay.go
@@ -13,12 +13,13 @@
 	// maxQueuedPrefixes those that wait; the oldest are dropped.
 	maxPrefixesPerReport = 512
 	maxQueuedPrefixes    = 8 * maxPrefixesPerReport
-	// otherRelays stands for all other relays, which get the same reports.
+	// otherRelays is the key in Balancer.reported that stands for all other relays, which
+	// get the same loads.
 	otherRelays protocol.RouterID = ""
 )
 
-// relayReports returns reports with the total load of this router and its members for the
-// other relays, and with the load of all routers except the member's own for each member.
+// relayReports returns the reports of a relay. The other relays get the total load of this
+// router and its members; each member gets the total load of all routers but itself.
 func (b *Balancer) relayReports(full bool) []OutgoingReport {
 	group, total := b.loadTotals()
 	queued := b.takeQueued()
--- a/coordination/balance/reliable.go
+++ b/coordination/balance/reliable.go
@@ -79,9 +79,9 @@
 	if found && now-cached.at < baselineTTL {
 		return cached.failureRate
 	}
-	share := bestFailureRate(now, b.services[service])
-	b.baselines[service] = baseline{at: now, failureRate: share}
-	return share
+	rate := bestFailureRate(now, b.services[service])
+	b.baselines[service] = baseline{at: now, failureRate: rate}
+	return rate
 }
 
 // bestFailureRate returns the failure rate of the best upstreams together.
--- a/coordination/balance/reliable_test.go
+++ b/coordination/balance/reliable_test.go
@@ -13,21 +13,22 @@
 // faults returns the share of answers that an upstream loses, by its number.
 type faults func(upstream int) float64
 
-// lossyRun simulates ten seconds of a service, some of whose upstreams lose answers. It
-// counts the requests that may not be retried, those of them lost, and the requests that
-// exceeded the operators' load bound.
+// lossyRun simulates ten seconds of a service, some of whose upstreams lose answers.
 type lossyRun struct {
 	upstreams int
 	perSecond int
-	// last is how long a request is in flight.
-	last   time.Duration
-	prompt bool
-	faults faults
+	// duration is how long a request is in flight.
+	duration time.Duration
+	prompt   bool
+	faults   faults
 }
 
 type lossyResult struct {
-	once, lost int
-	overBound  int
+	// noRetry counts the requests that may not be retried, and lost those of them that
+	// were lost.
+	noRetry, lost int
+	// overBound counts the requests that exceeded the operators' load bound.
+	overBound int
 	// byUpstream counts all requests.
 	byUpstream map[protocol.UpstreamID]int
 }
@@ -36,41 +37,41 @@
 	t.Helper()
 	b := newBalancer(run.upstreams)
 	random := seeded()
-	type flying struct {
-		id   protocol.UpstreamID
-		ends time.Duration
-		once bool
+	type sentRequest struct {
+		id      protocol.UpstreamID
+		ends    time.Duration
+		noRetry bool
 	}
-	var flights []flying
+	var inFlight []sentRequest
 	result := lossyResult{byUpstream: map[protocol.UpstreamID]int{}}
 	step := time.Second / time.Duration(run.perSecond)
 	for at := now; at < now+10*time.Second; at += step {
-		for len(flights) > 0 && flights[0].ends <= at {
-			f := flights[0]
-			flights = flights[1:]
+		for len(inFlight) > 0 && inFlight[0].ends <= at {
+			f := inFlight[0]
+			inFlight = inFlight[1:]
 			n := 0
 			_, err := fmt.Sscanf(string(f.id), "u%d", &n)
 			assert.NilError(t, err)
 			outcome := Served
 			if random.Float64() < run.faults(n) {
 				outcome = Failed
-				if f.once {
+				if f.noRetry {
 					result.lost++
 				}
 			}
 			b.Ended(at, f.id, outcome)
 		}
 		r := Request{Service: "s", NoRetry: random.IntN(5) < 2, HasPrompt: run.prompt, Prompt: uint64(random.IntN(200))}
-		made := b.Pick(at, random, r)
-		b.Started(made.ID)
-		if load, _ := b.Load(made.ID); float64(load) > 2*b.mean("s")+3 {
+		choice := b.Pick(at, random, r)
+		b.Started(choice.ID)
+		if load, _ := b.Load(choice.ID); float64(load) > 2*b.mean("s")+3 {
 			result.overBound++
 		}
-		result.byUpstream[made.ID]++
+		result.byUpstream[choice.ID]++
 		if r.NoRetry {
-			result.once++
+			result.noRetry++
 		}
-		flights = append(flights, flying{id: made.ID, ends: at + run.last, once: r.NoRetry})
+		inFlight = append(inFlight, sentRequest{id: choice.ID, ends: at + run.duration, noRetry: r.NoRetry})
 	}
 	return result
 }
@@ -88,12 +89,12 @@
 		}
 	}
 	for name, run := range map[string]lossyRun{
-		"two of eighteen engines lose 3 in 10":     {upstreams: 18, perSecond: 140, last: 300 * time.Millisecond, prompt: true, faults: some(2, 0.3)},
-		"thirteen of eighteen":                     {upstreams: 18, perSecond: 140, last: 300 * time.Millisecond, prompt: true, faults: some(13, 0.3)},
-		"two of four desks lose 4 in 10":           {upstreams: 4, perSecond: 50, last: 30 * time.Millisecond, faults: some(2, 0.4)},
-		"a fifth of a hundred busy ones, 2 in 10":  {upstreams: 100, perSecond: 2000, last: 400 * time.Millisecond, prompt: true, faults: some(20, 0.2)},
-		"one of three slow ones, half":             {upstreams: 3, perSecond: 6, last: 3 * time.Second, prompt: true, faults: some(1, 0.5)},
-		"one of twelve, all, ten requests in each": {upstreams: 12, perSecond: 400, last: 300 * time.Millisecond, faults: some(1, 1)},
+		"two of eighteen engines lose 3 in 10":     {upstreams: 18, perSecond: 140, duration: 300 * time.Millisecond, prompt: true, faults: some(2, 0.3)},
+		"thirteen of eighteen":                     {upstreams: 18, perSecond: 140, duration: 300 * time.Millisecond, prompt: true, faults: some(13, 0.3)},
+		"two of four desks lose 4 in 10":           {upstreams: 4, perSecond: 50, duration: 30 * time.Millisecond, faults: some(2, 0.4)},
+		"a fifth of a hundred busy ones, 2 in 10":  {upstreams: 100, perSecond: 2000, duration: 400 * time.Millisecond, prompt: true, faults: some(20, 0.2)},
+		"one of three slow ones, half":             {upstreams: 3, perSecond: 6, duration: 3 * time.Second, prompt: true, faults: some(1, 0.5)},
+		"one of twelve, all, ten requests in each": {upstreams: 12, perSecond: 400, duration: 300 * time.Millisecond, faults: some(1, 1)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			result := run.play(t)
@@ -104,8 +105,8 @@
 				}
 				sum += run.faults(n)
 			}
-			blind := sum / float64(run.upstreams) * float64(result.once)
-			assert.Assert(t, float64(result.lost) <= 0.35*blind, "%d of %d lost, %.0f without outlier detection", result.lost, result.once, blind)
+			undetected := sum / float64(run.upstreams) * float64(result.noRetry)
+			assert.Assert(t, float64(result.lost) <= 0.35*undetected, "%d of %d lost, %.0f without outlier detection", result.lost, result.noRetry, undetected)
 			assert.Equal(t, result.overBound, 0)
 			toBad := 0
 			for n := range bad {
@@ -121,12 +122,12 @@
 	// seven with an error on every upstream; excluding the unlucky ones would only
 	// overload the others.
 	desk := func(share float64) map[protocol.UpstreamID]int {
-		run := lossyRun{upstreams: 4, perSecond: 50, last: 30 * time.Millisecond, faults: func(int) float64 { return share }}
+		run := lossyRun{upstreams: 4, perSecond: 50, duration: 30 * time.Millisecond, faults: func(int) float64 { return share }}
 		return run.play(t).byUpstream
 	}
-	well, failing := desk(0), desk(1.0/7)
+	healthy, failing := desk(0), desk(1.0/7)
 	for id, n := range failing {
-		assert.Assert(t, max(n-well[id], well[id]-n) <= 25, "%s got %d of 500 in place of %d", id, n, well[id])
+		assert.Assert(t, max(n-healthy[id], healthy[id]-n) <= 25, "%s got %d of 500 in place of %d", id, n, healthy[id])
 	}
 }
 
@@ -161,5 +162,5 @@
 	}
 	assert.Assert(t, b.IsOutlier(now, "u00"))
 	assert.Assert(t, !b.IsOutlier(now, "u01"))
-	assert.Assert(t, !b.IsOutlier(now+3*healthTimeConstant, "u00"), "it is trusted again")
+	assert.Assert(t, !b.IsOutlier(now+3*healthTimeConstant, "u00"), "it has recovered")
 }
