--- a/coordination/room/room.go
+++ b/coordination/room/room.go
@@ -89,13 +89,14 @@
 }
 
 // bestSplit returns the load class that maximises the number of timely answers minus the
-// number of late ones below it, classCount if no class has more timely answers below it.
+// number of late ones below it. It returns classCount if there are never more timely than
+// late answers below a class.
 func (c *LatencyCurve) bestSplit() int {
-	best, excess, most := classCount, 0.0, 0.0
+	best, excess, maxExcess := classCount, 0.0, 0.0
 	for class := range classCount {
 		excess += c.timely[class] - c.late[class]
-		if excess > most {
-			best, most = class+1, excess
+		if excess > maxExcess {
+			best, maxExcess = class+1, excess
 		}
 	}
 	return best
--- a/coordination/room/room_test.go
+++ b/coordination/room/room_test.go
@@ -10,17 +10,17 @@
 	"gotest.tools/v3/assert"
 )
 
-// upstreams describes a simulated service: slots for running requests, and a FIFO queue
-// for the others.
+// upstreams describes a simulated service: it has slots for running requests, and a FIFO
+// queue for the others.
 type upstreams struct {
-	name   string
-	places int
-	// takes is the mean duration of a request, and spread its standard deviation as a
+	name  string
+	slots int
+	// duration is the mean duration of a request, and spread its standard deviation as a
 	// share of the mean.
-	takes  time.Duration
-	spread float64
-	// objective is the time within which the answer must begin; begins is when it begins
-	// if the request hasn't waited.
+	duration time.Duration
+	spread   float64
+	// objective is the time within which the answer must begin; begins is the time from
+	// when a request gets a slot until its answer begins.
 	objective, begins time.Duration
 	// lag is the age of the load that a router knows.
 	lag time.Duration
@@ -28,16 +28,16 @@
 
 // services differ from each other by a factor of ten or more.
 var services = []upstreams{
-	{"a desk of six places", 6, 30 * time.Millisecond, 0.5, 150 * time.Millisecond, 20 * time.Millisecond, 4 * time.Millisecond},
-	{"an engine of 64 places", 64, 1500 * time.Millisecond, 0.6, time.Second, 40 * time.Millisecond, 100 * time.Millisecond},
-	{"an engine of 400 places and long answers", 400, 6 * time.Second, 0.4, 4 * time.Second, 300 * time.Millisecond, 400 * time.Millisecond},
+	{"a desk with six slots", 6, 30 * time.Millisecond, 0.5, 150 * time.Millisecond, 20 * time.Millisecond, 4 * time.Millisecond},
+	{"an engine with 64 slots", 64, 1500 * time.Millisecond, 0.6, time.Second, 40 * time.Millisecond, 100 * time.Millisecond},
+	{"an engine with 400 slots and long answers", 400, 6 * time.Second, 0.4, 4 * time.Second, 300 * time.Millisecond, 400 * time.Millisecond},
 }
 
 // capacity is the number of requests that can run per second.
-func (u upstreams) capacity() float64 { return float64(u.places) / u.takes.Seconds() }
+func (u upstreams) capacity() float64 { return float64(u.slots) / u.duration.Seconds() }
 
 // surge is the duration of a surge.
-func (u upstreams) surge() time.Duration { return max(30*u.takes, 30*time.Second) }
+func (u upstreams) surge() time.Duration { return max(30*u.duration, 30*time.Second) }
 
 // request is a request that was sent: the load known when it arrived, and when its answer
 // begins.
@@ -68,13 +68,13 @@
 }
 
 func (u upstreams) simulate() *simulation {
-	return &simulation{upstreams: u, curve: &LatencyCurve{}, random: rand.New(rand.NewPCG(3, 4)), free: make([]time.Duration, u.places), limited: true}
+	return &simulation{upstreams: u, curve: &LatencyCurve{}, random: rand.New(rand.NewPCG(3, 4)), free: make([]time.Duration, u.slots), limited: true}
 }
 
 // tally counts requests by outcome.
 type tally struct{ arrived, refused, timely, late int }
 
-// play sends a multiple of the capacity for some time, and counts the requests of the
+// play sends requests at a multiple of the capacity for some time, and counts those of the
 // second half.
 func (w *simulation) play(times float64, length time.Duration) tally {
 	var got tally
@@ -128,7 +128,7 @@
 		}
 	}
 	runs := max(w.now, w.free[first])
-	ends := runs + time.Duration(float64(w.takes)*max(0.1, 1+w.spread*w.random.NormFloat64()))
+	ends := runs + time.Duration(float64(w.duration)*max(0.1, 1+w.spread*w.random.NormFloat64()))
 	w.free[first] = ends
 	at, _ := slices.BinarySearch(w.ends, ends)
 	w.ends = slices.Insert(w.ends, at, ends)
@@ -193,9 +193,9 @@
 			w := u.simulate()
 			surge := w.play(3, u.surge())
 			assert.Assert(t, surge.refused > 0, "%+v", surge)
-			w.places *= 4
-			w.free = append(w.free, make([]time.Duration, 3*u.places)...)
-			got := w.play(0.6, 2*max(time.Minute, 4*u.takes))
+			w.slots *= 4
+			w.free = append(w.free, make([]time.Duration, 3*u.slots)...)
+			got := w.play(0.6, 2*max(time.Minute, 4*u.duration))
 			assert.Assert(t, got.refused <= got.arrived/50, "%+v", got)
 		})
 	}
--- a/coordination/room/shares.go
+++ b/coordination/room/shares.go
@@ -13,7 +13,8 @@
 	// demandTimeConstant is the time constant with which customers' demand decays: a
 	// surge shows within a second, and passes within a few.
 	demandTimeConstant = 2 * time.Second
-	// levelTTL is how long a computed level is used: the duration of a few requests.
+	// levelTTL is how long a computed FairShares.level is used, and the minimum time
+	// between two decays of the demand: the duration of a few requests.
 	levelTTL = 50 * time.Millisecond
 	// minDemand is the demand, in requests weighted by age, below which a customer is
 	// dropped.
@@ -39,7 +40,8 @@
 	updatedAt time.Duration
 	demand    map[protocol.CustomerID]float64
 	admitted  float64
-	// level is the level of the shares, as computed at levelAt.
+	// level is the demand up to which customers are within their share, as computed at
+	// levelAt.
 	level   float64
 	levelAt time.Duration
 }
@@ -71,21 +73,21 @@
 	if limit == Unlimited || s.demand[customer] > s.level {
 		return limit
 	}
-	reserve := max(headroomShare*float64(limit), headroomRoots*math.Sqrt(float64(limit)))
-	return limit + int(reserve)
+	headroom := max(headroomShare*float64(limit), headroomRoots*math.Sqrt(float64(limit)))
+	return limit + int(headroom)
 }
 
 // computeLevel returns the level at which the shares of all customers, each its demand up
 // to the level, add up to what is admitted.
 func (s *FairShares) computeLevel() float64 {
-	left := s.admitted
+	remaining := s.admitted
 	demands := slices.Sorted(maps.Values(s.demand))
 	for i, demand := range demands {
 		others := float64(len(demands) - i)
-		if demand*others >= left {
-			return left / others
+		if demand*others >= remaining {
+			return remaining / others
 		}
-		left -= demand
+		remaining -= demand
 	}
 	return math.Inf(1)
 }
