--- a/coordination/answertime/answertime.go
+++ b/coordination/answertime/answertime.go
@@ -30,7 +30,7 @@
 	// kind begin within half of that.
 	medianMultiple = 6
 	// minTimeout allows for the delay that a busy VM, or one that waits for its share of
-	// a processor, adds on either side.
+	// a processor, adds on the router's or the upstream's side.
 	minTimeout = 100 * time.Millisecond
 )
 
--- a/coordination/answertime/answertime_test.go
+++ b/coordination/answertime/answertime_test.go
@@ -24,10 +24,12 @@
 	{"prompts of 100,000 tokens on slow engines", 4 * time.Second, 0.4, 120 * time.Second},
 }
 
+// draw returns the random duration of one answer.
 func (w workload) draw(random *rand.Rand) time.Duration {
 	return time.Duration(float64(w.mean) * normalFactor(random, w.spread))
 }
 
+// normalFactor returns a normally distributed factor with a mean of 1, at least 0.1.
 func normalFactor(random *rand.Rand, spread float64) float64 {
 	return max(0.1, 1+spread*random.NormFloat64())
 }
@@ -40,17 +42,17 @@
 		t.Run(w.name, func(t *testing.T) {
 			times, kind, random := New(), Kind{Route: "r"}, rand.New(rand.NewPCG(1, 1))
 			assert.Equal(t, times.Timeout(kind, w.maxTimeout), w.maxTimeout, "nothing is recorded yet")
-			early := 0
+			overdue := 0
 			for i := range 10_000 {
 				took := w.draw(random)
 				if i > 100 && took > times.Timeout(kind, w.maxTimeout) {
-					early++
+					overdue++
 				}
 				times.Record(kind, took)
 			}
-			limit := times.Timeout(kind, w.maxTimeout)
-			assert.Assert(t, limit <= max(10*w.mean, minTimeout), "%v", limit)
-			assert.Assert(t, early <= 10, "%d of 10,000 answers are overdue", early)
+			timeout := times.Timeout(kind, w.maxTimeout)
+			assert.Assert(t, timeout <= max(10*w.mean, minTimeout), "%v", timeout)
+			assert.Assert(t, overdue <= 10, "%d of 10,000 answers are overdue", overdue)
 		})
 	}
 }
@@ -66,10 +68,10 @@
 			}
 			overdue := 0
 			for range 200 {
-				took, limit := 10*w.draw(random), times.Timeout(kind, w.maxTimeout)
-				if took > limit {
+				took, timeout := 10*w.draw(random), times.Timeout(kind, w.maxTimeout)
+				if took > timeout {
 					overdue++
-					times.Record(kind, limit)
+					times.Record(kind, timeout)
 				}
 				times.Record(kind, took)
 			}
