--- a/coordination/crashes/crashes.go
+++ b/coordination/crashes/crashes.go
@@ -11,8 +11,9 @@
 //
 //   - A request crashes the fleet's upstreams one by one, while its caller sends it again
 //     with other IDs or keys and through other routers. It is recognised by its content.
-//   - A request that was only in flight at a crash that another one caused is refused. It
-//     takes several crashes, and each such request has different content.
+//   - A request is refused although another one caused the crash at which it was in
+//     flight. A quarantine therefore takes several crashes, and the innocent requests that
+//     are in flight at each of them have different contents.
 package crashes
 
 import (
@@ -28,7 +29,7 @@
 	// QuarantineAfter is how many crashes quarantine a request.
 	QuarantineAfter int
 	// Window is how long the crashes of a request count after the last one, and so how
-	// long it stays quarantined.
+	// long the request stays quarantined.
 	Window time.Duration
 	// MaxRequests bounds the requests remembered.
 	MaxRequests int
@@ -44,14 +45,18 @@
 
 // Crash says that an upstream's connection broke while it had a request.
 type Crash struct {
+	// Digest is the same for requests of the same content.
 	Digest   uint64              `msgpack:"d"`
 	Upstream protocol.UpstreamID `msgpack:"u"`
-	// Attempt distinguishes two crashes, and identifies one that is reported twice.
+	// Attempt is a random number that distinguishes two crashes, and identifies one that
+	// is reported twice.
 	Attempt uint64 `msgpack:"a"`
 }
 
 // suspect is a request that was in flight at crashes.
 type suspect struct {
+	// attempts are the Crash.Attempt of the crashes that count, and last is when the last
+	// one was reported.
 	attempts []uint64
 	last     time.Duration
 }
--- a/coordination/crashes/crashes_test.go
+++ b/coordination/crashes/crashes_test.go
@@ -24,8 +24,8 @@
 }
 
 func TestMemoryIsBounded(t *testing.T) {
-	// Guards: the record grows with every request in flight. The network to an upstream
-	// breaks again and again under heavy load.
+	// Guards: the record grows without bound. The network to an upstream breaks again and
+	// again under heavy load, and each time all requests in flight are recorded.
 	settings := DefaultSettings()
 	r := New(settings)
 	for i := range uint64(3 * settings.MaxRequests) {
