--- a/coordination/slowness/doc.go
+++ b/coordination/slowness/doc.go
@@ -10,14 +10,14 @@
 // placement multiplies the engine's capacity.
 //
 //   - An engine is slow once its time per token exceeds Tolerance times the group's
-//     median in several consecutive steps. The measure is relative to the peers,
-//     because a burst of long prompts or a busy hour slows all engines, and shifting
-//     work between them would not help.
+//     median in several consecutive steps, which are calls of Step. The measure is
+//     relative to the peers, because a burst of long prompts or a busy hour slows all
+//     engines, and shifting work between them would not help.
 //   - The weight of a slow engine falls at once to the inverse of its slowness, but
-//     never below MinWeight. The engine shows with its remaining work when it has
-//     recovered, so no probes are needed.
-//   - All reductions of a group together never take more than MaxCut of its capacity.
-//     If half of a group is slow, the rest could not carry the whole load.
+//     never below MinWeight. Its remaining work shows when the engine has recovered, so
+//     no probes are needed.
+//   - All reductions of a group's weights together never take more than MaxCut of its
+//     capacity. If half of the group is slow, the rest could not carry the whole load.
 //   - After a recovery the weight rises by RampPerStep in each step, so that
 //     placement does not flood the empty engine. An engine that becomes slow again
 //     waits twice as long before its weight next rises. Otherwise the weight of an
--- a/coordination/slowness/tracker.go
+++ b/coordination/slowness/tracker.go
@@ -47,7 +47,7 @@
 // DefaultConfig returns the default settings.
 //
 // Engines of one group differ by a few tens of percent because of their batches; a
-// tolerance of 1.5 is clear of that. Three steps keep a single long prompt from
+// tolerance of 1.5 is well above that. Three steps keep a single long prompt from
 // counting. At a tenth of its work an engine still delivers several tokens a second.
 // Reductions of 0.3 give the others 1/0.7 times their work, which load bounds of 1.25
 // times the mean turn into queueing but not into collapse. The ramp takes 20 s for
--- a/coordination/slowness/tracker_test.go
+++ b/coordination/slowness/tracker_test.go
@@ -11,6 +11,7 @@
 	"endiveplank/protocol"
 )
 
+// usual is the time per token of a healthy engine.
 const usual = 27 * time.Millisecond
 
 func name(i int) protocol.UpstreamID { return protocol.UpstreamID(fmt.Sprintf("e%02d", i)) }
