--- a/coordination/stream/doc.go
+++ b/coordination/stream/doc.go
@@ -1,8 +1,8 @@
 // Package stream keeps one caller's answer complete and correct while the
 // connections that carry it stall, break and are replaced.
 //
-// It has three main types, of which each request has one, except WaitEstimator, which
-// each engine has:
+// It has three main types. Each engine has a WaitEstimator; each request has a Monitor and
+// an Assembler:
 //
 //   - WaitEstimator estimates how an engine recently delivered: a quantile of the time
 //     to the first token and of the time between tokens, from a small decaying
--- a/coordination/stream/monitor.go
+++ b/coordination/stream/monitor.go
@@ -108,6 +108,8 @@
 // Attempt returns the number of the current attempt.
 func (m *Monitor) Attempt() int { return m.attempt }
 
+// replace starts the next attempt, on another engine if move is set, or gives up after
+// MaxAttempts.
 func (m *Monitor) replace(now time.Duration, move bool) Step {
 	if m.attempt >= m.config.MaxAttempts {
 		return Step{Action: GiveUp, ResumeAt: m.next}
--- a/coordination/stream/wait_estimator.go
+++ b/coordination/stream/wait_estimator.go
@@ -53,7 +53,7 @@
 // DefaultWaitEstimatorConfig suits engines that give 95 of 100 first tokens within 0.5 s
 // and 95 of 100 next tokens within 27 ms.
 //
-// Four times the 0.99 quantile stays clear of the longest ordinary pauses. A false
+// Four times the 0.99 quantile is longer than the longest ordinary pauses. A false
 // alarm costs a reconnection, so it must be much rarer than one token in a hundred.
 // One second between tokens is 37 times the usual interval. Five seconds is half the
 // shortest usual deadline, so another engine can still answer in time. The first token
