--- a/coordination/explain/explain.go
+++ b/coordination/explain/explain.go
@@ -2,8 +2,8 @@
 // typed events, which operators query by request, upstream, customer or kind.
 //
 // Ring has a fixed size, so it uses the same memory however busy the router is; under
-// load it covers less time. It keeps events that come with every request in a buffer
-// of their own. Otherwise a burst of ordinary placements would overwrite the one
+// load it covers less time. It keeps routine events, which come with every request, in a
+// buffer of their own. Otherwise a burst of ordinary placements would overwrite the one
 // refusal that an operator asks about.
 package explain
 
