--- a/coordination/registry/registry.go
+++ b/coordination/registry/registry.go
@@ -37,7 +37,7 @@
 	DataCentre  protocol.DataCentre `msgpack:"d" json:"data_centre"`
 	Models      []protocol.Model    `msgpack:"m,omitempty" json:"models,omitempty"`
 	Service     protocol.Service    `msgpack:"s,omitempty" json:"service,omitempty"`
-	// Capacity of an engine is in tokens a second.
+	// Capacity is in tokens a second if the upstream is an engine.
 	Capacity      float64 `msgpack:"c" json:"capacity"`
 	MaxConcurrent int     `msgpack:"x" json:"max_concurrent"`
 	ChecksFence   bool    `msgpack:"f,omitempty" json:"checks_fence"`
@@ -125,20 +125,20 @@
 // Register applies a Register command and reports whether anything changed. index is
 // the command's log index.
 func (s *State) Register(index uint64, command Register) (Answer, bool) {
-	fresh := command.Descriptor
-	known, exists := s.descriptors[fresh.ID]
+	announced := command.Descriptor
+	known, exists := s.descriptors[announced.ID]
 	switch {
 	case !exists && len(s.descriptors) >= maxUpstreams:
 		return Answer{Outcome: Full}, false
-	case exists && fresh.Incarnation < known.Incarnation:
+	case exists && announced.Incarnation < known.Incarnation:
 		return Answer{Outcome: Late}, false
-	case exists && fresh.Incarnation == known.Incarnation && fresh.Address != known.Address:
+	case exists && announced.Incarnation == known.Incarnation && announced.Address != known.Address:
 		return Answer{Outcome: Taken}, false
-	case exists && fresh.Same(known):
+	case exists && announced.Same(known):
 		return Answer{Outcome: Done}, false
 	}
-	fresh.Revision = index
-	s.descriptors[fresh.ID] = fresh
+	announced.Revision = index
+	s.descriptors[announced.ID] = announced
 	return Answer{Outcome: Done}, true
 }
 
