--- a/coordination/room/shares_test.go
+++ b/coordination/room/shares_test.go
@@ -42,7 +42,8 @@
 func TestSurgeOfOneCustomerIsRefusedToThatCustomer(t *testing.T) {
 	// Guards: one customer's surge causes refusals to the others. One customer's program
 	// sends thirty times its usual rate. The others use half of the capacity; with one
-	// limit for all, half of their requests would be refused.
+	// limit for all, half of their requests would be refused, because that customer's
+	// requests would take the capacity.
 	for _, u := range services {
 		t.Run(u.name, func(t *testing.T) {
 			uniform, fair := surgeOfOne(u, false), surgeOfOne(u, true)
