--- a/coordination/consensus/repair/repair.go
+++ b/coordination/consensus/repair/repair.go
@@ -42,9 +42,9 @@
 	// Grow makes every disk VM that joins a voter, up to Voters. It is for
 	// fleets whose VMs do not know how many disk VMs there are.
 	Grow bool
-	// Losses is how many voters may be lost at the same time. With Grow, lost
-	// voters are removed until as many voters are left as tolerate this number
-	// of losses.
+	// Losses is how many voters may be lost at the same time. 2*Losses+1 voters
+	// tolerate that. With Grow, lost voters are removed while there are more
+	// voters than that, and otherwise only from an even number of voters.
 	Losses int
 	// SilentAfter is how long a voter may be silent before it is replaced.
 	SilentAfter time.Duration
@@ -69,7 +69,7 @@
 )
 
 // Policy decides membership changes. It is stateless: all it needs is in the
-// status of the leader, so a new leader continues without a handover.
+// status of the leader, so a new leader continues from its own status.
 type Policy struct {
 	settings Settings
 }
@@ -112,12 +112,14 @@
 
 // view is a status sorted for the rules.
 type view struct {
-	now      time.Duration
-	self     consensus.Member
+	now  time.Duration
+	self consensus.Member
+	// live are the live voters, with this leader first.
 	live     []consensus.Member
 	lost     []lostVoter
 	learners []consensus.PeerStatus
-	joining  []consensus.Member
+	// joining are the members that asked to join within joinRequestTTL.
+	joining []consensus.Member
 }
 
 // lostVoter is a voter to be replaced.
@@ -192,7 +194,7 @@
 // one.
 //
 // With Grow, a lost voter is removed at any number of voters above the number
-// that tolerates the configured losses, and below it only from an even number.
+// that tolerates the configured losses, and otherwise only from an even number.
 // Removal from an even number lowers the quorum by one and does not lower the
 // number of losses that the cluster tolerates. Removal from a small odd number
 // would lower it: of five voters with two lost disks, three would be left, and
