--- a/coordination/consensus/bootstrap.go
+++ b/coordination/consensus/bootstrap.go
@@ -8,9 +8,10 @@
 )
 
 // A cluster forms once. Every blank router with a disk sends a hello to the
-// others. The first initial voter waits until all other routers, spares
-// included, have said that they are blank and that they know its disk. Then it
-// writes the configuration as entry 1 and sends it to the other initial voters.
+// others. The initial voter with the lowest router ID waits until all other
+// routers, spares included, have said that they are blank and that they know its
+// disk. Then it writes the configuration as entry 1 and sends it to the other
+// initial voters.
 //
 // Failure: voters with wiped disks form a second cluster beside the first, and
 // both accept orders. This can happen after the initial voters were replaced:
@@ -180,8 +181,9 @@
 	return c.log.configurations[0].configuration, true
 }
 
-// mayFormCluster reports whether this member is the first initial voter and all
-// routers that must be blank have said so and know this member's disk.
+// mayFormCluster reports whether this member is the initial voter with the
+// lowest router ID, and all routers that must be blank have said so and know this
+// member's disk.
 func (c *Core) mayFormCluster() bool {
 	voters := slices.Sorted(slices.Values(c.settings.InitialVoters))
 	if c.clusterExists || len(voters) == 0 || voters[0] != c.settings.Self.Router {
--- a/coordination/consensus/core.go
+++ b/coordination/consensus/core.go
@@ -31,7 +31,7 @@
 // Each field of unsafeOptions switches off one safety rule, for tests which
 // show that the rule is needed. All fields are false outside tests.
 type unsafeOptions struct {
-	answerVoteUnsynced  bool
+	replyVoteUnsynced   bool
 	ignoreCandidateLog  bool
 	commitOlderTerms    bool
 	ackUnsynced         bool
@@ -86,10 +86,13 @@
 	// this member started: it may have acknowledged a lease just before it
 	// restarted.
 	leaderHeardAt time.Duration
-	electionAt    time.Duration
-	heartbeatAt   time.Duration
-	helloAt       time.Duration
-	electedAt     time.Duration
+	// electionAt, heartbeatAt and helloAt are when the next campaign, the next
+	// heartbeats and the next hellos are due.
+	electionAt  time.Duration
+	heartbeatAt time.Duration
+	helloAt     time.Duration
+	// electedAt is when this member last became leader.
+	electedAt time.Duration
 	// termStart is the index of the no-op that a leader appends when it is
 	// elected.
 	termStart uint64
@@ -102,7 +105,9 @@
 	snapshotBudget   tokenBucket
 	incoming         incomingSnapshot
 
-	discovered    []discoveredMember
+	discovered []discoveredMember
+	// clusterExists means that a member with a log has sent a hello. This
+	// member then forms no cluster.
 	clusterExists bool
 	// leaderHint is the leader that the last hello named, or "".
 	leaderHint protocol.RouterID
@@ -207,15 +212,16 @@
 // it refuses because their logs are shorter, so the cluster never has a leader
 // again. To prevent that, the removed member campaigns without counting its own
 // vote, wins, commits its removal and steps down. After a restart the commit
-// index is unknown, so any configuration in the log may be the one in force.
+// index is unknown, so any configuration in the log may be the newest committed
+// one.
 func (c *Core) mayCampaign() bool {
 	if c.superseded {
 		return false
 	}
 	configurations := c.log.configurations
-	for i, p := range configurations {
+	for i, indexed := range configurations {
 		replaced := i+1 < len(configurations) && configurations[i+1].index <= c.log.commit
-		if !replaced && p.configuration.IsVoter(c.settings.Self) {
+		if !replaced && indexed.configuration.IsVoter(c.settings.Self) {
 			return true
 		}
 	}
--- a/coordination/consensus/election.go
+++ b/coordination/consensus/election.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// campaign starts a pre-vote. The voters refuse it while they hear a leader, so
-// a member that was partitioned away never raises the term of a cluster that
-// has one.
+// campaign starts a pre-vote. The voters refuse it while they receive messages
+// from a leader, so a member that was partitioned away never raises the term of
+// a cluster that has one.
 func (c *Core) campaign(now time.Duration) {
 	c.role = PreCandidate
 	c.forced = false
@@ -139,8 +139,8 @@
 // reply is sent; otherwise a voter could restart and vote twice in one term.
 func (c *Core) receiveVote(now time.Duration, m Message) {
 	reason := c.voteRefusalReason(now, m)
-	mayRaise := reason == "" || reason == refusedLogBehind
-	if mayRaise && m.Hint > c.term {
+	mayAdoptTerm := reason == "" || reason == refusedLogBehind
+	if mayAdoptTerm && m.Hint > c.term {
 		c.becomeFollower(now, m.Hint, "a candidate asked for a vote in a newer term")
 	}
 	if reason == "" && !c.vote.IsZero() && c.vote != m.From {
@@ -155,7 +155,7 @@
 	c.vote = m.From
 	c.resetElectionTimer(now)
 	c.event(EventVoteGranted, m.From, "its log is up to date and no lease forbids the vote")
-	if c.unsafe.answerVoteUnsynced {
+	if c.unsafe.replyVoteUnsynced {
 		c.send(reply)
 		return
 	}
--- a/coordination/consensus/log.go
+++ b/coordination/consensus/log.go
@@ -26,8 +26,8 @@
 	taken uint64
 	// durable is the highest index known to be synced.
 	durable uint64
-	// configurations holds the one in force at base, if any, and all later
-	// ones, ordered by index.
+	// configurations holds the one in use at base, if any, and all later ones,
+	// ordered by index.
 	configurations []indexedConfiguration
 }
 
@@ -103,7 +103,8 @@
 	}
 }
 
-// trackConfiguration makes a configuration entry the one in use.
+// trackConfiguration puts the configuration of an entry in use, if the entry
+// carries one.
 func (l *memoryLog) trackConfiguration(e Entry) {
 	if e.Kind != EntryConfiguration {
 		return
@@ -123,7 +124,7 @@
 	l.entries = slices.Clone(l.entries[:index-l.base-1])
 	l.taken = min(l.taken, index-1)
 	l.durable = min(l.durable, index-1)
-	l.configurations = slices.DeleteFunc(l.configurations, func(p indexedConfiguration) bool { return p.index >= index })
+	l.configurations = slices.DeleteFunc(l.configurations, func(indexed indexedConfiguration) bool { return indexed.index >= index })
 }
 
 // merge appends entries from a leader and returns the index of the first entry
@@ -177,21 +178,22 @@
 	return entries
 }
 
-// configuration returns the configuration in use and its index.
+// configuration returns the configuration in use, which is the newest one in the
+// log, committed or not, and the index of its entry.
 func (l *memoryLog) configuration() (Configuration, uint64) {
 	if len(l.configurations) == 0 {
 		return Configuration{}, 0
 	}
-	p := l.configurations[len(l.configurations)-1]
-	return p.configuration, p.index
+	newest := l.configurations[len(l.configurations)-1]
+	return newest.configuration, newest.index
 }
 
 // configurationAt returns the configuration in use at index.
 func (l *memoryLog) configurationAt(index uint64) Configuration {
 	found := Configuration{}
-	for _, p := range l.configurations {
-		if p.index <= index {
-			found = p.configuration
+	for _, indexed := range l.configurations {
+		if indexed.index <= index {
+			found = indexed.configuration
 		}
 	}
 	return found
@@ -219,9 +221,9 @@
 		return
 	}
 	term, _ := l.term(keepFrom)
-	inForce := indexedConfiguration{keepFrom, l.configurationAt(keepFrom)}
-	later := slices.DeleteFunc(slices.Clone(l.configurations), func(p indexedConfiguration) bool { return p.index <= keepFrom })
-	l.configurations = append([]indexedConfiguration{inForce}, later...)
+	inUse := indexedConfiguration{keepFrom, l.configurationAt(keepFrom)}
+	later := slices.DeleteFunc(slices.Clone(l.configurations), func(indexed indexedConfiguration) bool { return indexed.index <= keepFrom })
+	l.configurations = append([]indexedConfiguration{inUse}, later...)
 	l.entries = slices.Clone(l.entries[keepFrom-l.base:])
 	l.base, l.baseTerm = keepFrom, term
 }
--- a/coordination/consensus/membership.go
+++ b/coordination/consensus/membership.go
@@ -53,15 +53,15 @@
 		return ""
 	}
 	if c.countReadyVoters(next) < next.Quorum() {
-		return "too few of the remaining voters answer and hold the log"
+		return "too few of the remaining voters reply and hold the log"
 	}
 	return ""
 }
 
-// countReadyVoters counts the voters of a configuration that answered recently
-// and hold the log. An answer alone is not enough: a voter that lost power
-// before its first sync answers, but it is blank and refuses votes, and its
-// vote may be the one that is needed.
+// countReadyVoters counts the voters of a configuration that replied recently
+// and hold the log. A reply alone is not enough: a voter that lost power before
+// its first sync replies, but it is blank and refuses votes, and its vote may
+// be the one that is needed.
 func (c *Core) countReadyVoters(configuration Configuration) int {
 	count := 0
 	for _, voter := range configuration.Voters {
--- a/coordination/consensus/message.go
+++ b/coordination/consensus/message.go
@@ -55,7 +55,8 @@
 	Index   uint64  `msgpack:"i,omitempty"`
 	LogTerm uint64  `msgpack:"l,omitempty"`
 	Entries []Entry `msgpack:"e,omitempty"`
-	Commit  uint64  `msgpack:"c,omitempty"`
+	// Commit is the leader's commit index, set in a MessageAppend.
+	Commit uint64 `msgpack:"c,omitempty"`
 	// Sent is when the leader sent the message, by its own clock. Replies echo
 	// it.
 	Sent time.Duration `msgpack:"s,omitempty"`
@@ -67,7 +68,7 @@
 	HintTerm uint64 `msgpack:"g,omitempty"`
 	// Chunk is a part of a snapshot.
 	Chunk *Chunk `msgpack:"p,omitempty"`
-	// Configuration is set in MessageGenesis.
+	// Configuration is the first configuration, set in a MessageBootstrap.
 	Configuration *Configuration `msgpack:"v,omitempty"`
 	// Forced marks a vote request after MessageTimeoutNow. Voters grant it even
 	// while they have promised the former leader not to vote.
--- a/coordination/consensus/mutation_test.go
+++ b/coordination/consensus/mutation_test.go
@@ -12,8 +12,8 @@
 	name     string
 	unsafe   unsafeOptions
 	sameDisk bool
-	// electionStorm runs three voters with continual elections and nothing
-	// else.
+	// electionStorm runs three voters with continual elections, without
+	// membership changes, snapshots and wiped disks.
 	electionStorm bool
 	// leaseless runs an open cluster without leases.
 	leaseless bool
@@ -21,7 +21,7 @@
 }
 
 var mutations = []mutation{
-	{name: "vote is persisted before the reply", unsafe: unsafeOptions{answerVoteUnsynced: true}, electionStorm: true, seed: 64},
+	{name: "vote is persisted before the reply", unsafe: unsafeOptions{replyVoteUnsynced: true}, electionStorm: true, seed: 64},
 	{name: "only entries of the leader's own term commit", unsafe: unsafeOptions{commitOlderTerms: true}, electionStorm: true, seed: 3855},
 	{name: "voter checks that the candidate's log is up to date", unsafe: unsafeOptions{ignoreCandidateLog: true}, seed: 1},
 	{name: "entries are synced before they are acknowledged", unsafe: unsafeOptions{ackUnsynced: true}, seed: 11},
--- a/coordination/consensus/open_test.go
+++ b/coordination/consensus/open_test.go
@@ -21,12 +21,12 @@
 	return sim
 }
 
-// startWithPeers boots a host that knows the given routers only and takes no
-// part in a first start.
-func (sim *simulation) startWithPeers(h *host, contacts ...protocol.RouterID) {
+// startWithPeers boots a host that knows only the given routers and has no
+// initial voters, so that it cannot form a cluster.
+func (sim *simulation) startWithPeers(h *host, peers ...protocol.RouterID) {
 	sim.start(h)
 	h.core.settings.InitialVoters = nil
-	h.core.SetPeers(contacts)
+	h.core.SetPeers(peers)
 }
 
 // admitJoining makes the leader add learners and promote them, as package
--- a/coordination/consensus/progress.go
+++ b/coordination/consensus/progress.go
@@ -74,8 +74,9 @@
 	}
 }
 
-// isCaughtUp reports whether a member answers and holds all but the newest few
-// entries.
+// isCaughtUp reports whether a member has acknowledged a message that was sent
+// within the last election timeout, and holds all but the newest
+// caughtUpEntries entries.
 func (c *Core) isCaughtUp(p *progress) bool {
 	fresh := c.now-p.ackedSendTime < c.settings.ElectionTimeout
 	return fresh && p.match > 0 && p.match+caughtUpEntries >= c.log.last()
@@ -95,7 +96,7 @@
 // with it all entries before it: whoever is elected later must hold it.
 func (c *Core) advanceCommit() {
 	configuration, _ := c.log.configuration()
-	index := nthHighest(c.matches(configuration), configuration.Quorum())
+	index := nthHighest(c.matchIndexes(configuration), configuration.Quorum())
 	term, held := c.log.term(index)
 	if index <= c.log.commit || !held {
 		return
@@ -106,9 +107,9 @@
 	c.log.commit = index
 }
 
-// matches returns the last entry that each voter has on disk. Learners do not
-// count.
-func (c *Core) matches(configuration Configuration) []uint64 {
+// matchIndexes returns the index of the last entry that each voter has on disk.
+// Learners do not count.
+func (c *Core) matchIndexes(configuration Configuration) []uint64 {
 	counted := configuration.Voters
 	if c.unsafe.countLearners {
 		counted = configuration.Members()
--- a/coordination/consensus/replication.go
+++ b/coordination/consensus/replication.go
@@ -5,7 +5,7 @@
 // tickLeader makes heartbeats due, and steps down when the lease has expired.
 func (c *Core) tickLeader(now time.Duration) {
 	if c.lostQuorum(now) {
-		c.becomeFollower(now, c.term, "no quorum answered within the lease")
+		c.becomeFollower(now, c.term, "no quorum replied within the lease")
 		return
 	}
 	if now < c.heartbeatAt {
--- a/coordination/consensus/scenarios_test.go
+++ b/coordination/consensus/scenarios_test.go
@@ -143,7 +143,7 @@
 	for _, unsynced := range []bool{false, true} {
 		sim, _ := newFormedCluster(t, 3, 3)
 		voter := sim.hosts[2]
-		voter.core.unsafe.answerVoteUnsynced = unsynced
+		voter.core.unsafe.replyVoteUnsynced = unsynced
 		sim.now += 3 * time.Second
 		ask := func(from *host) bool {
 			term := sim.hosts[0].core.term + 1
@@ -154,15 +154,15 @@
 			sim.take(voter)
 			return len(sim.network) > 0 && !sim.network[0].Reject
 		}
-		answered := ask(sim.hosts[0])
-		assert.Equal(t, answered, unsynced)
+		granted := ask(sim.hosts[0])
+		assert.Equal(t, granted, unsynced)
 		voter.unsynced = nil // nothing reached the disk
 		sim.crash(voter)
 		sim.start(voter)
 		sim.now += 3 * time.Second
-		voter.core.unsafe.answerVoteUnsynced = unsynced
-		again := ask(sim.hosts[1])
-		assert.Equal(t, answered && again, unsynced, "two votes in one term")
+		voter.core.unsafe.replyVoteUnsynced = unsynced
+		grantedAgain := ask(sim.hosts[1])
+		assert.Equal(t, granted && grantedAgain, unsynced, "two votes in one term")
 		sim.leaders = map[uint64]Member{}
 	}
 }
@@ -241,7 +241,7 @@
 
 func TestRemovalThatLeavesABlankVoterIsRefused(t *testing.T) {
 	// Guards against a configuration that can never elect a leader. One of
-	// three voters lost power before its first sync: it answers, but it is
+	// three voters lost power before its first sync: it replies, but it is
 	// blank and may not vote. The removal of another voter must be refused.
 	sim, leader := newFormedCluster(t, 3, 3)
 	voters := sim.others(leader)
@@ -274,7 +274,7 @@
 	assert.Assert(t, sim.now-start >= least, "took %s, the budget asks for %s", sim.now-start, least)
 }
 
-func TestSnapshotOfKnownEntriesTakesNothingBack(t *testing.T) {
+func TestSnapshotOfKnownEntriesDropsNothing(t *testing.T) {
 	// Guards against a follower that drops entries which it has acknowledged
 	// and which may be committed. A late snapshot of an earlier state arrives.
 	sim, leader := newFormedCluster(t, 3, 3)
--- a/coordination/consensus/schedule_test.go
+++ b/coordination/consensus/schedule_test.go
@@ -70,7 +70,7 @@
 	s.add(1, s.runFaultFree)
 	s.add(s.random.IntN(4), s.changeOne)
 	s.add(s.random.IntN(3), s.wipeOne)
-	s.add(s.random.IntN(3), s.handOverOne)
+	s.add(s.random.IntN(3), s.transferOne)
 	if s.random.IntN(4) > 0 {
 		s.run(3 * time.Second)
 	}
@@ -90,7 +90,7 @@
 	s.add(s.randomWeight(8), s.heal)
 	s.add(s.randomWeight(6), s.freezeOne)
 	s.add(s.randomWeight(4), s.deliverDelayed)
-	s.add(s.random.IntN(3), s.handOverOne)
+	s.add(s.random.IntN(3), s.transferOne)
 }
 
 // runFaultFree lets everything that is not isolated or frozen work for a while,
@@ -228,7 +228,7 @@
 	}
 }
 
-func (s *schedule) handOverOne() {
+func (s *schedule) transferOne() {
 	if h := s.leader(); h != nil && !s.frozen(h) && s.random.IntN(4) == 0 {
 		_ = h.core.TransferLeadership(s.clock(h))
 		s.take(h)
--- a/coordination/consensus/simulation_test.go
+++ b/coordination/consensus/simulation_test.go
@@ -381,12 +381,12 @@
 	}
 	h.machine.applied = e.Index
 	h.machine.sum = crc32.Update(h.machine.sum, castagnoli, append(binary.LittleEndian.AppendUint64(nil, e.Term), e.Data...))
-	now := decision{term: e.Term, sum: h.machine.sum}
+	applied := decision{term: e.Term, sum: h.machine.sum}
 	if e.Index == uint64(len(sim.decided)) {
-		sim.decided = append(sim.decided, now)
+		sim.decided = append(sim.decided, applied)
 		sim.decidedInTerm = append(sim.decidedInTerm, h.core.term)
 	}
-	if sim.decided[e.Index] != now {
+	if sim.decided[e.Index] != applied {
 		sim.fail("%s commits another entry %d than was decided", h.self(), e.Index)
 	}
 	if h.core.role == Leader {
--- a/coordination/consensus/status.go
+++ b/coordination/consensus/status.go
@@ -4,10 +4,12 @@
 
 // Status is a view of a Core for operators and for package repair.
 type Status struct {
-	Self          Member
-	Role          Role
-	Term          uint64
-	Leader        Member
+	Self   Member
+	Role   Role
+	Term   uint64
+	Leader Member
+	// Last is the index of the last entry, Commit the highest index known to be
+	// committed, Applied the highest index that Take has returned as committed.
 	Last          uint64
 	Commit        uint64
 	Applied       uint64
@@ -31,10 +33,12 @@
 type PeerStatus struct {
 	Member Member
 	Voter  bool
-	Match  uint64
+	// Match is the index of the last entry known to be on the member's disk.
+	Match uint64
 	// LastHeard is when the member last replied, by the leader's clock.
 	LastHeard time.Duration
-	// CaughtUp means that the member answers and holds all but the newest few
+	// CaughtUp means that the member acknowledged a message that was sent
+	// within the last election timeout, and holds all but the newest few
 	// entries.
 	CaughtUp bool
 }
