--- a/state/wal/errors.go
+++ b/state/wal/errors.go
@@ -3,8 +3,10 @@
 import "fmt"
 
 // CorruptionError means that synced data in the folder is damaged, so the log
-// wasn't opened. Restore the folder from an intact copy, or wipe it: the router
-// then rejoins as a learner and receives the state from the other members.
+// wasn't opened. A disk VM (package diskvm) then removes all files in the folder
+// and rejoins with a new disk ID, as a learner that receives the state from the
+// other members. A process of package daemon doesn't start with such a folder.
+// Once the folder is wiped, its router rejoins in the same way.
 type CorruptionError struct {
 	// File and Offset are the location of the damage. Offset is in bytes.
 	File   string
--- a/state/wal/open.go
+++ b/state/wal/open.go
@@ -221,17 +221,17 @@
 	}
 	last := i == len(l.segments)-1
 	r.highestIndex = 0
-	end, err := readSegment(s.name, data, l.member.Disk, last, r)
+	scan, err := readSegment(s.name, data, l.member.Disk, last, r)
 	if err != nil {
 		return err
 	}
 	s.highestIndex = r.highestIndex
-	s.version = end.header.version
-	l.nextFrame = end.nextFrame
+	s.version = scan.header.version
+	l.nextFrame = scan.nextFrame
 	if !last {
 		return nil
 	}
-	return l.openLastSegment(s.name, end)
+	return l.openLastSegment(s.name, scan)
 }
 
 // openLastSegment opens the last segment for appending. It truncates an
@@ -242,9 +242,9 @@
 // from the kernel's page cache and appends to it. A power loss then drops the
 // data, and with it all orders confirmed since the start. Everything that was
 // read, file names included, is therefore synced here.
-func (l *Log) openLastSegment(name string, end scanResult) error {
-	if end.torn {
-		if err := l.disk.Truncate(name, end.validSize); err != nil {
+func (l *Log) openLastSegment(name string, scan scanResult) error {
+	if scan.torn {
+		if err := l.disk.Truncate(name, scan.validSize); err != nil {
 			return err
 		}
 	}
@@ -253,7 +253,7 @@
 		return err
 	}
 	l.file = f
-	l.segmentSize = end.validSize
+	l.segmentSize = scan.validSize
 	if err := f.Sync(); err != nil {
 		return eris.Wrap(err, "wal: sync after opening")
 	}
--- a/state/wal/segment.go
+++ b/state/wal/segment.go
@@ -46,23 +46,23 @@
 	if header.disk != disk {
 		return scanResult{}, CorruptionError{File: name, Offset: headerDisk, Reason: "the segment belongs to disk " + header.disk.String() + ", not to " + disk.String()}
 	}
-	end := scanResult{header: header, validSize: headerSize, nextFrame: header.firstFrame}
-	for end.validSize < int64(len(data)) {
-		frame, ok := parseFrame(data[end.validSize:])
-		frameEnd := end.validSize + int64(len(frame)+header.endByteSize())
+	scan := scanResult{header: header, validSize: headerSize, nextFrame: header.firstFrame}
+	for scan.validSize < int64(len(data)) {
+		frame, ok := parseFrame(data[scan.validSize:])
+		frameEnd := scan.validSize + int64(len(frame)+header.endByteSize())
 		if !ok || frameEnd > int64(len(data)) || !hasValidChecksum(frame) {
-			return end.classifyDamage(name, data, last)
+			return scan.classifyDamage(name, data, last)
 		}
-		if binary.LittleEndian.Uint64(frame[frameSequence:]) != end.nextFrame {
-			return end, CorruptionError{File: name, Offset: end.validSize, Reason: fmt.Sprintf("frame %d is out of sequence, expected frame %d", binary.LittleEndian.Uint64(frame[frameSequence:]), end.nextFrame)}
+		if binary.LittleEndian.Uint64(frame[frameSequence:]) != scan.nextFrame {
+			return scan, CorruptionError{File: name, Offset: scan.validSize, Reason: fmt.Sprintf("frame %d is out of sequence, expected frame %d", binary.LittleEndian.Uint64(frame[frameSequence:]), scan.nextFrame)}
 		}
 		if problem := r.applyFrame(frame[frameHeaderSize:]); problem != "" {
-			return end, CorruptionError{File: name, Offset: end.validSize, Reason: problem}
+			return scan, CorruptionError{File: name, Offset: scan.validSize, Reason: problem}
 		}
-		end.validSize = frameEnd
-		end.nextFrame++
+		scan.validSize = frameEnd
+		scan.nextFrame++
 	}
-	return end, nil
+	return scan, nil
 }
 
 // classifyDamage decides whether the damaged frame at validSize is an unfinished
@@ -73,8 +73,8 @@
 // notice until other voters are lost too. A frame is written only after the
 // previous one is synced, so a valid frame after the damaged one proves that the
 // damaged one was valid once.
-func (end scanResult) classifyDamage(name string, data []byte, last bool) (scanResult, error) {
-	rest := data[end.validSize:]
+func (scan scanResult) classifyDamage(name string, data []byte, last bool) (scanResult, error) {
+	rest := data[scan.validSize:]
 	reason := ""
 	frame, whole := parseFrame(rest)
 	switch {
@@ -82,21 +82,21 @@
 		reason = "damaged frame in a segment that is not the last"
 	case containsValidFrame(rest[1:]):
 		reason = "damaged frame before a valid one"
-	case whole && end.isWriteFinished(rest[len(frame):]) && hasSingleBitError(frame):
+	case whole && scan.isWriteFinished(rest[len(frame):]) && hasSingleBitError(frame):
 		reason = "a single bit of the frame is wrong"
 	}
 	if reason != "" {
-		return end, CorruptionError{File: name, Offset: end.validSize, Reason: reason}
+		return scan, CorruptionError{File: name, Offset: scan.validSize, Reason: reason}
 	}
-	end.torn = true
-	return end, nil
+	scan.torn = true
+	return scan, nil
 }
 
 // isWriteFinished reports whether the bytes after a frame show that its write was
 // finished. Segments without end bytes can't show it, so each of their frames
 // counts as finished.
-func (end scanResult) isWriteFinished(following []byte) bool {
-	if end.header.endByteSize() == 0 {
+func (scan scanResult) isWriteFinished(following []byte) bool {
+	if scan.header.endByteSize() == 0 {
 		return true
 	}
 	return len(following) > 0 && following[0] == endByte
--- a/state/wal/wal_test.go
+++ b/state/wal/wal_test.go
@@ -121,7 +121,7 @@
 	assert.DeepEqual(t, append([]consensus.Entry{}, got.Entries...), append([]consensus.Entry{}, want.Entries...))
 }
 
-func TestAnUnfinishedWriteIsCutWhereverItEnds(t *testing.T) {
+func TestAnUnfinishedWriteIsTruncatedWhereverItEnds(t *testing.T) {
 	// All voters lose power during a write. On one disk the last byte of the write
 	// has a wrong bit, or the file has its full length but zeros instead of the last
 	// bytes. This is an unfinished write and no corruption: if the voter refused its
@@ -393,12 +393,12 @@
 	f.Fuzz(func(t *testing.T, data []byte, last bool) {
 		header, _ := decodeHeader(data)
 		r := &replay{}
-		end, err := readSegment("log", data, header.disk, last, r)
+		scan, err := readSegment("log", data, header.disk, last, r)
 		if err != nil {
 			return
 		}
-		if end.validSize > int64(len(data)) || (end.torn && !last) || (!end.torn && end.validSize != int64(len(data))) {
-			t.Fatalf("invalid result for a segment of %d bytes: %+v", len(data), end)
+		if scan.validSize > int64(len(data)) || (scan.torn && !last) || (!scan.torn && scan.validSize != int64(len(data))) {
+			t.Fatalf("invalid result for a segment of %d bytes: %+v", len(data), scan)
 		}
 		for i, e := range r.entries {
 			if e.Index != r.base+uint64(i)+1 {
