--- a/state/replica/bench_test.go
+++ b/state/replica/bench_test.go
@@ -21,10 +21,10 @@
 	replicas map[protocol.RouterID]*Replica
 }
 
-func (d *memoryTransport) Send(to protocol.RouterID, m consensus.Message) {
-	d.mu.RLock()
-	defer d.mu.RUnlock()
-	if r := d.replicas[to]; r != nil {
+func (t *memoryTransport) Send(to protocol.RouterID, m consensus.Message) {
+	t.mu.RLock()
+	defer t.mu.RUnlock()
+	if r := t.replicas[to]; r != nil {
 		r.Receive(m)
 	}
 }
@@ -65,23 +65,23 @@
 
 func benchPropose(b *testing.B, voters, callers int) {
 	peers := []protocol.RouterID{"r1", "r2", "r3"}[:voters]
-	d := &memoryTransport{replicas: map[protocol.RouterID]*Replica{}}
+	transport := &memoryTransport{replicas: map[protocol.RouterID]*Replica{}}
 	var syncs atomic.Int64
 	for i, id := range peers {
 		folder, err := disk.Open(b.TempDir())
 		assert.NilError(b, err)
 		r, err := New(Config{
-			Self: id, Peers: peers, InitialVoters: peers, Disk: countingDisk{folder, &syncs}, Transport: d,
+			Self: id, Peers: peers, InitialVoters: peers, Disk: countingDisk{folder, &syncs}, Transport: transport,
 			Machine: &counter{}, Random: rand.New(rand.NewPCG(uint64(i), 9)),
 		})
 		assert.NilError(b, err)
-		d.mu.Lock()
-		d.replicas[id] = r
-		d.mu.Unlock()
+		transport.mu.Lock()
+		transport.replicas[id] = r
+		transport.mu.Unlock()
 		r.Start()
 		defer r.Stop()
 	}
-	leader := awaitLeader(d)
+	leader := awaitLeader(transport)
 	command := make([]byte, 200)
 	syncs.Store(0)
 	b.ResetTimer()
@@ -102,9 +102,9 @@
 	b.ReportMetric(float64(syncs.Load())/float64(b.N), "syncs/command")
 }
 
-func awaitLeader(d *memoryTransport) *Replica {
+func awaitLeader(transport *memoryTransport) *Replica {
 	for {
-		for _, r := range d.replicas {
+		for _, r := range transport.replicas {
 			if r.IsLeaderWithLease(r.Now()) {
 				return r
 			}
--- a/state/replica/lease_test.go
+++ b/state/replica/lease_test.go
@@ -11,7 +11,7 @@
 	"endiveplank/state/disk/fakedisk"
 )
 
-func TestHandOverEndsTheLeaseBeforeTheSuccessorLeads(t *testing.T) {
+func TestLeadershipTransferEndsTheLeaseBeforeTheSuccessorLeads(t *testing.T) {
 	// A leader transfers leadership before a planned stop while callers read under
 	// its lease. Once the successor can change rows, the former leader must not
 	// serve reads of the old rows.
@@ -62,11 +62,11 @@
 		Disk: fakedisk.New(), Transport: &fleet{}, Machine: &counter{}, Random: rand.New(rand.NewPCG(1, 1)),
 	}
 	for name, spoil := range map[string]func(*Config){
-		"no peers":            func(c *Config) { c.Peers = nil },
-		"self not a peer":     func(c *Config) { c.Self = "r3" },
-		"initial not a peer":  func(c *Config) { c.InitialVoters = []protocol.RouterID{"r3"} },
-		"no disk":             func(c *Config) { c.Disk = nil },
-		"no source of chance": func(c *Config) { c.Random = nil },
+		"no peers":           func(c *Config) { c.Peers = nil },
+		"self not a peer":    func(c *Config) { c.Self = "r3" },
+		"initial not a peer": func(c *Config) { c.InitialVoters = []protocol.RouterID{"r3"} },
+		"no disk":            func(c *Config) { c.Disk = nil },
+		"no random source":   func(c *Config) { c.Random = nil },
 	} {
 		c := good
 		spoil(&c)
--- a/state/replica/loop.go
+++ b/state/replica/loop.go
@@ -154,8 +154,8 @@
 // failPendingProposals fails all pending proposals with ErrLostLeadership: their
 // outcome is unknown.
 func (r *Replica) failPendingProposals(leader protocol.RouterID) {
-	for index, w := range r.pendingProposals {
-		w.reply <- proposalResult{err: ErrLostLeadership{Leader: leader}}
+	for index, p := range r.pendingProposals {
+		p.reply <- proposalResult{err: ErrLostLeadership{Leader: leader}}
 		delete(r.pendingProposals, index)
 	}
 }
@@ -222,9 +222,9 @@
 	}
 	r.applied = e.Index
 	r.bytesSinceSnapshot += entryOverhead + len(e.Data)
-	if w, ok := r.pendingProposals[e.Index]; ok {
+	if p, ok := r.pendingProposals[e.Index]; ok {
 		delete(r.pendingProposals, e.Index)
-		w.reply <- resultFor(w, e, result, r.leader)
+		p.reply <- resultFor(p, e, result, r.leader)
 	}
 	if e.Kind == consensus.EntryCommand && r.config.OnApplied != nil {
 		r.config.OnApplied(e.Index)
@@ -233,8 +233,8 @@
 
 // resultFor returns the result of a proposal whose index is e.Index. If the entry
 // has another term, another leader's entry replaced the proposal.
-func resultFor(w pendingProposal, e consensus.Entry, result []byte, leader protocol.RouterID) proposalResult {
-	if w.term != e.Term {
+func resultFor(p pendingProposal, e consensus.Entry, result []byte, leader protocol.RouterID) proposalResult {
+	if p.term != e.Term {
 		return proposalResult{err: ErrLostLeadership{Leader: leader}}
 	}
 	return proposalResult{result: result}
--- a/state/replica/replica.go
+++ b/state/replica/replica.go
@@ -144,8 +144,8 @@
 		return nil, err
 	}
 	select {
-	case a := <-reply:
-		return a.result, a.err
+	case res := <-reply:
+		return res.result, res.err
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	case <-r.done:
--- a/state/replica/replica_test.go
+++ b/state/replica/replica_test.go
@@ -126,11 +126,11 @@
 func (f *fleet) running() []*vm {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var nodes []*vm
+	var running []*vm
 	for _, n := range f.vms {
-		nodes = append(nodes, n)
+		running = append(running, n)
 	}
-	return nodes
+	return running
 }
 
 // Send implements Transport for all VMs. It encodes and decodes each message as on
