--- a/state/disk/os.go
+++ b/state/disk/os.go
@@ -98,7 +98,7 @@
 
 // Remove implements Disk.
 func (d *OS) Remove(name string) error {
-	return eris.Wrapf(os.Remove(d.path(name)), "disk: remove %s", name)
+	return eris.Wrapf(os.Remove(d.path(name)), "disk: remove %q", name)
 }
 
 // List implements Disk.
