--- a/protocol/dialect/dialect.go
+++ b/protocol/dialect/dialect.go
@@ -1,6 +1,7 @@
-// Package dialect holds what a router reads from a caller's request and says to
-// an upstream, apart from the headers that carry it. A Dialect translates one
-// platform's headers; the decisions know only the types here.
+// Package dialect defines what a router reads from callers' requests and from
+// upstreams' answers, and what it sends to upstreams, independently of the names
+// of the headers that carry it. A Dialect translates the headers of one platform;
+// all other code uses only the types of this package.
 package dialect
 
 import (
@@ -10,80 +11,83 @@
 	"endiveplank/protocol"
 )
 
-// Call is what a caller says of a request, beside method, path and body.
+// Call is what the headers of a caller's request say.
 type Call struct {
-	// ID is the caller's name for this attempt of its.
+	// ID is the caller's ID for this attempt of its request.
 	ID protocol.RequestID
-	// Left is how long the caller will wait; 0 if it doesn't say.
-	Left time.Duration
-	// Key is the customer's key, "" for none.
+	// Remaining is how much longer the caller will wait; 0 if the caller did not
+	// send it.
+	Remaining time.Duration
+	// Key is the customer's API key, "" for none.
 	Key string
-	// LastEvent is the id of the last event that the caller has of a stream,
-	// "" for none.
-	LastEvent string
+	// LastEventID is the ID of the last event of a stream that the caller has
+	// received, "" for none.
+	LastEventID string
 	// Prompt is nil for requests without one.
 	Prompt *Prompt
 }
 
-// Prompt is what a caller declares of a prompt.
+// Prompt is what a caller declares about a prompt.
 type Prompt struct {
 	Model protocol.Model
-	// InputTokens and OutputTokens are the prompt's length and the most that
-	// the answer may have; 0 if not declared.
+	// InputTokens is the length of the prompt and OutputTokens the maximum length
+	// of the answer; 0 if not declared.
 	InputTokens  int
 	OutputTokens int
-	// Parts are the pieces that the prompt is made of, in order. Two prompts
-	// that begin with the same parts share what was read of them; the last
-	// part is the request's or its session's own.
+	// Parts are the consecutive parts of the prompt. Prompts that begin with the
+	// same parts have a common prefix, which an engine can take from its cache.
+	// The last part belongs to this request or its session alone.
 	Parts []Part
 }
 
-// Part is one piece of a prompt.
+// Part is one part of a prompt. Key is a hash of the part's identifier.
 type Part struct {
 	Key    uint64
 	Tokens int
 }
 
-// Attempt is what a router says to an upstream.
+// Attempt is what a router sends in the headers of a request to an upstream.
 type Attempt struct {
-	// Upstream is the one that may run the request; any other that has taken
-	// over its address must not.
+	// Upstream is the only upstream that may run the request. Another upstream
+	// that has taken over the address must refuse it.
 	Upstream protocol.UpstreamID
 	Customer protocol.CustomerID
-	// Left is how long the answer is of use.
-	Left time.Duration
-	// Priority ranks the request, 0 first.
+	// Remaining is the time left until the caller's deadline.
+	Remaining time.Duration
+	// Priority is the priority of the request; 0 is the most urgent.
 	Priority int
-	// LastEvent resumes a stream behind an event; "" sends what the caller
-	// sent.
-	LastEvent string
-	// CopyFrom is the address of an engine from which the upstream copies what
-	// it lacks of the prompt's beginning, "" for none.
+	// LastEventID resumes a stream after the event with this ID. If it is "",
+	// WriteAttempt leaves the caller's header as it is.
+	LastEventID string
+	// CopyFrom is the address of an engine from which the upstream copies the
+	// part of the prompt's prefix that it has not cached, "" for none.
 	CopyFrom string
 }
 
-// Answer is what an upstream says of its answer, beside status and body.
+// Answer is what the headers of an upstream's answer say.
 type Answer struct {
-	// ID repeats Call.ID; "" if the upstream doesn't.
+	// ID repeats Call.ID; "" if the upstream did not send it.
 	ID protocol.RequestID
-	// NotRun says that the upstream attests that it didn't run the request and
-	// won't.
+	// NotRun means that the upstream attests that it has not run the request and
+	// will not run it.
 	NotRun bool
-	// Signed says that the answer bears the upstream's signature, without
-	// which no success counts.
+	// Signed means that the answer has the upstream's signature. A success
+	// without a signature is not accepted.
 	Signed bool
-	// Misdirected says that another upstream than the one meant has the address.
+	// Misdirected means that the request reached another upstream than the
+	// intended one, because the address now belongs to it.
 	Misdirected bool
 }
 
-// Dialect translates headers. It is safe for concurrent use.
+// Dialect translates the headers of one platform. It is safe for concurrent use.
 type Dialect interface {
-	// ReadCall reads a caller's headers. An error names one that can't be read;
-	// the Call then holds what could.
+	// ReadCall reads a caller's headers. An error names the header that cannot be
+	// parsed; the Call then holds what could be parsed.
 	ReadCall(header http.Header) (Call, error)
-	// WriteAttempt makes the headers towards an upstream of a copy of the
-	// caller's: it sets what routers set and removes what callers may not.
+	// WriteAttempt turns header, a copy of the caller's, into the headers of a
+	// request to an upstream: it sets the routers' headers and removes those that
+	// callers may not set.
 	WriteAttempt(header http.Header, attempt Attempt)
-	// ReadAnswer reads the head of an upstream's answer.
+	// ReadAnswer reads the status and headers of an upstream's answer.
 	ReadAnswer(status int, header http.Header) Answer
 }
--- a/protocol/dialect/dialecttest/plain.go
+++ b/protocol/dialect/dialecttest/plain.go
@@ -1,4 +1,4 @@
-// Package dialecttest has a dialect for tests of what speaks through one.
+// Package dialecttest provides a simple dialect for tests of code that uses one.
 package dialecttest
 
 import (
@@ -10,15 +10,15 @@
 	"endiveplank/protocol/dialect"
 )
 
-// Plain is a Dialect with headers of the tests' own, all of which begin with T-.
+// Plain is a Dialect for tests. All of its headers begin with T-.
 type Plain struct{}
 
 // ReadCall implements dialect.Dialect.
 func (Plain) ReadCall(header http.Header) (dialect.Call, error) {
-	call := dialect.Call{ID: protocol.RequestID(header.Get("T-Id")), Key: header.Get("T-Key"), LastEvent: header.Get("T-Last")}
-	left, err := strconv.Atoi(header.Get("T-Left"))
+	call := dialect.Call{ID: protocol.RequestID(header.Get("T-Id")), Key: header.Get("T-Key"), LastEventID: header.Get("T-Last")}
+	remaining, err := strconv.Atoi(header.Get("T-Left"))
 	if err == nil {
-		call.Left = time.Duration(left) * time.Millisecond
+		call.Remaining = time.Duration(remaining) * time.Millisecond
 	}
 	return call, nil
 }
@@ -28,9 +28,9 @@
 	header.Del("T-Key")
 	header.Set("T-Upstream", string(attempt.Upstream))
 	header.Set("T-Customer", string(attempt.Customer))
-	header.Set("T-Left", strconv.FormatInt(attempt.Left.Milliseconds(), 10))
-	if attempt.LastEvent != "" {
-		header.Set("T-Last", attempt.LastEvent)
+	header.Set("T-Left", strconv.FormatInt(attempt.Remaining.Milliseconds(), 10))
+	if attempt.LastEventID != "" {
+		header.Set("T-Last", attempt.LastEventID)
 	}
 }
 
--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -95,7 +95,7 @@
 	if err != nil {
 		panic("soak: a request that can't be made: " + err.Error())
 	}
-	platform.WriteCall(request.Header, dialect.Call{ID: protocol.RequestID(id), Key: callersKey, Left: callersPatience})
+	platform.WriteCall(request.Header, dialect.Call{ID: protocol.RequestID(id), Key: callersKey, Remaining: callersPatience})
 	began := time.Now()
 	planned := c.plannedStop()
 	_ = c.conn.SetDeadline(began.Add(5 * time.Second))
--- a/soak/explain_test.go
+++ b/soak/explain_test.go
@@ -44,7 +44,7 @@
 	request, err := http.NewRequest(http.MethodPost, "http://"+p.settings.Listen.Callers+path, strings.NewReader(id))
 	assert.NilError(w.t, err)
 	request.Host = callersHost
-	platform.WriteCall(request.Header, dialect.Call{ID: protocol.RequestID(id), Key: key, Left: callersPatience})
+	platform.WriteCall(request.Header, dialect.Call{ID: protocol.RequestID(id), Key: key, Remaining: callersPatience})
 	response, err := w.client.Do(request)
 	if err != nil {
 		return 0
--- a/soak/operator_test.go
+++ b/soak/operator_test.go
@@ -112,7 +112,7 @@
 		panic("soak: a request that can't be made: " + err.Error())
 	}
 	request.Host = callersHost
-	platform.WriteCall(request.Header, dialect.Call{Key: callersKey, Left: time.Millisecond})
+	platform.WriteCall(request.Header, dialect.Call{Key: callersKey, Remaining: time.Millisecond})
 	response, err := w.client.Do(request)
 	if err != nil {
 		return 0
--- a/soak/upstream_test.go
+++ b/soak/upstream_test.go
@@ -167,7 +167,7 @@
 		return
 	}
 	if u.service == chatService {
-		u.stream(w, r, id, attempt.LastEvent, trouble)
+		u.stream(w, r, id, attempt.LastEventID, trouble)
 		return
 	}
 	_, _ = w.Write(bytes.Repeat([]byte(id+"\n"), 20)) // a caller may have gone
--- a/transport/forward/handler.go
+++ b/transport/forward/handler.go
@@ -204,7 +204,7 @@
 	f.span = f.handler.options.Tracer.Request(call.ID, f.request.Header)
 	f.job.ID = call.ID
 	f.job.Prompt = call.Prompt
-	f.patience = patience(call.Left, 0)
+	f.patience = patience(call.Remaining, 0)
 	index := f.awaitTable()
 	if index == nil {
 		f.refuse(http.StatusServiceUnavailable, "no-table", retryWithoutTable)
@@ -222,7 +222,7 @@
 	if !f.identify(index) {
 		return false
 	}
-	f.patience = patience(call.Left, route.Timeout)
+	f.patience = patience(call.Remaining, route.Timeout)
 	return f.readBody(index.Table().Limits)
 }
 
--- a/transport/forward/run.go
+++ b/transport/forward/run.go
@@ -182,7 +182,7 @@
 func (f *flight) attempt(choice balance.Choice, outcome *AttemptOutcome) verdict {
 	header := f.request.Header.Clone()
 	removeHopByHop(header)
-	attempt := dialect.Attempt{Upstream: choice.ID, Left: time.Until(f.deadline), Priority: f.job.Priority, LastEvent: f.stream.lastID, CopyFrom: choice.CopyFrom}
+	attempt := dialect.Attempt{Upstream: choice.ID, Remaining: time.Until(f.deadline), Priority: f.job.Priority, LastEventID: f.stream.lastID, CopyFrom: choice.CopyFrom}
 	if f.customer != nil {
 		attempt.Customer = f.customer.Name
 	}
@@ -201,7 +201,7 @@
 	defer f.endWatch(outcome)
 	f.timing = f.timeOf(choice)
 	defer f.timing.ended()
-	f.logSent(choice, attempt.Left)
+	f.logSent(choice, attempt.Remaining)
 	began := time.Now()
 	answer, err := f.handler.options.Pool.Send(ctx, choice.Address, request, f.nameOf)
 	if err != nil {
