--- a/protocol/chat/chain.go
+++ b/protocol/chat/chain.go
@@ -6,9 +6,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// bytesPerToken is the usual length of a token of English text in bytes. It
-// turns message lengths into the token estimates that placement and admission
-// count with; engines report exact counts later.
+// bytesPerToken is the usual length in bytes of a token of English text. It
+// converts message lengths into the token estimates that placement and admission
+// use; engines report exact counts later.
 const bytesPerToken = 4
 
 // tokensPerMessage is the overhead of role markers around one message, in
@@ -16,9 +16,9 @@
 const tokensPerMessage = 4
 
 // ChainHash identifies a prefix of a chat: a model and the messages from the
-// first up to some message. Two chats with equal prefixes have equal hashes.
-// The hash is not cryptographic: a collision can cost cache reuse, never
-// correctness, because no answer is chosen by it.
+// first to some later one. Two chats with equal prefixes have equal hashes. The
+// hash is not cryptographic: a collision can only cost cache reuse, because the
+// hash decides where a request runs and never what the answer is.
 type ChainHash uint64
 
 // Link is one prefix of a chat.
@@ -29,8 +29,8 @@
 	Tokens int
 }
 
-// Chain returns one link for each message, shortest prefix first. A request
-// of a returning chat starts with the links of its earlier requests.
+// Chain returns one link for each message, shortest prefix first. The chain of a
+// chat's later request starts with the links of its earlier requests.
 func Chain(model string, messages []Message) []Link {
 	links := make([]Link, 0, len(messages))
 	hash := ChainHash(xxhash.Sum64String(model))
@@ -48,8 +48,9 @@
 	return tokensPerMessage + (len(message.Content)+bytesPerToken-1)/bytesPerToken
 }
 
-// extend hashes one more message onto a prefix. The role's length goes in
-// first, so that no two (role, content) pairs give the same bytes.
+// extend returns the hash of a prefix with one more message. It hashes the
+// length of the role first, so that two different (role, content) pairs never
+// give the same input bytes.
 func extend(prefix ChainHash, message Message) ChainHash {
 	var head [16]byte
 	binary.LittleEndian.PutUint64(head[:8], uint64(prefix))
--- a/protocol/chat/chat.go
+++ b/protocol/chat/chat.go
@@ -1,5 +1,6 @@
-// Package chat is the callers' interface: the common chat completions API,
-// its error bodies, and the hash chain that recognises a returning chat.
+// Package chat defines the callers' API: the common chat completions API, its
+// error bodies, and the hash chain by which a router recognises the next request
+// of a chat and sends it to an engine that has the earlier messages in its cache.
 package chat
 
 // Message is one message of a chat.
@@ -8,9 +9,8 @@
 	Content string `json:"content"`
 }
 
-// Request is the body of POST /v1/chat/completions. Fields that the fleet
-// does not read are relayed untouched, because the original body is what is
-// sent to the upstream.
+// Request is the body of POST /v1/chat/completions. The router sends the original
+// body to the upstream, so fields that are not listed here reach it unchanged.
 type Request struct {
 	Model     string    `json:"model"`
 	Messages  []Message `json:"messages"`
@@ -44,9 +44,9 @@
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// Chunk is one server-sent event of a streamed answer. Its SSE id is the
-// index of its token, from 0, which is what a resumption counts by. The
-// stream ends with the data line DoneMarker.
+// Chunk is one server-sent event of a streamed answer. Its event ID is the index
+// of its token, from 0, and tells where to resume a broken stream. The stream
+// ends with the data line DoneMarker.
 type Chunk struct {
 	ID      string        `json:"id"`
 	Object  string        `json:"object"`
@@ -82,7 +82,7 @@
 
 // ErrorDetail names the cause of an error answer.
 type ErrorDetail struct {
-	// Message is for people: the cause and what to do next.
+	// Message tells a person the cause and what to do next.
 	Message string `json:"message"`
 	// Type groups errors as chat API clients do: invalid_request_error,
 	// authentication_error, permission_error, rate_limit_error,
