--- a/protocol/codec/check.go
+++ b/protocol/codec/check.go
@@ -7,21 +7,21 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// maxDepth bounds the nesting of a message. The deepest of the fleet's own is
-// below ten.
+// maxDepth limits the nesting of a message. The fleet's own messages have fewer
+// than ten levels.
 const maxDepth = 32
 
-// ErrMalformed means that bytes are not one whole msgpack value.
+// ErrMalformed means that the input is not exactly one complete msgpack value.
 var ErrMalformed = eris.New("codec: not one whole msgpack value")
 
-// Check reports whether the bytes are exactly one msgpack value whose lists
-// can all be there.
+// Check returns ErrMalformed unless the input is exactly one msgpack value and no
+// list in it is longer than the bytes that follow.
 //
-// It guards against a short message that announces a huge list. The msgpack
-// library allocates a list of structs at its announced length before it reads
-// the first element: 12 bytes made it ask for 58 GB and killed the process,
-// on every voter at the same log entry. Each element takes at least one byte,
-// so a list longer than the bytes left cannot be whole.
+// It guards against a short message that declares a huge list. The msgpack
+// library allocates a list of structs at its declared length before it reads
+// the first element: 12 bytes made it request 58 GB and killed the process, on
+// every voter at the same log entry. Each element takes at least one byte, so a
+// list longer than the remaining bytes cannot be complete.
 func Check(encoded []byte) error {
 	rest, ok := skip(encoded, maxDepth)
 	if !ok || len(rest) != 0 {
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// skip returns what follows the first value.
+// skip returns the bytes after the first value.
 func skip(b []byte, depth int) (rest []byte, ok bool) {
 	if len(b) == 0 || depth == 0 {
 		return nil, false
@@ -84,7 +84,8 @@
 	return b[count:], true
 }
 
-// skipLength skips a length of the given width and as many bytes.
+// skipLength skips a length field of width bytes and the number of bytes that it
+// declares.
 func skipLength(b []byte, width int) ([]byte, bool) {
 	length, b, ok := readLength(b, width)
 	if !ok {
--- a/protocol/codec/codec.go
+++ b/protocol/codec/codec.go
@@ -1,10 +1,12 @@
 // Package codec encodes the coordination layer's messages with msgpack, with
 // integers in their shortest form.
 //
-// Commands and snapshots are encoded as maps with short keys, so that a later
-// version can add and drop fields. Messages that go out each second from each
-// router are encoded as arrays without keys: half the bytes, and fields can
-// only be added at the end. Unmarshal reads both.
+// Marshal encodes structs as maps with short keys, so that a later version can
+// add and drop fields; commands and snapshots use it. MarshalArrays encodes
+// structs as arrays without keys, which takes half the bytes, but fields can only
+// be added at the end; messages that each router sends every second use it.
+// Unmarshal reads both. It first runs Check, because a malformed message could
+// otherwise make the msgpack library allocate all memory.
 package codec
 
 import (
@@ -14,15 +16,17 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Marshal encodes a value whose type can always be encoded; anything else is
-// a broken invariant.
+// Marshal encodes a value. It panics if the value's type cannot be encoded, which
+// is a programming error.
 func Marshal(value any) []byte { return encode(value, false) }
 
-// MarshalArrays encodes a value with its structs as arrays.
+// MarshalArrays encodes a value with its structs as arrays. It panics like
+// Marshal.
 func MarshalArrays(value any) []byte { return encode(value, true) }
 
-// Unmarshal decodes into target. Random bytes give an error; see Check for what
-// they would do without it. Use it for all bytes that come from elsewhere.
+// Unmarshal decodes into target. It returns an error for malformed input, which
+// could end the process if it were decoded without Check. All input from other
+// processes or from disk must be decoded with Unmarshal.
 func Unmarshal(encoded []byte, target any) error {
 	if err := Check(encoded); err != nil {
 		return err
--- a/protocol/codec/codec_test.go
+++ b/protocol/codec/codec_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// CI runs the properties on one seed; -rapid.seed gives others.
+// CI runs the property tests with one seed; -rapid.seed selects another.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 type message struct {
@@ -20,9 +20,10 @@
 	Next  *message  `msgpack:"x,omitempty"`
 }
 
-// A peer's frame is cut or a bit of it flips, so that twelve bytes announce a
-// list of two thousand million structs. The library allocates the list first:
-// the process dies of memory, and so does every other that reads the frame.
+// A frame is truncated or one of its bits flips, so that twelve bytes declare a
+// list of two thousand million structs. The msgpack library allocates the list
+// before it reads elements, so every process that decodes the frame runs out of
+// memory.
 func TestHugeListIsRefused(t *testing.T) {
 	var target message
 	for _, encoded := range []string{
@@ -45,17 +46,17 @@
 	return m
 }
 
-// Every message that can be encoded passes the check, and no prefix of it.
-func TestCheckTakesWholeMessages(t *testing.T) {
+// Check accepts every encoded message and rejects every proper prefix of it.
+func TestCheckAcceptsOnlyWholeMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawMessage(t, 2)
 		for _, encoded := range [][]byte{Marshal(&m), MarshalArrays(&m)} {
 			assert.NilError(t, Check(encoded))
 			assert.Assert(t, Check(encoded[:rapid.IntRange(0, len(encoded)-1).Draw(t, "cut")]) != nil)
-			var back message
-			assert.NilError(t, Unmarshal(encoded, &back))
-			assert.Equal(t, back.ID, m.ID)
-			assert.Equal(t, len(back.Inner), len(m.Inner))
+			var decoded message
+			assert.NilError(t, Unmarshal(encoded, &decoded))
+			assert.Equal(t, decoded.ID, m.ID)
+			assert.Equal(t, len(decoded.Inner), len(m.Inner))
 		}
 	})
 }
