--- a/coordination/engineorders/stories_test.go
+++ b/coordination/engineorders/stories_test.go
@@ -45,7 +45,7 @@
 		frozen := w.held
 		w.hold = false
 		w.takeOffice()
-		w.refuse = upstreamapi.StatusBad
+		w.refuse = upstreamapi.StatusInvalid
 		w.run(20 * time.Second)
 		assert.Equal(t, w.ending(), EngineRefused)
 		w.refuse = 0
@@ -123,7 +123,7 @@
 // orders to others go on.
 func TestRefusingEngineIsLeftAloneForLonger(t *testing.T) {
 	w := newWorld(t, true)
-	w.refuse = upstreamapi.StatusBad
+	w.refuse = upstreamapi.StatusInvalid
 	for _, rest := range []time.Duration{10 * time.Second, 20 * time.Second, 40 * time.Second} {
 		assert.Equal(t, w.issue(w.issuer, "v1").Outcome, Done)
 		w.run(time.Second)
--- a/coordination/engineorders/world_test.go
+++ b/coordination/engineorders/world_test.go
@@ -139,7 +139,7 @@
 	if w.engine.Order(w.now, order) == engine.OrderFenced {
 		return upstreamapi.StatusConflict
 	}
-	return upstreamapi.StatusTaken
+	return upstreamapi.StatusAccepted
 }
 
 // version is what the engine holds of the model.
--- a/coordination/node/nodetest/engineorder.go
+++ b/coordination/node/nodetest/engineorder.go
@@ -45,5 +45,5 @@
 	}
 	e.Held.Fence = ask.Fence
 	e.Held.Models = []upstreamapi.LoadedModel{{Model: ask.Intent.Model, Version: ask.Intent.Version, Ready: true}}
-	return upstreamapi.StatusTaken
+	return upstreamapi.StatusAccepted
 }
--- a/protocol/upstreamapi/status.go
+++ b/protocol/upstreamapi/status.go
@@ -2,22 +2,24 @@
 
 import "net/http"
 
-// Answers of an engine to an order, for those who judge or imitate them.
+// HTTP statuses with which an engine answers an order.
 const (
-	// StatusTaken says that the engine has the order.
-	StatusTaken = http.StatusAccepted
-	// StatusConflict says that it has one with a newer number.
+	// StatusAccepted means that the engine has accepted the order.
+	StatusAccepted = http.StatusAccepted
+	// StatusConflict means that the engine has an order with a newer fencing
+	// number.
 	StatusConflict = http.StatusConflict
-	// StatusBad says that it can't carry the order out as it is written.
-	StatusBad = http.StatusBadRequest
+	// StatusInvalid means that the engine can't carry out the order as written.
+	StatusInvalid = http.StatusBadRequest
 )
 
-// IsConflict reports whether an answer is about an order's number.
+// IsConflict reports whether an answer refuses an order because of its fencing
+// number.
 func IsConflict(status int) bool { return status == StatusConflict }
 
-// IsRefusal reports whether an answer refuses an order for good. A conflict does
-// not: it is about the number, and the state read back tells whose order won. Nor
-// does an overload, which passes.
+// IsRefusal reports whether an answer refuses an order permanently. A conflict
+// does not: it is about the fencing number, and reading the engine's state shows
+// which order won. An overload does not either, because it is temporary.
 func IsRefusal(status int) bool {
 	if status == http.StatusNotImplemented {
 		return true
--- a/protocol/upstreamapi/upstreamapi.go
+++ b/protocol/upstreamapi/upstreamapi.go
@@ -1,9 +1,15 @@
-// Package upstreamapi holds the JSON messages between routers and upstreams.
+// Package upstreamapi defines the HTTP paths and JSON messages between routers
+// and upstreams.
 //
-// An upstream announces itself to any router with POST AnnouncePath, again
-// every AnnounceInterval, and says goodbye with POST LeavePath. A router calls
-// the upstream at the address it announced: CompletionsPath for chats, any
-// path for plain services, and the control paths below.
+// An upstream sends an Announcement to any router with POST AnnouncePath and
+// repeats it every AnnounceInterval. Before it stops it sends Leave with POST
+// LeavePath. A router calls the upstream at the address it announced:
+// CompletionsPath for chats, any path for plain services, and for engines the
+// control paths below.
+//
+// Incarnations and sequence numbers let a router ignore late messages, and
+// fencing numbers let an engine refuse an order from a router that has been
+// replaced.
 package upstreamapi
 
 import (
@@ -35,8 +41,8 @@
 	StatePath = "/v1/engine/state"
 )
 
-// AnnounceInterval is how often an upstream repeats its announcement. Three
-// missed announcements make it suspect.
+// AnnounceInterval is the time between two announcements of an upstream. After
+// three missed announcements the upstream is suspected.
 const AnnounceInterval = 500 * time.Millisecond
 
 // Kind tells a model engine from a server of a plain service.
@@ -47,37 +53,40 @@
 	KindService Kind = "service"
 )
 
-// Announcement is the body of POST AnnouncePath: who the upstream is, what it
-// serves, its load as it last counted it, and cache events since the last one.
+// Announcement is the body of POST AnnouncePath: the upstream's identity, what it
+// serves, its load as it last counted it, and the cache events since the last
+// announcement.
 type Announcement struct {
 	ID protocol.UpstreamID `json:"id"`
-	// Incarnation grows at each start of the upstream; a lower one than the
-	// last seen is a late message and is ignored.
+	// Incarnation increases with each start of the upstream. An announcement with
+	// a lower incarnation than the last seen is late and is ignored.
 	Incarnation uint64 `json:"incarnation"`
-	// Sequence grows with each announcement of one incarnation.
+	// Sequence increases with each announcement of one incarnation.
 	Sequence uint64 `json:"sequence"`
 	Kind     Kind   `json:"kind"`
-	// Address is host:port where routers reach the upstream, IP numbers only.
+	// Address is the IP:port at which routers reach the upstream; host names are
+	// not allowed.
 	Address    string              `json:"address"`
 	DataCentre protocol.DataCentre `json:"data_centre"`
 	Models     []protocol.Model    `json:"models,omitempty"`
 	Service    protocol.Service    `json:"service,omitempty"`
 	Role       string              `json:"role,omitempty"`
-	// Capacity is the upstream's share of work relative to others: for an
-	// engine, tokens a second at full batch.
+	// Capacity is the upstream's weight relative to others: for an engine, tokens
+	// per second at full batch.
 	Capacity float64 `json:"capacity"`
 	// MaxConcurrent is the number of requests the upstream runs at once.
 	MaxConcurrent int `json:"max_concurrent"`
-	// ChecksFence says whether the upstream refuses an order that carries an
-	// old fencing number.
+	// ChecksFence says whether the upstream refuses an order with an old fencing
+	// number.
 	ChecksFence bool `json:"checks_fence"`
-	// Leaving says that the upstream finishes its work and takes no more.
+	// Leaving means that the upstream finishes its requests and accepts no more.
 	Leaving bool        `json:"leaving,omitempty"`
 	Load    Load        `json:"load"`
 	Cache   *CacheBatch `json:"cache,omitempty"`
 }
 
-// Load is an upstream's own, late count of its work.
+// Load is an upstream's own count of its requests. It is out of date by the time
+// a router receives it.
 type Load struct {
 	Running           int `json:"running"`
 	Waiting           int `json:"waiting"`
@@ -99,8 +108,9 @@
 	Hash string `json:"hash"`
 }
 
-// CacheBatch is a run of cache events. Events are numbered without holes by
-// the engine, so a receiver that expected another First has missed some.
+// CacheBatch is a sequence of consecutive cache events. The engine numbers its
+// events without gaps, so a receiver that expected another First has missed
+// events.
 type CacheBatch struct {
 	First  uint64       `json:"first"`
 	Events []CacheEvent `json:"events"`
@@ -129,7 +139,7 @@
 	Hash string `json:"hash"`
 }
 
-// EngineAction is what an engine order asks for.
+// EngineAction is the action that an engine order requests.
 type EngineAction string
 
 const (
@@ -143,19 +153,20 @@
 	Fence  protocol.Fence `json:"fence"`
 	Action EngineAction   `json:"action"`
 	Model  protocol.Model `json:"model,omitempty"`
-	// Version selects weights or an adapter of the model.
+	// Version selects the weights or an adapter of the model.
 	Version string `json:"version,omitempty"`
 	Role    string `json:"role,omitempty"`
 }
 
-// EngineState answers GET StatePath.
+// EngineState is the response to GET StatePath.
 type EngineState struct {
 	Fence  protocol.Fence `json:"fence"`
 	Models []LoadedModel  `json:"models"`
 	Role   string         `json:"role"`
 }
 
-// LoadedModel is one model an engine holds or is loading.
+// LoadedModel is a model that an engine has loaded, or is loading if Ready is
+// false.
 type LoadedModel struct {
 	Model   protocol.Model `json:"model"`
 	Version string         `json:"version"`
