--- a/coordination/node/check.go
+++ b/coordination/node/check.go
@@ -46,7 +46,7 @@
 	}
 	if e.checkedAt == 0 {
 		e.checkedAt = now
-		n.send(e.upstream.Owner, fleet.Check{Attempt: e.current()})
+		n.send(e.upstream.Owner, fleet.AttemptCheck{Attempt: e.current()})
 	}
 	return false
 }
@@ -55,7 +55,7 @@
 func (n *Node) ownerChecked(in PeerCheck) {
 	attempt := in.Check.Attempt
 	if n.knows(attempt) {
-		n.send(in.From, fleet.Alive{Attempt: attempt})
+		n.send(in.From, fleet.AttemptAlive{Attempt: attempt})
 		return
 	}
 	n.send(in.From, fleet.End{Attempt: attempt, Outcome: protocol.UnknownRun, Reason: string(reason.OwnerLost)})
--- a/coordination/node/inputs.go
+++ b/coordination/node/inputs.go
@@ -72,14 +72,14 @@
 // PeerCheck asks this router, as an owner, whether it still has an attempt.
 type PeerCheck struct {
 	From  protocol.RouterID
-	Check fleet.Check
+	Check fleet.AttemptCheck
 }
 
 // PeerAlive says that the owner still has an attempt.
-type PeerAlive struct{ Alive fleet.Alive }
+type PeerAlive struct{ Alive fleet.AttemptAlive }
 
 // PeerMoved says where a chat ran whose first choice this router owns.
-type PeerMoved struct{ Moved fleet.Moved }
+type PeerMoved struct{ Moved fleet.ChatMoved }
 
 // PeerTotals carries the load of the upstreams that other routers own.
 type PeerTotals struct {
--- a/coordination/node/node.go
+++ b/coordination/node/node.go
@@ -299,11 +299,11 @@
 		return PeerCancel{From: from, Cancel: message}
 	case OrderReport:
 		return PeerOrderReport{From: from, Report: message}
-	case fleet.Moved:
+	case fleet.ChatMoved:
 		return PeerMoved{Moved: message}
-	case fleet.Check:
+	case fleet.AttemptCheck:
 		return PeerCheck{From: from, Check: message}
-	case fleet.Alive:
+	case fleet.AttemptAlive:
 		return PeerAlive{Alive: message}
 	case limits.Ask:
 		return PeerLimitAsk{From: from, Ask: message}
@@ -327,12 +327,12 @@
 		return wire.KindCancel
 	case OrderReport:
 		return wire.KindOrderReport
-	case fleet.Moved:
-		return wire.KindMoved
-	case fleet.Check:
-		return wire.KindCheck
-	case fleet.Alive:
-		return wire.KindAlive
+	case fleet.ChatMoved:
+		return wire.KindChatMoved
+	case fleet.AttemptCheck:
+		return wire.KindAttemptCheck
+	case fleet.AttemptAlive:
+		return wire.KindAttemptAlive
 	case limits.Ask:
 		return wire.KindLimitAsk
 	case limits.Answer:
--- a/coordination/node/nodetest/engine.go
+++ b/coordination/node/nodetest/engine.go
@@ -234,7 +234,7 @@
 // inputOf turns a message into the receiver's input.
 func inputOf(from protocol.RouterID, out node.Send) node.Input {
 	switch out.Kind {
-	case wire.KindTotals:
+	case wire.KindLoadTotals:
 		return node.PeerTotals{From: from, Summary: out.Payload.(loadbound.Summary)}
 	case wire.KindQuarantine:
 		return node.PeerNotice{Notice: out.Payload.(quarantine.Notice)}
--- a/coordination/node/owner.go
+++ b/coordination/node/owner.go
@@ -139,7 +139,7 @@
 			Chain:        coreChain(place.Chain),
 			Root:         place.Root,
 			OutputTokens: max(1, place.OutputTokens-place.ResumeAt),
-			Seen:         place.Seen,
+			Seen:         place.SeenLoad,
 		}
 		fresh.cost = n.policy.Cost(place.PromptTokens, 0, fresh.ask.OutputTokens)
 	}
@@ -166,7 +166,7 @@
 			return
 		}
 	}
-	target.hear(now, r.place.Seen)
+	target.hear(now, r.place.SeenLoad)
 	if target.queue.Len() > 0 {
 		// What waits goes first, by the queue's rules, and the news that this
 		// request brings may make room for it.
--- a/coordination/node/seek.go
+++ b/coordination/node/seek.go
@@ -141,7 +141,7 @@
 		return
 	}
 	root := e.chain[e.template.Root].Hash
-	n.send(home.Owner, fleet.Moved{Home: result.Home, Root: uint64(root), Ran: result.Upstream})
+	n.send(home.Owner, fleet.ChatMoved{FirstChoice: result.Home, Root: uint64(root), Ran: result.Upstream})
 }
 
 // rankServers orders the servers of a plain service by rendezvous hashing of
@@ -205,7 +205,7 @@
 	message.ResumeAt = e.delivered()
 	message.Stage = uint8(stage)
 	message.Home = home
-	message.Seen = e.seenBeside(upstream.ID)
+	message.SeenLoad = e.seenBeside(upstream.ID)
 	message.RemainingMS = (e.deadline - now).Milliseconds()
 	n.send(upstream.Owner, message)
 }
--- a/coordination/node/upstreams.go
+++ b/coordination/node/upstreams.go
@@ -269,13 +269,13 @@
 func (n *Node) shareTotals(now time.Duration) {
 	for _, peer := range n.exchange.Due(now) {
 		summary := n.ledger.Summary(now, peer, n.exchange.Relay())
-		n.emit(Send{To: peer, Kind: wire.KindTotals, Payload: summary})
+		n.emit(Send{To: peer, Kind: wire.KindLoadTotals, Payload: summary})
 	}
 }
 
 // moved notes where a chat ran whose first choice is owned here.
 func (n *Node) moved(now time.Duration, in PeerMoved) {
-	if target := n.owned[in.Moved.Home]; target != nil && target.holds {
+	if target := n.owned[in.Moved.FirstChoice]; target != nil && target.holds {
 		n.placer.Moved(now, chat.ChainHash(in.Moved.Root), in.Moved.Ran)
 	}
 }
--- a/daemon/fabric/fabric.go
+++ b/daemon/fabric/fabric.go
@@ -154,11 +154,11 @@
 	case control.ReadReply:
 		return wire.KindReadReply
 	case balance.LoadReport:
-		return wire.KindLoads
+		return wire.KindLoadReport
 	case balance.CacheHolderList:
-		return wire.KindKeepers
+		return wire.KindCacheHolders
 	case crashes.Crash:
-		return wire.KindBlame
+		return wire.KindCrash
 	}
 	panic(fmt.Sprintf("fabric: a message of type %T", body))
 }
@@ -194,11 +194,11 @@
 		return decodeAs[control.Read](frame)
 	case wire.KindReadReply:
 		return decodeAs[control.ReadReply](frame)
-	case wire.KindLoads:
+	case wire.KindLoadReport:
 		return decodeAs[balance.LoadReport](frame)
-	case wire.KindKeepers:
+	case wire.KindCacheHolders:
 		return decodeAs[balance.CacheHolderList](frame)
-	case wire.KindBlame:
+	case wire.KindCrash:
 		return decodeAs[crashes.Crash](frame)
 	}
 	return nil, fmt.Errorf("fabric: no message has kind %d", frame.Kind)
--- a/daemon/frames.go
+++ b/daemon/frames.go
@@ -93,7 +93,7 @@
 		}
 		d.runner.Input(node.Leaving{Leave: leave, Forwarded: true})
 		return nil
-	case wire.KindTotals:
+	case wire.KindLoadTotals:
 		summary, ok := loadbound.DecodeSummary(frame.Payload)
 		if !ok {
 			return eris.New("load summary of the wrong size")
--- a/daemon/runner.go
+++ b/daemon/runner.go
@@ -247,16 +247,16 @@
 		return decoded[fleet.End](from, frame)
 	case wire.KindCancel:
 		return decoded[fleet.Cancel](from, frame)
-	case wire.KindCheck:
-		return decoded[fleet.Check](from, frame)
-	case wire.KindAlive:
-		return decoded[fleet.Alive](from, frame)
+	case wire.KindAttemptCheck:
+		return decoded[fleet.AttemptCheck](from, frame)
+	case wire.KindAttemptAlive:
+		return decoded[fleet.AttemptAlive](from, frame)
 	case wire.KindLimitAsk:
 		return decoded[limits.Ask](from, frame)
 	case wire.KindLimitAnswer:
 		return decoded[limits.Answer](from, frame)
-	case wire.KindMoved:
-		return decoded[fleet.Moved](from, frame)
+	case wire.KindChatMoved:
+		return decoded[fleet.ChatMoved](from, frame)
 	case wire.KindOrderReport:
 		return decoded[node.OrderReport](from, frame)
 	}
--- a/protocol/fleet/fleet.go
+++ b/protocol/fleet/fleet.go
@@ -1,12 +1,13 @@
-// Package fleet holds the messages of the data path between an entry router,
-// which keeps the caller's connection, and an owning router, which counts an
-// upstream's load and talks to it.
+// Package fleet defines the messages of the data path between an entry router,
+// which holds the caller's connection, and the owner of an upstream, the router
+// that counts the upstream's load and sends requests to it. It also defines the
+// messages by which a router proposes a command to the consensus leader.
 //
-// One request makes one or more attempts. The entry sends Place; the owner
-// answers with a PlaceReply, then, once the upstream answers, with Chunks in
-// order and one End. The entry may send Cancel at any time. An attempt number
-// is never used again for the same request, so a late message of an abandoned
-// attempt is recognised and dropped.
+// One request makes one or more attempts. The entry router sends Place. The owner
+// replies with PlaceReply and, once the upstream answers, with Chunks in order
+// and one End. The entry router may send Cancel at any time. An attempt number
+// is never reused for the same request, so a late message of an abandoned attempt
+// is recognised and dropped.
 package fleet
 
 import "endiveplank/protocol"
@@ -23,7 +24,7 @@
 	Value string `msgpack:"v"`
 }
 
-// Link is one prefix of the chat, see chat.Link.
+// Link is one prefix of a chat, see chat.Link.
 type Link struct {
 	Hash   uint64 `msgpack:"h"`
 	Tokens int    `msgpack:"t"`
@@ -33,16 +34,15 @@
 type Place struct {
 	Attempt  Attempt             `msgpack:"a"`
 	Upstream protocol.UpstreamID `msgpack:"u"`
-	// Fence is the owner's fencing number as the entry knows it. An owner
-	// with another number refuses, because the entry's view is old or its own
-	// is.
+	// Fence is the owner's fencing number in the entry router's view. An owner
+	// with another number refuses, because the view of one of them is out of date.
 	Fence    protocol.Fence      `msgpack:"f"`
 	Customer protocol.CustomerID `msgpack:"c"`
 	// Class is the priority class, 0 the most urgent.
 	Class int `msgpack:"p"`
 	// Weight is the customer's share within its class.
 	Weight float64 `msgpack:"w"`
-	// PromptTokens and OutputTokens estimate the work.
+	// PromptTokens and OutputTokens estimate the cost of the request.
 	PromptTokens int    `msgpack:"pt"`
 	OutputTokens int    `msgpack:"ot"`
 	Chain        []Link `msgpack:"l,omitempty"`
@@ -53,38 +53,41 @@
 	Headers  []Header       `msgpack:"h,omitempty"`
 	Body     []byte         `msgpack:"b,omitempty"`
 	Streamed bool           `msgpack:"s,omitempty"`
-	// ResumeAt is the number of chunks the caller has already.
+	// ResumeAt is the number of chunks that the caller has already received.
 	ResumeAt int `msgpack:"ra,omitempty"`
 	// Idempotent says that the request may be sent to an upstream again.
 	Idempotent bool `msgpack:"i,omitempty"`
-	// Stage says what the entry wants to know, see placement.Stage. The last
-	// stage says that the entry has tried other upstreams; the owner then
-	// starts, queues or refuses the request, but doesn't spill it.
+	// Stage is the stage of the search for an upstream, see placement.Stage. The
+	// last stage means that the entry router has tried other upstreams; the owner
+	// then starts, queues or refuses the request, but does not spill it.
 	Stage uint8 `msgpack:"st"`
-	// Home says that the upstream is the chat's first choice.
+	// Home means that the upstream is the chat's first choice.
 	Home bool `msgpack:"ho,omitempty"`
-	// Root is the position in Chain of the link that places the chat.
+	// Root is the index in Chain of the link whose hash determines the order in
+	// which upstreams are tried.
 	Root int `msgpack:"ro,omitempty"`
-	// Seen is the load of other upstreams that the entry has heard of while it
-	// looked for room, in tokens.
-	Seen float64 `msgpack:"se,omitempty"`
-	// Suspect says that the request is on trial for crashes.
+	// SeenLoad is the load, in tokens, of other upstreams that the entry router
+	// has learned while it searched for capacity.
+	SeenLoad float64 `msgpack:"se,omitempty"`
+	// Suspect means that the request was in flight at a crash and may have caused
+	// it.
 	Suspect bool `msgpack:"su,omitempty"`
-	// RemainingMS is the time left until the request's deadline when the
-	// message was sent. Clocks of two VMs are never compared.
+	// RemainingMS is the time until the request's deadline when the message was
+	// sent. It is a duration because clocks of two VMs are never compared.
 	RemainingMS int64 `msgpack:"ms"`
-	// Digest identifies body and customer, for quarantine.
+	// Digest identifies the body and the customer, for quarantine.
 	Digest uint64 `msgpack:"d,omitempty"`
 	// Order is set for a request that may run at most once.
 	Order *Order `msgpack:"or,omitempty"`
 }
 
-// Order names a request that may run at most once in the journal.
+// Order identifies, in the journal, a request that may run at most once.
 type Order struct {
 	Key    string   `msgpack:"k"`
 	Digest [16]byte `msgpack:"d"`
-	// Attempt numbers the order's dispatches in the journal, from 1. It is not
-	// the attempt of the Place, which also counts owners that had no room.
+	// Attempt is the number of the order's dispatch in the journal, from 1. It
+	// differs from the attempt of the Place, which also counts owners that had no
+	// spare capacity.
 	Attempt uint32 `msgpack:"a"`
 }
 
@@ -92,17 +95,17 @@
 type PlaceOutcome uint8
 
 const (
-	// PlaceStarted means the request is on its way to the upstream.
+	// PlaceStarted means that the owner sends the request to the upstream.
 	PlaceStarted PlaceOutcome = 1
-	// PlaceQueued means the request waits at the owner.
+	// PlaceQueued means that the request waits at the owner.
 	PlaceQueued PlaceOutcome = 2
-	// PlaceSpilled means the upstream has no room and the entry should try
-	// the next one.
+	// PlaceSpilled means that the upstream has no spare capacity and the entry
+	// router should try the next one.
 	PlaceSpilled PlaceOutcome = 3
-	// PlaceRefused means the caller should be told to come back later.
+	// PlaceRefused means that the caller should be told to retry later.
 	PlaceRefused PlaceOutcome = 4
-	// PlaceNotOwner means the receiver may not admit work to the upstream
-	// now: it isn't the owner, or its lease ran out.
+	// PlaceNotOwner means that the receiver must not admit requests to the upstream
+	// now: it is not the owner, or its lease has expired.
 	PlaceNotOwner PlaceOutcome = 5
 )
 
@@ -112,30 +115,33 @@
 	Outcome PlaceOutcome `msgpack:"o"`
 	// Reason is a code of package reason.
 	Reason string `msgpack:"r,omitempty"`
-	// RetryAfterMS says when a refused caller should come back.
+	// RetryAfterMS is the time after which a refused caller should retry.
 	RetryAfterMS int64 `msgpack:"ms,omitempty"`
-	// Verdict is the placement's verdict behind a spilled request, with what
-	// the entry's walk needs to go on, see placement.Answer.
+	// Verdict, Bound, Forward, SavedShare and Ratio are the owner's placement
+	// decision for a spilled request. The entry router needs them to continue its
+	// search, see placement.Answer.
 	Verdict    uint8   `msgpack:"v,omitempty"`
 	Bound      string  `msgpack:"b,omitempty"`
 	Forward    uint32  `msgpack:"f,omitempty"`
 	SavedShare float64 `msgpack:"s,omitempty"`
 	Ratio      float64 `msgpack:"l,omitempty"`
-	// Load is the upstream's counted load, in tokens.
+	// Load is the upstream's load as the owner counts it, in tokens.
 	Load float64 `msgpack:"lo,omitempty"`
 }
 
-// Moved tells the owner of a chat's first choice where the chat ran instead.
-type Moved struct {
-	Home protocol.UpstreamID `msgpack:"h"`
-	Root uint64              `msgpack:"r"`
-	Ran  protocol.UpstreamID `msgpack:"u"`
+// ChatMoved tells the owner of a chat's first-choice upstream where the chat ran
+// instead.
+type ChatMoved struct {
+	FirstChoice protocol.UpstreamID `msgpack:"h"`
+	Root        uint64              `msgpack:"r"`
+	Ran         protocol.UpstreamID `msgpack:"u"`
 }
 
-// Chunk is one piece of an answer.
+// Chunk is one part of an answer.
 type Chunk struct {
 	Attempt Attempt `msgpack:"a"`
-	// Index counts the pieces of the whole answer from 0, over all attempts.
+	// Index is the position of the chunk in the whole answer, from 0, over all
+	// attempts.
 	Index int    `msgpack:"i"`
 	Data  []byte `msgpack:"d"`
 	// Status and Headers are set on the first chunk of an attempt.
@@ -146,26 +152,28 @@
 // End closes an attempt.
 type End struct {
 	Attempt Attempt `msgpack:"a"`
-	// Complete means the whole answer was relayed.
+	// Complete means that the whole answer was relayed.
 	Complete bool `msgpack:"c,omitempty"`
 	// Outcome says whether the attempt ran.
 	Outcome protocol.RunOutcome `msgpack:"o"`
 	Reason  string              `msgpack:"r,omitempty"`
-	// CachedTokens is what the engine said it reused.
+	// CachedTokens is the number of prompt tokens that the engine reports it took
+	// from its cache.
 	CachedTokens int `msgpack:"ct,omitempty"`
 }
 
-// Cancel gives up an attempt.
+// Cancel cancels an attempt.
 type Cancel struct {
 	Attempt Attempt `msgpack:"a"`
 }
 
-// Check asks an owner whether it still has an attempt.
-type Check struct {
+// AttemptCheck asks an owner whether an attempt is still in flight there.
+type AttemptCheck struct {
 	Attempt Attempt `msgpack:"a"`
 }
 
-// Alive answers a Check; an owner that doesn't know the attempt sends an End.
-type Alive struct {
+// AttemptAlive is the reply to an AttemptCheck for an attempt in flight. An owner
+// that does not know the attempt sends an End instead.
+type AttemptAlive struct {
 	Attempt Attempt `msgpack:"a"`
 }
--- a/protocol/fleet/state.go
+++ b/protocol/fleet/state.go
@@ -4,26 +4,28 @@
 
 // Propose asks the consensus leader to commit a command.
 type Propose struct {
-	// ID pairs the reply with its request, for one asking process.
+	// ID matches the reply to its request. It is unique within the process that
+	// proposes.
 	ID      uint64 `msgpack:"i"`
 	Command []byte `msgpack:"c"`
-	// InForce asks to be answered only when the result is in force on every
-	// router that holds a lease.
+	// InForce requests a reply only after the result is in force on every router
+	// that holds a lease.
 	InForce bool `msgpack:"f,omitempty"`
 }
 
-// Verdict says what became of a proposal.
+// Verdict is the result of a proposal.
 type Verdict uint8
 
 const (
-	// VerdictCommitted: the command is committed and Result is its answer.
+	// VerdictCommitted means that the command is committed; Result is its result.
 	VerdictCommitted Verdict = 1
-	// VerdictNotLeader: nothing was done; Leader is a better place to ask, or
-	// empty.
+	// VerdictNotLeader means that nothing was done. Leader is the router to ask
+	// instead, or empty.
 	VerdictNotLeader Verdict = 2
-	// VerdictUnknown: the command may or may not be committed.
+	// VerdictUnknown means that the command may or may not be committed.
 	VerdictUnknown Verdict = 3
-	// VerdictBusy: nothing was done; too much waits already.
+	// VerdictBusy means that nothing was done because too many commands wait
+	// already.
 	VerdictBusy Verdict = 4
 )
 
--- a/protocol/wire/huge_test.go
+++ b/protocol/wire/huge_test.go
@@ -6,10 +6,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// A broken or hostile peer sends twelve bytes that promise a list of millions
-// of entries. Making room for them would end the process, and with it every
-// request it holds.
-func TestPromisedHugeListIsRefused(t *testing.T) {
+// A broken or hostile peer sends twelve bytes that declare a list of millions
+// of entries. Allocating the list would end the process and with it every request
+// in flight.
+func TestHugeListLengthIsRefused(t *testing.T) {
 	var payload struct {
 		List []struct{ A, B, C, D uint64 } `msgpack:"l"`
 	}
--- a/protocol/wire/wire.go
+++ b/protocol/wire/wire.go
@@ -1,15 +1,17 @@
-// Package wire is the form of the messages between the fleet's own processes.
+// Package wire defines the frames in which the fleet's processes send messages to
+// each other.
 //
 // A connection starts with a Hello from each side. Then come frames:
 //
-//	length  4 bytes, big endian: the bytes that follow it
-//	kind    1 byte: what the payload is, see Kind
-//	number  8 bytes, big endian: counts the sender's reliable frames towards
-//	        this receiver from 1; 0 on a frame that is not resent
+//	length  4 bytes, big endian: the number of bytes that follow it
+//	kind    1 byte: the type of the payload, see Kind
+//	number  8 bytes, big endian: sequence number, from 1, of the reliable frames
+//	        from this sender to this receiver; 0 for a frame that is not resent
 //	payload msgpack of the struct that belongs to the kind
 //
-// A reader allocates no more than it was promised and no more than MaxFrame,
-// so a broken or hostile peer costs one connection and nothing else.
+// A broken or hostile peer costs its own connection only: a reader rejects frames
+// larger than its limit and allocates memory as bytes arrive, not at the declared
+// length.
 package wire
 
 import (
@@ -24,32 +26,32 @@
 	"endiveplank/protocol/codec"
 )
 
-// Version is the version of the frames and of all payloads. A process talks
-// to peers of MinVersion to Version.
+// Version is the version of the frames and of all payloads. A process accepts
+// peers that support a version from MinVersion to Version.
 const (
 	Version    = 1
 	MinVersion = 1
 )
 
-// MaxFrame is the largest frame in bytes: a caller's largest body and room
-// for what goes with it.
+// MaxFrame is the maximum size of a frame in bytes. It holds the largest request
+// body, 64 MiB, and the fields sent with it.
 const MaxFrame = 66 << 20
 
-// MaxHello is the largest Hello in bytes. It is small because it comes before
-// the peer has proved who it is.
+// MaxHello is the maximum size of a Hello in bytes. It is small because the peer
+// is not authenticated yet when it sends a Hello.
 const MaxHello = 1 << 10
 
-// headerBytes is the part of a frame that length counts besides the payload.
+// headerBytes is the size of kind and number, which length includes.
 const headerBytes = 1 + 8
 
-// Kind says what a frame's payload is. Numbers are never used again for
-// something else: processes of two versions talk during an upgrade.
+// Kind is the type of a frame's payload. A number is never reused for another
+// type, because processes of two versions exchange frames during an upgrade.
 type Kind uint8
 
 const (
 	// KindHello opens a connection.
 	KindHello Kind = 1
-	// KindAck tells the sender the highest reliable frame received.
+	// KindAck carries the number of the highest reliable frame received.
 	KindAck Kind = 2
 	// KindConsensus carries consensus.Message.
 	KindConsensus Kind = 3
@@ -59,7 +61,8 @@
 	// KindPropose and KindProposeReply carry commands to the leader.
 	KindPropose      Kind = 6
 	KindProposeReply Kind = 7
-	// KindPlace to KindCancel carry the data path between entry and owner.
+	// KindPlace to KindCancel are the messages of package fleet between the entry
+	// router of a request and the owner of an upstream.
 	KindPlace      Kind = 8
 	KindPlaceReply Kind = 9
 	KindChunk      Kind = 10
@@ -68,35 +71,37 @@
 	// KindAnnounce and KindLeave carry upstreams' announcements to owners.
 	KindAnnounce Kind = 13
 	KindLeave    Kind = 14
-	// KindGossip carries membership and what rides on it.
+	// KindGossip carries membership updates and other gossiped items.
 	KindGossip Kind = 15
-	// KindQuery and KindQueryReply carry operators' questions across the fleet.
+	// KindQuery and KindQueryReply carry operators' queries to other routers.
 	KindQuery      Kind = 16
 	KindQueryReply Kind = 17
-	// KindTotals carries the load totals of the upstreams a router owns.
-	KindTotals Kind = 18
-	// KindQuarantine carries a quarantined request digest.
+	// KindLoadTotals carries the load totals of the upstreams that a router owns.
+	KindLoadTotals Kind = 18
+	// KindQuarantine carries the digest of a quarantined request.
 	KindQuarantine Kind = 19
 	// KindPush carries changes of the replicated state to a router.
 	KindPush Kind = 20
-	// KindOrderReport tells an entry how an attempt of an order ended.
+	// KindOrderReport tells the entry router how an attempt of an order ended.
 	KindOrderReport Kind = 21
-	// KindMoved tells the owner of a chat's first choice where it ran.
-	KindMoved Kind = 22
-	// KindLimitAsk and KindLimitAnswer carry credit for customers' limits.
+	// KindChatMoved tells the owner of a chat's first-choice upstream where the
+	// chat ran instead.
+	KindChatMoved Kind = 22
+	// KindLimitAsk and KindLimitAnswer request and grant credit from customers'
+	// limits.
 	KindLimitAsk    Kind = 23
 	KindLimitAnswer Kind = 24
-	// KindCheck and KindAlive find out whether an owner still has an attempt.
-	KindCheck Kind = 25
-	KindAlive Kind = 26
-	// KindProbe carries nothing; its acknowledgement shows that a connection
-	// works.
+	// KindAttemptCheck asks an owner whether it still has an attempt, and
+	// KindAttemptAlive confirms it.
+	KindAttemptCheck Kind = 25
+	KindAttemptAlive Kind = 26
+	// KindProbe has no payload. Its acknowledgement shows that a connection works.
 	KindProbe Kind = 27
-	// KindEngineAsk and KindEngineReply carry orders to engines, from the
-	// issuer to an engine's owner and back.
+	// KindEngineAsk carries an engine order from its issuer to the engine's owner,
+	// and KindEngineReply the answer to it.
 	KindEngineAsk   Kind = 40
 	KindEngineReply Kind = 41
-	// KindWatch to KindReadReply are the messages of coordination/control, between
+	// KindWatch to KindChangesAck are the messages of coordination/control between
 	// disk VMs and the routers that send to upstreams themselves.
 	KindWatch      Kind = 50
 	KindStatus     Kind = 51
@@ -109,35 +114,41 @@
 	KindReadReply  Kind = 58
 	KindList       Kind = 59
 	KindChangesAck Kind = 64
-	// KindAnnouncements and KindAnnouncementsAck hand announcements from a router to a
-	// disk VM.
+	// KindAnnouncements passes announcements from a router to a disk VM, and
+	// KindAnnouncementsAck acknowledges them.
 	KindAnnouncements    Kind = 65
 	KindAnnouncementsAck Kind = 66
-	// KindKeepers goes between routers and disk VMs.
-	KindKeepers Kind = 67
-	// KindLoads to KindHomeReply go between those routers.
-	KindLoads     Kind = 60
+	// KindCacheHolders carries lists of cache holders between routers and disk VMs.
+	KindCacheHolders Kind = 67
+	// KindLoadReport carries a load report between the routers that send to
+	// upstreams themselves.
+	KindLoadReport Kind = 60
+	// KindHome and KindHomeReply are not sent any more; their numbers stay
+	// reserved.
 	KindHome      Kind = 61
 	KindHomeReply Kind = 62
-	KindBlame     Kind = 63
+	// KindCrash tells those routers that an upstream's connection broke while a
+	// request was in flight.
+	KindCrash Kind = 63
 )
 
-// kindNames are the names of kinds in metrics.
+// kindNames are the names of the kinds in metrics and logs. They stay the same when
+// a constant is renamed.
 var kindNames = map[Kind]string{
 	KindHello: "hello", KindAck: "ack", KindConsensus: "consensus",
 	KindRenew: "renew", KindRenewReply: "renew-reply", KindPush: "push",
 	KindPropose: "propose", KindProposeReply: "propose-reply",
 	KindPlace: "place", KindPlaceReply: "place-reply", KindChunk: "chunk", KindEnd: "end",
 	KindCancel: "cancel", KindAnnounce: "announce", KindLeave: "leave", KindGossip: "gossip",
-	KindQuery: "query", KindQueryReply: "query-reply", KindTotals: "totals",
-	KindQuarantine: "quarantine", KindOrderReport: "order-report", KindMoved: "moved",
+	KindQuery: "query", KindQueryReply: "query-reply", KindLoadTotals: "totals",
+	KindQuarantine: "quarantine", KindOrderReport: "order-report", KindChatMoved: "moved",
 	KindLimitAsk: "limit-ask", KindLimitAnswer: "limit-answer",
-	KindCheck: "check", KindAlive: "alive",
+	KindAttemptCheck: "check", KindAttemptAlive: "alive",
 	KindProbe:     "probe",
 	KindEngineAsk: "engine-ask", KindEngineReply: "engine-reply",
 	KindWatch: "watch", KindStatus: "news", KindChanges: "roster", KindChangesAck: "roster-ack", KindList: "list", KindDocument: "document",
 	KindHeartbeats: "heard", KindAnnouncements: "announced", KindAnnouncementsAck: "announced-ack", KindPut: "put", KindPutReply: "put-reply", KindRead: "read", KindReadReply: "read-reply",
-	KindLoads: "loads", KindHome: "home", KindHomeReply: "home-reply", KindBlame: "blame", KindKeepers: "keepers",
+	KindLoadReport: "loads", KindHome: "home", KindHomeReply: "home-reply", KindCrash: "blame", KindCacheHolders: "keepers",
 }
 
 // String returns the kind's name.
@@ -162,14 +173,14 @@
 	From       protocol.RouterID   `msgpack:"f"`
 	To         protocol.RouterID   `msgpack:"t"`
 	DataCentre protocol.DataCentre `msgpack:"d"`
-	// Address is where the sender listens for peers, so that the receiver can
-	// answer before the replicated state names it.
+	// Address is the address at which the sender listens for peers, so that the
+	// receiver can connect to it before the replicated state contains it.
 	Address string `msgpack:"a"`
-	// Incarnation differs between two starts of a process, so that a receiver
-	// starts counting frames anew.
+	// Incarnation differs between two starts of a process. When it changes, the
+	// receiver expects frame numbers from 1 again.
 	Incarnation uint64 `msgpack:"i"`
-	// Duplex says that the dialer also takes frames, beside acknowledgements,
-	// on this connection.
+	// Duplex means that the dialer accepts frames on this connection, not only
+	// acknowledgements.
 	Duplex bool `msgpack:"x,omitempty"`
 }
 
@@ -178,30 +189,31 @@
 	Number uint64 `msgpack:"n"`
 }
 
-// ErrTooLarge means that a frame's length is over the limit.
+// ErrTooLarge means that a frame is longer than the limit.
 var ErrTooLarge = errors.New("wire: frame is larger than the limit")
 
-// ErrTooShort means that a frame's length can't hold its own header.
+// ErrTooShort means that a frame's length is less than that of its header.
 var ErrTooShort = errors.New("wire: frame is shorter than its header")
 
-// VersionError means that two processes share no version.
-type VersionError struct{ Theirs, TheirMin uint8 }
+// VersionError means that this process and its peer support no common version.
+type VersionError struct{ PeerVersion, PeerMinVersion uint8 }
 
-// Error names both ranges.
+// Error names the versions that both processes support.
 func (e *VersionError) Error() string {
-	return fmt.Sprintf("wire: peer talks versions %d to %d, this process %d to %d", e.TheirMin, e.Theirs, MinVersion, Version)
+	return fmt.Sprintf("wire: peer talks versions %d to %d, this process %d to %d", e.PeerMinVersion, e.PeerVersion, MinVersion, Version)
 }
 
-// Check returns a VersionError when the peer's versions don't meet ours.
+// Check returns a VersionError if the sender of the Hello and this process
+// support no common version.
 func (h Hello) Check() error {
 	if h.Version < MinVersion || h.MinVersion > Version {
-		return &VersionError{Theirs: h.Version, TheirMin: h.MinVersion}
+		return &VersionError{PeerVersion: h.Version, PeerMinVersion: h.MinVersion}
 	}
 	return nil
 }
 
-// Append puts a frame behind buffer and returns the longer buffer. It returns
-// ErrTooLarge for a payload that no reader would take.
+// Append appends an encoded frame to buffer and returns the extended buffer. It
+// returns ErrTooLarge if the frame is larger than MaxFrame.
 func Append(buffer []byte, frame Frame) ([]byte, error) {
 	length := headerBytes + len(frame.Payload)
 	if length > MaxFrame {
@@ -213,9 +225,9 @@
 	return append(buffer, frame.Payload...), nil
 }
 
-// Read takes one frame of at most limit bytes. It returns ErrTooLarge or
-// ErrTooShort for a bad length, io.EOF between frames and
-// io.ErrUnexpectedEOF inside one.
+// Read reads one frame of at most limit bytes. It returns ErrTooLarge or
+// ErrTooShort for an invalid length, io.EOF if the input ends between frames, and
+// io.ErrUnexpectedEOF if it ends within one.
 func Read(reader io.Reader, limit int) (Frame, error) {
 	var lengthBytes [4]byte
 	if _, err := io.ReadFull(reader, lengthBytes[:]); err != nil {
@@ -230,11 +242,11 @@
 	}
 	var header [headerBytes]byte
 	if _, err := io.ReadFull(reader, header[:]); err != nil {
-		return Frame{}, inside(err)
+		return Frame{}, unexpectedEOF(err)
 	}
 	payload, err := readPayload(reader, int(length)-headerBytes)
 	if err != nil {
-		return Frame{}, inside(err)
+		return Frame{}, unexpectedEOF(err)
 	}
 	return Frame{
 		Kind:    Kind(header[0]),
@@ -243,11 +255,12 @@
 	}, nil
 }
 
-// payloadStep bounds what a promised length alone can make a reader allocate.
+// payloadStep limits how much memory a reader allocates ahead of the bytes that
+// have arrived.
 const payloadStep = 64 << 10
 
-// readPayload reads length bytes. It grows its buffer as bytes arrive, so a
-// peer that promises much and sends nothing costs little memory.
+// readPayload reads length bytes. It grows its buffer as bytes arrive, so a peer
+// that declares a large frame and sends nothing costs little memory.
 func readPayload(reader io.Reader, length int) ([]byte, error) {
 	payload := make([]byte, 0, min(length, payloadStep))
 	for len(payload) < length {
@@ -261,16 +274,17 @@
 	return payload, nil
 }
 
-// inside turns the end of the input within a frame into io.ErrUnexpectedEOF.
-func inside(err error) error {
+// unexpectedEOF replaces io.EOF, which here means that the input ended within a
+// frame, by io.ErrUnexpectedEOF.
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// Encode returns the msgpack form of a payload struct. The structs of this
-// project always encode, so a failure is a broken invariant.
+// Encode returns the msgpack encoding of a payload struct. All payload structs can
+// be encoded, so Encode panics on an error.
 func Encode(payload any) []byte {
 	encoded, err := msgpack.Marshal(payload)
 	if err != nil {
@@ -279,10 +293,10 @@
 	return encoded
 }
 
-// Decode reads a payload struct. Payloads come from peers, so a failure is an
-// error to drop the connection on. Package codec checks first that lists are no
-// longer than the bytes that hold them: the msgpack library would make room for
-// whatever length a few bytes promise, which ends the process.
+// Decode decodes a payload struct. Payloads come from peers; the caller closes the
+// connection if Decode returns an error. Package codec first checks that lists
+// are no longer than the bytes that hold them, because the msgpack library would
+// allocate any length that a few bytes declare, which ends the process.
 func Decode(encoded []byte, payload any) error {
 	if err := codec.Unmarshal(encoded, payload); err != nil {
 		return fmt.Errorf("wire: payload doesn't decode: %w", err)
--- a/protocol/wire/wire_test.go
+++ b/protocol/wire/wire_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestFrameComesBackAsSent(t *testing.T) {
+func TestFrameRoundTrip(t *testing.T) {
 	sent := Frame{Kind: KindChunk, Number: 7, Payload: Encode(Ack{Number: 9})}
 	raw, err := Append(nil, sent)
 	assert.NilError(t, err)
@@ -19,8 +19,8 @@
 	assert.DeepEqual(t, got, sent)
 }
 
-// A broken peer sends lengths that can't be right, or stops inside a frame.
-// The reader must say which, so that only that connection is dropped.
+// A broken peer sends an invalid length or stops within a frame. The reader must
+// return the matching error, so that only this connection is closed.
 func TestBadFramesGiveTypedErrors(t *testing.T) {
 	whole, _ := Append(nil, Frame{Kind: KindAck, Payload: []byte("abc")})
 	huge := binary.BigEndian.AppendUint32(nil, MaxFrame+1)
@@ -42,14 +42,14 @@
 	}
 }
 
-func TestHelloOfForeignVersionIsRefused(t *testing.T) {
+func TestHelloOfUnsupportedVersionIsRefused(t *testing.T) {
 	var wrong *VersionError
 	assert.Assert(t, errors.As(Hello{Version: 9, MinVersion: 9}.Check(), &wrong))
 	assert.NilError(t, Hello{Version: 9, MinVersion: 1}.Check())
 }
 
-// FuzzRead feeds random bytes as a connection's input: no panic, and no frame
-// longer than the bytes that were there.
+// FuzzRead reads random bytes as a connection's input. Read and Decode must not
+// panic, and no frame may be longer than the input.
 func FuzzRead(f *testing.F) {
 	whole, _ := Append(nil, Frame{Kind: KindAck, Payload: []byte("abc")})
 	f.Add(whole)
