--- a/settings/strict/strict.go
+++ b/settings/strict/strict.go
@@ -1,6 +1,7 @@
-// Package strict reads JSON settings and names every mistake at once, each with
-// its path, the value found and what is allowed, so that an operator mends a
-// file in one go.
+// Package strict reads JSON settings and reports all mistakes at once, each with
+// its path, the value found and what is allowed, so that an operator can correct
+// a file in one edit. Unlike encoding/json, it rejects unknown fields and does
+// not stop at the first mistake. Checker helps to check the values.
 package strict
 
 import (
@@ -20,18 +21,18 @@
 type Problem struct {
 	// Path leads to the field, as in listen.callers or peers[2].address.
 	Path string
-	// Value is what the document holds there.
+	// Value is the value in the document.
 	Value string
-	// Allowed says what may stand there.
+	// Allowed describes the valid values.
 	Allowed string
 }
 
-// String puts the problem on one line.
+// String returns the problem as one line.
 func (p Problem) String() string {
 	return fmt.Sprintf("%s: %s is not allowed; %s", p.Path, p.Value, p.Allowed)
 }
 
-// Problems is every mistake found in one document.
+// Problems are all mistakes found in one document.
 type Problems []Problem
 
 // Error lists one problem a line.
@@ -43,8 +44,9 @@
 	return strings.Join(lines, "\n")
 }
 
-// ReadFile reads the document at path into a T that holds the defaults. The
-// error is a Problems when the document was read but has mistakes.
+// ReadFile reads the document at path; fields that it leaves out keep their
+// values in defaults. The error is a Problems if the document was read but has
+// mistakes.
 func ReadFile[T any](path string, defaults T, check func(T) Problems) (T, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -53,24 +55,24 @@
 	return Parse(raw, defaults, check)
 }
 
-// Parse reads a document into a T that holds the defaults. The error is a
-// Problems when the text is JSON but has mistakes.
+// Parse reads a document; fields that it leaves out keep their values in
+// defaults. The error is a Problems if the text is JSON but has mistakes.
 func Parse[T any](raw []byte, defaults T, check func(T) Problems) (T, error) {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.UseNumber()
 	var tree any
 	if err := decoder.Decode(&tree); err != nil {
-		return defaults, eris.Wrap(err, "settings are not JSON")
+		return defaults, eris.Wrap(err, "settings are not valid JSON")
 	}
 	if _, err := decoder.Token(); err != io.EOF {
-		return defaults, eris.New("settings hold more than one JSON value")
+		return defaults, eris.New("settings contain more than one JSON value")
 	}
 	if problems := checkShape("", tree, reflect.TypeFor[T]()); len(problems) > 0 {
 		return defaults, problems
 	}
 	parsed := defaults
 	if err := json.Unmarshal(raw, &parsed); err != nil {
-		return defaults, eris.Wrap(err, "settings don't fit")
+		return defaults, eris.Wrap(err, "decode settings")
 	}
 	if problems := check(parsed); len(problems) > 0 {
 		return defaults, problems
@@ -78,8 +80,9 @@
 	return parsed, nil
 }
 
-// checkShape compares a JSON tree with the Go type it is meant for and finds
-// unknown fields and wrong kinds. encoding/json alone stops at the first.
+// checkShape compares a JSON tree with the Go type that it will be decoded into
+// and returns all unknown fields and values of a wrong type. encoding/json alone
+// stops at the first.
 func checkShape(path string, tree any, want reflect.Type) Problems {
 	switch want.Kind() {
 	case reflect.Struct:
@@ -90,34 +93,34 @@
 		if _, ok := tree.(string); ok {
 			return nil
 		}
-		return one(path, tree, "a string")
+		return singleProblem(path, tree, "a string")
 	case reflect.Float64:
 		if number, ok := tree.(json.Number); ok {
 			if _, err := number.Float64(); err == nil {
 				return nil
 			}
 		}
-		return one(path, tree, "a number")
+		return singleProblem(path, tree, "a number")
 	case reflect.Int, reflect.Int64:
 		if number, ok := tree.(json.Number); ok {
 			if _, err := number.Int64(); err == nil {
 				return nil
 			}
 		}
-		return one(path, tree, "a whole number")
+		return singleProblem(path, tree, "a whole number")
 	case reflect.Bool:
 		if _, ok := tree.(bool); ok {
 			return nil
 		}
-		return one(path, tree, "true or false")
+		return singleProblem(path, tree, "true or false")
 	}
-	panic("settings: field of a kind that checkShape doesn't know: " + want.String())
+	panic("settings: checkShape does not support fields of type " + want.String())
 }
 
 func checkObject(path string, tree any, want reflect.Type) Problems {
 	object, ok := tree.(map[string]any)
 	if !ok {
-		return one(path, tree, "an object")
+		return singleProblem(path, tree, "an object")
 	}
 	fields := map[string]reflect.Type{}
 	for i := range want.NumField() {
@@ -132,10 +135,10 @@
 	for _, name := range names {
 		field, known := fields[name]
 		if !known {
-			problems = append(problems, Problem{join(path, name), "this field", "known here: " + fieldNames(fields)})
+			problems = append(problems, Problem{joinPath(path, name), "this field", "known here: " + fieldNames(fields)})
 			continue
 		}
-		problems = append(problems, checkShape(join(path, name), object[name], field)...)
+		problems = append(problems, checkShape(joinPath(path, name), object[name], field)...)
 	}
 	return problems
 }
@@ -143,7 +146,7 @@
 func checkList(path string, tree any, want reflect.Type) Problems {
 	list, ok := tree.([]any)
 	if !ok {
-		return one(path, tree, "a list")
+		return singleProblem(path, tree, "a list")
 	}
 	var problems Problems
 	for i, item := range list {
@@ -152,7 +155,7 @@
 	return problems
 }
 
-func one(path string, tree any, allowed string) Problems {
+func singleProblem(path string, tree any, allowed string) Problems {
 	text, err := json.Marshal(tree)
 	if err != nil {
 		text = []byte("this value")
@@ -160,7 +163,7 @@
 	return Problems{{Path: path, Value: string(text), Allowed: "it must be " + allowed}}
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
