--- a/settings/direct/check.go
+++ b/settings/direct/check.go
@@ -7,10 +7,11 @@
 	"endiveplank/settings/strict"
 )
 
-// mostLosses is what seven voters bear; more of them make each change slower.
-const mostLosses = 3
+// maxDiskLosses is the number of losses that seven voters tolerate. More voters
+// would make each change slower.
+const maxDiskLosses = 3
 
-// check finds every value that is out of range.
+// check returns every invalid value of a document.
 func check(s Settings) strict.Problems {
 	c := &strict.Checker{}
 	c.OneOf("role", string(s.Role), string(RoleRouter), string(RoleDiskVM))
@@ -26,7 +27,7 @@
 	if s.Role == RoleRouter && s.DataFolder != "" {
 		c.Add("data_folder", s.DataFolder, "empty, because a router keeps no files")
 	}
-	checkFigures(c, s)
+	checkLimits(c, s)
 	settings.CheckTraces(c, s.Traces)
 	return c.Problems
 }
@@ -51,8 +52,8 @@
 	}
 }
 
-func checkFigures(c *strict.Checker, s Settings) {
-	c.Between("disk_losses", float64(s.DiskLosses), 1, mostLosses)
+func checkLimits(c *strict.Checker, s Settings) {
+	c.Between("disk_losses", float64(s.DiskLosses), 1, maxDiskLosses)
 	c.Between("upstreams.heartbeat_ms", float64(s.Upstreams.HeartbeatMS), 50, 60_000)
 	c.Between("upstreams.leave_ms", float64(s.Upstreams.LeaveMS), 100, 60_000)
 	c.Between("retries.ratio", s.Retries.Ratio, 0, 1)
--- a/settings/direct/direct_test.go
+++ b/settings/direct/direct_test.go
@@ -10,10 +10,10 @@
 	"endiveplank/settings/strict"
 )
 
-const good = `{"role":"router","name":"r1","data_centre":"a","listen":{"callers":"10.0.0.1:80","readiness":"10.0.0.1:81","peers":"10.0.0.1:74"},"seeds":["10.0.0.2:82"]}`
+const validSettings = `{"role":"router","name":"r1","data_centre":"a","listen":{"callers":"10.0.0.1:80","readiness":"10.0.0.1:81","peers":"10.0.0.1:74"},"seeds":["10.0.0.2:82"]}`
 
 func TestDefaultsAreFilledIn(t *testing.T) {
-	s, err := Parse([]byte(good))
+	s, err := Parse([]byte(validSettings))
 	assert.NilError(t, err)
 	assert.Equal(t, s.Load.Multiple, Defaults().Load.Multiple)
 	assert.Equal(t, s.Self(), protocol.RouterID("10.0.0.1:74"))
@@ -21,9 +21,9 @@
 	assert.Equal(t, s.PeersListen(), "10.0.0.1:74")
 }
 
-func TestAllMistakesAreNamedAtOnce(t *testing.T) {
-	// An operator mistypes several fields. A process that named one at each
-	// start would have to be started once for each.
+func TestParseReportsAllMistakesAtOnce(t *testing.T) {
+	// An operator mistypes several fields. If Parse reported only the first, the
+	// operator would have to start the process once for each mistake.
 	for name, test := range map[string]struct {
 		text  string
 		paths []string
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestTablesLeaveHalfOfADiskVMsLink(t *testing.T) {
+func TestLinkRateIsInBytesPerSecond(t *testing.T) {
 	s := Defaults()
 	s.Role = RoleDiskVM
 	s.Link.Mbps = 3
--- a/settings/direct/settings.go
+++ b/settings/direct/settings.go
@@ -1,6 +1,7 @@
-// Package direct holds the settings of a fleet whose routers send to upstreams
-// themselves: one JSON document for each process. docs/SETTINGS.md lists every
-// field.
+// Package direct reads and checks the settings of a fleet whose routers send to
+// upstreams themselves: one JSON document for each process, a router or a disk
+// VM. Like package settings, it reports all mistakes of a document at once.
+// docs/SETTINGS.md lists every field.
 package direct
 
 import (
@@ -12,15 +13,15 @@
 	"endiveplank/settings/strict"
 )
 
-// Role says what a process does.
+// Role is the task of a process.
 type Role string
 
 const (
-	// RoleRouter takes callers' requests and sends them to upstreams. It keeps
+	// RoleRouter accepts callers' requests and sends them to upstreams. It keeps
 	// no files.
 	RoleRouter Role = "router"
-	// RoleDiskVM keeps the routing table with the other disk VMs and hears the
-	// upstreams and the operators.
+	// RoleDiskVM replicates the routing table with the other disk VMs, receives
+	// the upstreams' announcements and serves the operators' calls.
 	RoleDiskVM Role = "disk-vm"
 )
 
@@ -30,16 +31,17 @@
 	Name       string              `json:"name"`
 	DataCentre protocol.DataCentre `json:"data_centre"`
 	Listen     Listen              `json:"listen"`
-	// Seeds are control addresses of some disk VMs. The others are learned from
-	// them.
+	// Seeds are control addresses of some disk VMs, from which the process learns
+	// of the others.
 	Seeds []string `json:"seeds"`
-	// FirstStart says that the whole fleet starts for the first time. Only then
+	// FirstStart means that the whole fleet starts for the first time. Only then
 	// may the seeds form a cluster.
 	FirstStart bool `json:"first_start"`
 	// DataFolder holds all files of a disk VM.
 	DataFolder string `json:"data_folder"`
-	// DiskLosses is how many disk VMs may be lost at once: so many and one more
-	// keep each change, as far as there are as many VMs.
+	// DiskLosses is how many disk VMs may be lost at once without losing a change:
+	// each change is stored on at least one more VM than that, if the fleet has
+	// enough.
 	DiskLosses int      `json:"disk_losses"`
 	Upstreams  Upstream `json:"upstreams"`
 	Retries    Retries  `json:"retries"`
@@ -48,67 +50,68 @@
 	Log        Log      `json:"log"`
 	Memory     Memory   `json:"memory"`
 	Link       Link     `json:"link"`
-	// Traces says where a router's spans go.
+	// Traces selects where a router exports its spans.
 	Traces settings.Traces `json:"traces"`
 }
 
-// Listen holds the IP:port of each listener; a role leaves out what it doesn't
-// serve.
+// Listen holds the IP:port of each listener. A document leaves out those that its
+// role does not serve.
 type Listen struct {
-	// Callers takes callers' requests.
+	// Callers accepts callers' requests.
 	Callers string `json:"callers"`
 	// Readiness answers the balancer's probes.
 	Readiness string `json:"readiness"`
-	// Announcements takes upstreams' announcements at a router; empty for none.
+	// Announcements accepts upstreams' announcements at a router; empty for none.
 	Announcements string `json:"announcements"`
-	// Control takes operators' and upstreams' calls.
+	// Control accepts operators' and upstreams' calls at a disk VM.
 	Control string `json:"control"`
-	// Peers is the address at which the fleet's other processes reach this one,
-	// and its name. Its port is the same on every VM.
+	// Peers is the address at which the fleet's other processes reach this one.
+	// It is also the name of the process. Its port is the same on every VM.
 	Peers string `json:"peers"`
-	// PeersBind is where to listen for them where that differs, as behind a
-	// translation of addresses; empty for Peers itself.
+	// PeersBind is the address to listen at for the other processes if it differs
+	// from Peers, as behind network address translation; empty for Peers.
 	PeersBind string `json:"peers_bind"`
 	// Metrics serves the metrics; empty for none.
 	Metrics string `json:"metrics"`
 }
 
-// Upstream says how upstreams behave.
+// Upstream describes the behaviour of upstreams.
 type Upstream struct {
 	// HeartbeatMS is the time between two announcements.
 	HeartbeatMS int `json:"heartbeat_ms"`
-	// LeaveMS is how soon after it said so a leaving upstream must get no more
-	// work.
+	// LeaveMS is the time after an upstream's notice that it leaves within which
+	// routers must stop sending it requests.
 	LeaveMS int `json:"leave_ms"`
 }
 
-// Retries bounds what routers send a second time, all of them together.
+// Retries limits the retries of all routers together.
 type Retries struct {
-	// Ratio is the share of a service's requests that may be sent again.
+	// Ratio is the maximum ratio of retries to requests of a service.
 	Ratio float64 `json:"ratio"`
-	// WindowMS is the time over which it is counted.
+	// WindowMS is the window over which retries and requests are counted.
 	WindowMS int `json:"window_ms"`
-	// Slack is how many more may be, in a window.
+	// Slack is the number of retries that are allowed in a window in addition.
 	Slack int `json:"slack"`
 }
 
-// Window returns the time over which retries are counted.
+// Window returns WindowMS as a duration.
 func (r Retries) Window() time.Duration { return milliseconds(r.WindowMS) }
 
-// Load bounds the work on one upstream.
+// Load limits the load of one upstream.
 type Load struct {
-	// Multiple of the mean of its service, which no upstream may pass by more
-	// than Slack requests.
+	// Multiple and Slack are the load bound: no upstream may have more requests
+	// than Multiple times the mean of its service plus Slack.
 	Multiple float64 `json:"multiple"`
 	Slack    int     `json:"slack"`
 }
 
-// Stop says how a process ends.
+// Stop holds the times of a planned stop.
 type Stop struct {
-	// UnreadyMS is how long a stopping router reports unready and still takes
+	// UnreadyMS is how long a stopping router reports unready and still accepts
 	// requests.
 	UnreadyMS int `json:"unready_ms"`
-	// GraceMS is how long after the signal it is killed.
+	// GraceMS is the time after the stop signal at which the platform kills the
+	// process.
 	GraceMS int `json:"grace_ms"`
 }
 
@@ -118,26 +121,27 @@
 // Grace returns GraceMS as a duration.
 func (s Stop) Grace() time.Duration { return milliseconds(s.GraceMS) }
 
-// Log says what is written to standard output.
+// Log configures the log lines on standard output.
 type Log struct {
 	Level string `json:"level"`
-	// LinesPerSecond bounds what a process writes; failures go before the rest.
+	// LinesPerSecond limits the lines that a process writes. Lines about failures
+	// take precedence over the rest.
 	LinesPerSecond int `json:"lines_per_second"`
 }
 
-// Memory bounds the process.
+// Memory limits the memory of the process.
 type Memory struct {
-	// LimitMB is what the platform allows; above it the process is killed.
+	// LimitMB is the platform's memory limit, above which it kills the process.
 	LimitMB int `json:"limit_mb"`
 }
 
-// Link is the VM's own link.
+// Link describes the VM's network link.
 type Link struct {
-	// Mbps is its rate in megabits a second.
+	// Mbps is the rate of the link in megabits per second.
 	Mbps float64 `json:"mbps"`
 }
 
-// LinkRate returns the bytes a second that the VM's link carries.
+// LinkRate returns the rate of the VM's link in bytes per second.
 func (s Settings) LinkRate() int {
 	const bitsPerByte = 8
 	return int(s.Link.Mbps * 1e6 / bitsPerByte)
@@ -145,15 +149,15 @@
 
 func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// Defaults returns the settings that a document may leave out.
+// Defaults returns the values of fields that a document leaves out.
 //
-// Heartbeats and the time to leave are those of a platform whose upstreams
-// announce themselves each second or so. Two disk VMs may be lost at once, as
-// five bear. Retries of a tenth, with a slack of 10
-// requests in 10 s, let a failed upstream's requests be repeated and no storm.
-// The load's multiple of 2 leaves room for a hot prompt; the slack of 3 is for
-// services with hardly any work. A balancer that asks each second and acts on
-// the second miss takes 2 s to turn callers elsewhere.
+// HeartbeatMS and LeaveMS suit a platform whose upstreams announce themselves
+// about every second. DiskLosses is 2, which five disk VMs tolerate. A retry ratio
+// of 0.1 with a slack of 10 requests in 10 s allows the requests of a failed
+// upstream to be retried but prevents a retry storm. A load multiple of 2 leaves
+// capacity for an often-used prompt; the slack of 3 is for services with hardly
+// any load. UnreadyMS is 2.5 s because a balancer that probes every second and
+// reacts to the second failed probe needs 2 s to redirect callers.
 func Defaults() Settings {
 	return Settings{
 		DiskLosses: 2,
@@ -168,24 +172,24 @@
 	}
 }
 
-// ReadFile reads and checks the document at path. The error is strict.Problems
-// when the document was read but has mistakes.
+// ReadFile reads and checks the document at path. The error is a strict.Problems
+// if the document was read but has mistakes.
 func ReadFile(path string) (Settings, error) {
 	return strict.ReadFile(path, Defaults(), check)
 }
 
-// Parse checks a document and fills in defaults. The error is strict.Problems
-// when the text is JSON but has mistakes.
+// Parse checks a document and fills in defaults. The error is a strict.Problems
+// if the text is JSON but has mistakes.
 func Parse(raw []byte) (Settings, error) {
 	return strict.Parse(raw, Defaults(), check)
 }
 
-// Self returns the name under which the fleet knows this process: the address
-// at which the others reach it. Processes are told addresses, not names, so
-// this is the one name that all can derive.
+// Self returns the fleet-wide name of this process: the address at which the
+// others reach it. The settings of the other processes contain addresses, not
+// names, so this is the only name that all of them can derive.
 func (s Settings) Self() protocol.RouterID { return protocol.RouterID(s.Listen.Peers) }
 
-// PeersListen returns where to listen for the fleet's other processes.
+// PeersListen returns the address to listen at for the fleet's other processes.
 func (s Settings) PeersListen() string {
 	if s.Listen.PeersBind != "" {
 		return s.Listen.PeersBind
@@ -193,17 +197,18 @@
 	return s.Listen.Peers
 }
 
-// SeedPeers returns the names of the seeds in the fleet.
+// SeedPeers returns the fleet-wide names of the seeds: their IP addresses with
+// this process's peer port, which is the same on every VM.
 func (s Settings) SeedPeers() []protocol.RouterID {
 	_, port, err := net.SplitHostPort(s.Listen.Peers)
 	if err != nil {
-		panic("direct: settings with an address that was not checked: " + s.Listen.Peers)
+		panic("direct: unchecked settings: listen.peers is not an address: " + s.Listen.Peers)
 	}
 	peers := make([]protocol.RouterID, 0, len(s.Seeds))
 	for _, seed := range s.Seeds {
 		host, _, err := net.SplitHostPort(seed)
 		if err != nil {
-			panic("direct: settings with a seed that was not checked: " + seed)
+			panic("direct: unchecked settings: a seed is not an address: " + seed)
 		}
 		peers = append(peers, protocol.RouterID(net.JoinHostPort(host, port)))
 	}
