--- a/settings/check.go
+++ b/settings/check.go
@@ -9,14 +9,14 @@
 	"endiveplank/settings/strict"
 )
 
-// maxVoters is the largest first set of voters. More voters don't make the
-// state safer in practice and slow every commit.
+// maxVoters is the largest initial set of voters. More voters hardly make the
+// state safer and slow down every commit.
 const maxVoters = 7
 
-// checker checks this package's document.
+// checker collects the problems of a settings document.
 type checker struct{ strict.Checker }
 
-// check finds every value that is out of range.
+// check returns every invalid value of a document.
 func check(s Settings) Problems {
 	c := &checker{}
 	c.Name("router_id", string(s.RouterID))
@@ -67,29 +67,29 @@
 	if len(s.Voters) == 0 || len(s.Voters)%2 == 0 || len(s.Voters) > maxVoters {
 		c.Add("voters", s.Voters, "1, 3, 5 or 7 router IDs")
 	}
-	c.keepers(s, "voters", s.Voters)
-	c.keepers(s, "spares", s.Spares)
+	c.checkMembers(s, "voters", s.Voters)
+	c.checkMembers(s, "spares", s.Spares)
 	c.ownRole(s)
 }
 
-// keepers checks a list of processes that keep state.
-func (c *checker) keepers(s Settings, path string, keepers []protocol.RouterID) {
-	for i, keeper := range keepers {
+// checkMembers checks a list of voters or spares.
+func (c *checker) checkMembers(s Settings, path string, members []protocol.RouterID) {
+	for i, member := range members {
 		item := fmt.Sprintf("%s[%d]", path, i)
-		if keeper != s.RouterID && !slices.ContainsFunc(s.Peers, func(p Peer) bool { return p.RouterID == keeper }) {
-			c.Add(item, keeper, "this process or one of peers")
+		if member != s.RouterID && !slices.ContainsFunc(s.Peers, func(p Peer) bool { return p.RouterID == member }) {
+			c.Add(item, member, "this process or one of peers")
 		}
-		if slices.Index(keepers, keeper) != i {
-			c.Add(item, keeper, "named once in the list")
+		if slices.Index(members, member) != i {
+			c.Add(item, member, "named once in the list")
 		}
-		if path == "spares" && slices.Contains(s.Voters, keeper) {
-			c.Add(item, keeper, "no voter")
+		if path == "spares" && slices.Contains(s.Voters, member) {
+			c.Add(item, member, "no voter")
 		}
 	}
 }
 
-// ownRole checks that a spare is in the list that the others wait for when
-// the fleet forms.
+// ownRole checks that the list for this process's role contains the process. The
+// other processes wait for the members of these lists when the fleet forms.
 func (c *checker) ownRole(s Settings) {
 	if s.Role == RoleSpare && !slices.Contains(s.Spares, s.RouterID) {
 		c.Add("spares", s.Spares, "a list that names this process, because its role is spare")
@@ -144,7 +144,7 @@
 	c.Between("timing.drain_ms", float64(t.DrainMS), 0, 3_600_000)
 }
 
-// CheckTraces finds what is wrong with where spans go.
+// CheckTraces adds the problems of the traces section to c.
 func CheckTraces(c *strict.Checker, t Traces) {
 	c.OneOf("traces.exporter", t.Exporter, "none", "stdout", "file", "otlp")
 	c.Between("traces.sample_ratio", t.SampleRatio, 0, 1)
--- a/settings/load.go
+++ b/settings/load.go
@@ -14,8 +14,8 @@
 	return strict.ReadFile(path, Defaults(), check)
 }
 
-// Parse checks a document and fills in defaults. The error is a Problems when
-// the text is JSON but has mistakes.
+// Parse checks a document and fills in defaults. The error is a Problems if the
+// text is JSON but has mistakes.
 func Parse(raw []byte) (Settings, error) {
 	return strict.Parse(raw, Defaults(), check)
 }
--- a/settings/reload.go
+++ b/settings/reload.go
@@ -2,8 +2,9 @@
 
 import "reflect"
 
-// NeedRestart returns the JSON names of the fields that differ and that a
-// running process doesn't take over: all but operators and log.level.
+// NeedRestart returns the JSON names of the top-level fields that differ and that
+// a running process can't apply without a restart. It can apply operators and
+// log.level.
 func NeedRestart(running, changed Settings) []string {
 	running.Operators, changed.Operators = nil, nil
 	running.Log.Level, changed.Log.Level = "", ""
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,7 +1,10 @@
-// Package settings reads and checks the one JSON document that configures an
-// endiveplankd process. Every mistake is reported at once, each with its path,
-// the value found and what is allowed, so that an operator mends a file in one
-// go. docs/SETTINGS.md lists every field.
+// Package settings reads and checks the JSON document that configures an
+// endiveplankd process of a fleet whose upstreams are owned by routers. Package
+// direct holds the settings of fleets whose routers send to upstreams themselves.
+//
+// Parse and ReadFile report all mistakes of a document at once, each with its
+// path, the value found and what is allowed, so that an operator can correct the
+// file in one edit. docs/SETTINGS.md lists every field.
 package settings
 
 import (
@@ -10,7 +13,7 @@
 	"endiveplank/protocol"
 )
 
-// Role says what a process does besides routing.
+// Role is what a process does besides routing.
 type Role string
 
 const (
@@ -19,8 +22,8 @@
 	// RoleVoter also votes in consensus and keeps the replicated state in its
 	// data folder.
 	RoleVoter Role = "voter"
-	// RoleSpare follows the replicated state as a learner, ready to replace a
-	// lost voter.
+	// RoleSpare follows the replicated state as a learner and can replace a lost
+	// voter.
 	RoleSpare Role = "spare"
 )
 
@@ -33,14 +36,14 @@
 	// DataFolder holds all files of a voter or spare.
 	DataFolder string `json:"data_folder"`
 	Listen     Listen `json:"listen"`
-	// Peers are the fleet's seeds: every voter, and any others worth asking
-	// first. The rest are learned from the replicated state.
+	// Peers are the processes that this one contacts first: every voter and,
+	// optionally, others. It learns the rest from the replicated state.
 	Peers []Peer `json:"peers"`
-	// Voters are the voters of a new fleet. They matter only when a voter
-	// starts with an empty data folder for the first time.
+	// Voters are the initial voters of a new fleet. They are used only when a
+	// voter starts for the first time, with an empty data folder.
 	Voters []protocol.RouterID `json:"voters"`
-	// Spares are processes with the role spare, the same list everywhere. A
-	// voter that is lost is replaced by one of them.
+	// Spares are the processes with the role spare. The list is the same in all
+	// processes. One of the spares replaces a lost voter.
 	Spares     []protocol.RouterID `json:"spares"`
 	TLS        TLS                 `json:"tls"`
 	Operators  []Operator          `json:"operators"`
@@ -54,13 +57,13 @@
 
 // Listen holds the IP:port of each listener.
 type Listen struct {
-	// Callers takes callers' requests and the platform's probes.
+	// Callers accepts callers' requests and the platform's probes.
 	Callers string `json:"callers"`
-	// Upstreams takes announcements.
+	// Upstreams accepts upstreams' announcements.
 	Upstreams string `json:"upstreams"`
-	// Admin takes operators' calls and metrics scrapes.
+	// Admin accepts operators' calls and metrics scrapes.
 	Admin string `json:"admin"`
-	// Peers takes connections from the fleet's other processes.
+	// Peers accepts connections from the fleet's other processes.
 	Peers string `json:"peers"`
 }
 
@@ -70,8 +73,9 @@
 	Address  string            `json:"address"`
 }
 
-// TLS names the files for mutual TLS between the fleet's processes. With all
-// three empty the peers talk in clear, which is meant for one machine only.
+// TLS names the files for mutual TLS between the fleet's processes. If all three
+// are empty, peers communicate without encryption, which is meant only for a
+// fleet on one machine.
 type TLS struct {
 	CertificateFile string `json:"certificate_file"`
 	KeyFile         string `json:"key_file"`
@@ -95,55 +99,56 @@
 	KeySHA256 string       `json:"key_sha256"`
 }
 
-// Callers bounds what one caller can make the process hold.
+// Callers limits the resources that one caller can occupy in the process.
 type Callers struct {
-	// MaxBodyBytes is the largest request body taken.
+	// MaxBodyBytes is the maximum size of a request body.
 	MaxBodyBytes int64 `json:"max_body_bytes"`
-	// MaxHeaderBytes is the largest request header taken.
+	// MaxHeaderBytes is the maximum size of a request header.
 	MaxHeaderBytes int `json:"max_header_bytes"`
-	// HeaderTimeoutMS bounds how long a caller may take to send its header.
+	// HeaderTimeoutMS limits how long a caller may take to send its header.
 	HeaderTimeoutMS int `json:"header_timeout_ms"`
-	// BodyTimeoutMS bounds how long a caller may take to send its body.
+	// BodyTimeoutMS limits how long a caller may take to send its body.
 	BodyTimeoutMS int `json:"body_timeout_ms"`
-	// WriteTimeoutMS bounds how long one chunk may wait on a slow caller.
+	// WriteTimeoutMS limits how long writing one chunk to a slow caller may take.
 	WriteTimeoutMS int `json:"write_timeout_ms"`
-	// DeadlineMS is the time a request has when its route names none.
+	// DeadlineMS is the deadline of a request whose route has none.
 	DeadlineMS int `json:"deadline_ms"`
 }
 
-// Load tunes placement and admission.
+// Load configures placement and admission control.
 type Load struct {
-	// Multiple bounds each upstream's load by this multiple of the fleet's
-	// mean.
+	// Multiple limits each upstream's load to this multiple of the fleet's mean.
 	Multiple float64 `json:"multiple"`
-	// ReuseWeight moves placement from skew first (0) to cache reuse first (1).
+	// ReuseWeight is the weight of cache reuse against even load in placement:
+	// 0 prefers even load, 1 prefers cache reuse.
 	ReuseWeight float64 `json:"reuse_weight"`
 }
 
 // Timing holds the intervals of failure detection, in milliseconds.
 type Timing struct {
-	// StallMS is the longest an upstream or peer may go without progress while
-	// work is on it.
+	// StallMS is how long an upstream or peer may make no progress while it has
+	// requests in flight.
 	StallMS int `json:"stall_ms"`
-	// ReplaceVoterMS is how long a voter may be silent before a spare takes its
-	// place for good.
+	// ReplaceVoterMS is how long a voter may be silent before a spare replaces it
+	// permanently.
 	ReplaceVoterMS int `json:"replace_voter_ms"`
-	// UnreadyMS is how long a stopping router reports unready, and still
-	// serves, before it refuses new requests: the time the platform's balancer
-	// needs to notice.
+	// UnreadyMS is how long a stopping router reports unready but still serves
+	// before it refuses new requests. The platform's balancer needs this time to
+	// notice.
 	UnreadyMS int `json:"unready_ms"`
 	// DrainMS is how long a planned stop waits for requests in flight.
 	DrainMS int `json:"drain_ms"`
 }
 
-// Membership bounds the traffic by which routers find each other and the dead.
+// Membership limits the gossip traffic by which routers discover each other and
+// detect failures.
 type Membership struct {
-	// BytesPerSecond is what one router may send for it, with the cost of the
-	// packets below it.
+	// BytesPerSecond is the most that one router may send for membership,
+	// including the overhead of the network layers below.
 	BytesPerSecond int `json:"bytes_per_second"`
 }
 
-// Log selects level and form of log lines.
+// Log selects the level and format of log lines.
 type Log struct {
 	// Level is one of debug, info, warn, error.
 	Level string `json:"level"`
@@ -163,11 +168,11 @@
 	SampleRatio float64 `json:"sample_ratio"`
 }
 
-// DefaultTraces are no spans. Where they are switched on, one request in a
-// hundred shows the shape of all and costs little.
+// DefaultTraces exports no spans. If an exporter is set, one request in a hundred
+// is sampled by default, which represents the traffic at little cost.
 func DefaultTraces() Traces { return Traces{Exporter: "none", SampleRatio: 0.01} }
 
-// Defaults returns the settings that hold where a document says nothing.
+// Defaults returns the values of fields that a document leaves out.
 func Defaults() Settings {
 	return Settings{
 		Role: RoleRouter,
@@ -187,13 +192,13 @@
 	}
 }
 
-// Stall returns the progress deadline.
+// Stall returns StallMS as a duration.
 func (t Timing) Stall() time.Duration { return time.Duration(t.StallMS) * time.Millisecond }
 
-// Unready returns the time between reporting unready and refusing.
+// Unready returns UnreadyMS as a duration.
 func (t Timing) Unready() time.Duration { return time.Duration(t.UnreadyMS) * time.Millisecond }
 
-// Drain returns the planned stop's patience.
+// Drain returns DrainMS as a duration.
 func (t Timing) Drain() time.Duration { return time.Duration(t.DrainMS) * time.Millisecond }
 
 // KeepsState says whether the process has a data folder and takes part in
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -9,25 +9,25 @@
 	"gotest.tools/v3/assert"
 )
 
-const good = `{"router_id":"r1","data_centre":"dc1","voters":["r1"],"role":"voter","data_folder":"d",
+const validSettings = `{"router_id":"r1","data_centre":"dc1","voters":["r1"],"role":"voter","data_folder":"d",
 "listen":{"callers":"127.0.0.1:1","upstreams":"127.0.0.1:2","admin":"127.0.0.1:3","peers":"127.0.0.1:4"}}`
 
-func TestGoodDocumentGetsDefaults(t *testing.T) {
-	parsed, err := Parse([]byte(good))
+func TestDefaultsFillMissingFields(t *testing.T) {
+	parsed, err := Parse([]byte(validSettings))
 	assert.NilError(t, err)
 	assert.Equal(t, parsed.Load.Multiple, 1.25)
 }
 
-// An operator mistypes several fields. Reporting one a run would make the
-// operator start the process once for each, so all must come at once.
-func TestAllMistakesComeAtOnce(t *testing.T) {
+// An operator mistypes several fields. If Parse reported only the first, the
+// operator would have to start the process once for each mistake.
+func TestParseReportsAllMistakes(t *testing.T) {
 	for name, tc := range map[string]struct {
 		text  string
 		paths []string
 	}{
 		"shape":  {`{"rooter":1,"listen":{"callers":7,"calers":""},"peers":{}}`, []string{"listen.calers", "listen.callers", "peers", "rooter"}},
-		"values": {strings.Replace(good, `127.0.0.1:1"`, `host:1"`, 1), []string{"listen.callers"}},
-		"state":  {strings.Replace(strings.Replace(good, `"voter"`, `"router"`, 1), `["r1"]`, `["r1","r9"]`, 1), []string{"data_folder", "voters", "voters[1]"}},
+		"values": {strings.Replace(validSettings, `127.0.0.1:1"`, `host:1"`, 1), []string{"listen.callers"}},
+		"state":  {strings.Replace(strings.Replace(validSettings, `"voter"`, `"router"`, 1), `["r1"]`, `["r1","r9"]`, 1), []string{"data_folder", "voters", "voters[1]"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := Parse([]byte(tc.text))
@@ -42,8 +42,8 @@
 	}
 }
 
-// Every example must be one that the daemon starts with.
-func TestExamplesAreGood(t *testing.T) {
+// The daemon must be able to start with every example.
+func TestExamplesAreValid(t *testing.T) {
 	files, err := filepath.Glob("../examples/*.json")
 	assert.NilError(t, err)
 	assert.Equal(t, len(files), 3)
@@ -54,8 +54,8 @@
 	}
 }
 
-func TestOnlyOperatorsAndLogLevelReload(t *testing.T) {
-	running, err := Parse([]byte(good))
+func TestOnlyOperatorsAndLogLevelApplyWithoutRestart(t *testing.T) {
+	running, err := Parse([]byte(validSettings))
 	assert.NilError(t, err)
 	changed := running
 	changed.Operators = []Operator{{Name: "a"}}
