--- a/cmd/endiveplank-standin/desk.go
+++ b/cmd/endiveplank-standin/desk.go
@@ -19,7 +19,7 @@
 			settings.ID = protocol.UpstreamID(id)
 			settings.Service = protocol.Service(service)
 			settings.DataCentre = protocol.DataCentre(dataCentre)
-			settings.OnCrash = crashFunc("desk", id, settings.RestartAfter)
+			settings.OnCrash = crashHandler("desk", id, settings.RestartAfter)
 			server, err := desk.Start(settings)
 			if err != nil {
 				return err
@@ -30,13 +30,13 @@
 	}
 	flags := command.Flags()
 	flags.StringVar(&id, "id", "desk1", "upstream ID")
-	flags.StringVar(&service, "service", "orders", "service that the desk is a server of")
+	flags.StringVar(&service, "service", "orders", "service that the desk belongs to")
 	flags.StringVar(&dataCentre, "data-centre", "dc1", "data centre")
 	flags.StringVar(&settings.Listen, "listen", "127.0.0.1:0", "address to serve on, host:port")
 	flags.StringSliceVar(&settings.Announce, "announce", nil, "routers' upstream addresses, host:port")
-	flags.StringVar(&settings.Journal, "journal", "", "file that keeps the runs over a restart")
-	flags.Uint64Var(&settings.Seed, "seed", 1, "seed of the faults that strike by chance")
-	flags.DurationVar(&settings.RestartAfter, "restart-after", 0, "come back this long after a crash; 0 ends the process")
+	flags.StringVar(&settings.Journal, "journal", "", "file that keeps the record of runs across restarts")
+	flags.Uint64Var(&settings.Seed, "seed", 1, "seed of random faults")
+	flags.DurationVar(&settings.RestartAfter, "restart-after", 0, "restart this long after a crash; 0 ends the process")
 	flags.IntVar(&settings.Faults.SlowMs, "slow-ms", 0, "delay of each run in milliseconds")
 	return command
 }
--- a/cmd/endiveplank-standin/engine.go
+++ b/cmd/endiveplank-standin/engine.go
@@ -23,7 +23,7 @@
 			for _, model := range models {
 				settings.Models = append(settings.Models, protocol.Model(model))
 			}
-			settings.OnCrash = crashFunc("engine", id, settings.RestartAfter)
+			settings.OnCrash = crashHandler("engine", id, settings.RestartAfter)
 			server, err := engine.Start(settings)
 			if err != nil {
 				return err
@@ -40,27 +40,27 @@
 	flags.StringSliceVar(&models, "models", []string{"m1"}, "models loaded at the start")
 	flags.StringVar(&settings.Role, "role", settings.Role, "role at the start")
 	flags.StringVar(&settings.WeightStore, "weight-store", "", "weight store shared with other engines, host:port")
-	flags.Uint64Var(&settings.Seed, "seed", settings.Seed, "seed of the faults that strike by chance")
-	flags.DurationVar(&settings.RestartAfter, "restart-after", 0, "come back this long after a crash; 0 ends the process")
+	flags.Uint64Var(&settings.Seed, "seed", settings.Seed, "seed of random faults")
+	flags.DurationVar(&settings.RestartAfter, "restart-after", 0, "restart this long after a crash; 0 ends the process")
 	costFlags(flags, &settings.Model)
 	faultFlags(flags, &settings.Faults)
 	return command
 }
 
-// costFlags adds the flags of the cost model.
+// costFlags defines the flags of the cost model.
 func costFlags(flags *pflag.FlagSet, model *engine.CostModel) {
 	flags.IntVar(&model.MaxBatch, "max-batch", model.MaxBatch, "requests that run at once")
 	flags.IntVar(&model.MaxWaiting, "max-waiting", model.MaxWaiting, "requests that may wait")
 	flags.DurationVar(&model.IterationBase, "iteration-base", model.IterationBase, "fixed cost of an iteration")
 	flags.DurationVar(&model.DecodePerSequence, "decode-cost", model.DecodePerSequence, "cost of one token of one sequence")
 	flags.DurationVar(&model.PrefillPerToken, "prefill-cost", model.PrefillPerToken, "cost of one prompt token that is not cached")
-	flags.IntVar(&model.PrefillChunk, "prefill-chunk", model.PrefillChunk, "prompt tokens of one iteration")
+	flags.IntVar(&model.PrefillChunk, "prefill-chunk", model.PrefillChunk, "maximum prompt tokens of one iteration")
 	flags.IntVar(&model.CacheTokens, "cache-tokens", model.CacheTokens, "size of the prefix cache in tokens")
 	flags.DurationVar(&model.TransferPerToken, "transfer-cost", model.TransferPerToken, "cost of one token of exported or imported cache")
 	flags.DurationVar(&model.LoadTime, "load-time", model.LoadTime, "time the weight store needs for one model")
 }
 
-// faultFlags adds the flags of the faults in force at the start.
+// faultFlags defines the flags of the faults that are active at the start.
 func faultFlags(flags *pflag.FlagSet, faults *engine.Faults) {
 	flags.BoolVar(&faults.IgnoreFence, "ignore-fence", false, "run engine orders that carry an old fencing number")
 	flags.Float64Var(&faults.SlowFactor, "slow-factor", faults.SlowFactor, "multiplies the cost of iterations")
--- a/cmd/endiveplank-standin/main.go
+++ b/cmd/endiveplank-standin/main.go
@@ -1,7 +1,6 @@
-// Command endiveplank-standin runs stand-ins for the systems around a router
-// fleet: a model engine, an order desk, a weight store and a TCP relay with
-// faults. It is a tool for demonstrations, tests and measurements, not for
-// production.
+// Command endiveplank-standin simulates the systems around a router fleet: a
+// model engine, an order desk, a weight store and a TCP relay that injects
+// faults. It is for demonstrations, tests and measurements, not for production.
 package main
 
 import (
@@ -15,11 +14,11 @@
 	"github.com/spf13/cobra"
 )
 
-// crashStatus is the exit status of a stand-in that a fault has crashed.
+// crashStatus is the exit status of a stand-in after a simulated crash.
 const crashStatus = 3
 
-// drainTime bounds how long a stopped stand-in waits for requests in flight.
-const drainTime = 30 * time.Second
+// drainTimeout limits how long a stopping stand-in waits for requests in flight.
+const drainTimeout = 30 * time.Second
 
 func main() {
 	root := &cobra.Command{
@@ -35,21 +34,22 @@
 	}
 }
 
-// runUntilSignal waits for SIGTERM or an interrupt and then calls shutdown
-// with a context that ends after drainTime.
+// runUntilSignal waits for SIGTERM or SIGINT and then calls shutdown with a
+// context that expires after drainTimeout.
 func runUntilSignal(kind, id, address string, shutdown func(context.Context)) {
 	fmt.Printf("standin: %s %s listens on %s\n", kind, id, address)
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	<-signals
-	ctx, cancel := context.WithTimeout(context.Background(), drainTime)
+	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
 	shutdown(ctx)
 }
 
-// crashFunc returns what a crash does: end the process, or nil to drop
-// everything and come back after restartAfter.
-func crashFunc(kind, id string, restartAfter time.Duration) func() {
+// crashHandler returns the function that a simulated crash calls to end the
+// process. It returns nil if restartAfter is positive: the stand-in then drops its
+// connections and memory and restarts within the process.
+func crashHandler(kind, id string, restartAfter time.Duration) func() {
 	if restartAfter > 0 {
 		return nil
 	}
--- a/cmd/endiveplank-standin/relay.go
+++ b/cmd/endiveplank-standin/relay.go
@@ -10,12 +10,12 @@
 	"endiveplank/standin/relay"
 )
 
-// relayCommand runs a TCP relay with faults, steered over HTTP.
+// relayCommand runs a TCP relay whose faults are set over HTTP.
 func relayCommand() *cobra.Command {
 	var listen, to, control string
 	command := &cobra.Command{
 		Use:   "relay",
-		Short: "Run a TCP relay that can go silent, delay and cut",
+		Short: "Run a TCP relay that can stall, delay and break connections",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			r, err := relay.Start(listen, to)
@@ -23,12 +23,12 @@
 				return err
 			}
 			defer r.Close()
-			steering, err := host.Listen(control, r.Handler())
+			controlServer, err := host.Listen(control, r.Handler())
 			if err != nil {
 				return err
 			}
-			defer steering.Drop()
-			fmt.Printf("standin: relay is steered at %s\n", steering.Address())
+			defer controlServer.Drop()
+			fmt.Printf("standin: relay is steered at %s\n", controlServer.Address())
 			runUntilSignal("relay", "to "+to, r.Address(), func(context.Context) {})
 			return nil
 		},
--- a/cmd/endiveplank-standin/weights.go
+++ b/cmd/endiveplank-standin/weights.go
@@ -12,13 +12,13 @@
 // weightsCommand runs a weight store.
 func weightsCommand() *cobra.Command {
 	var listen string
-	var each time.Duration
+	var transferTime time.Duration
 	command := &cobra.Command{
 		Use:   "weights",
-		Short: "Run a weight store that serves one transfer after the other",
+		Short: "Run a weight store that serves one transfer at a time",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			store, err := weights.Start(listen, each)
+			store, err := weights.Start(listen, transferTime)
 			if err != nil {
 				return err
 			}
@@ -27,6 +27,6 @@
 		},
 	}
 	command.Flags().StringVar(&listen, "listen", "127.0.0.1:0", "address to serve on, host:port")
-	command.Flags().DurationVar(&each, "transfer-time", 5*time.Second, "time of one transfer")
+	command.Flags().DurationVar(&transferTime, "transfer-time", 5*time.Second, "time of one transfer")
 	return command
 }
--- a/cmd/endiveplank/main.go
+++ b/cmd/endiveplank/main.go
@@ -1,5 +1,5 @@
-// Command endiveplank is the operators' tool: it drives a fleet through the
-// admin listener of any of its routers.
+// Command endiveplank is the operators' command-line tool. It controls a fleet
+// through the admin listener of any of its routers.
 package main
 
 import (
