--- a/cmd/endiveplankd/direct.go
+++ b/cmd/endiveplankd/direct.go
@@ -28,41 +28,46 @@
 )
 
 const (
-	// settingsVariable may name the settings file.
+	// settingsVariable is the environment variable that may name the settings
+	// file.
 	settingsVariable = "ENDIVEPLANK_CONFIG"
-	// memoryShare is the part of the memory limit at which the collector works
-	// harder; the rest is for stacks, buffers of the kernel and bursts.
-	memoryShare = 0.6
-	// collectPercent makes the collector run early: peak memory costs more
-	// here than processor time.
-	collectPercent = 50
-	// logPatience is how long the last log lines may take.
-	logPatience = 200 * time.Millisecond
-	// controlHeaderTimeout bounds the header, and controlReadTimeout the whole,
-	// of an operator's or upstream's call.
+	// memoryLimitShare is the share of the memory limit at which the garbage
+	// collector runs more often. The rest is for stacks, kernel buffers and bursts.
+	memoryLimitShare = 0.6
+	// gcPercent makes the garbage collector run earlier than by default, because
+	// peak memory costs more here than processor time.
+	gcPercent = 50
+	// logFlushTimeout limits how long writing the last log lines may take.
+	logFlushTimeout = 200 * time.Millisecond
+	// controlHeaderTimeout limits the time for reading the header, and
+	// controlReadTimeout that for the whole request, of an operator or upstream.
 	controlHeaderTimeout = 3 * time.Second
 	controlReadTimeout   = 10 * time.Second
-	// stopPatience is how long a stopping disk VM waits for calls under way,
-	// which take less than a second.
-	stopPatience = time.Second
+	// shutdownTimeout limits how long a stopping disk VM waits for calls in
+	// flight, which take less than a second.
+	shutdownTimeout = time.Second
 )
 
-// process is a role of a fleet whose routers send to upstreams themselves.
+// process is a running router or disk VM of a fleet whose routers send to
+// upstreams themselves.
 type process interface {
+	// Reload applies changed settings.
 	Reload(direct.Settings)
-	// Stop ends the process as planned and reports whether nothing was cut.
+	// Stop performs a planned stop. It reports whether all requests in flight were
+	// completed.
 	Stop() bool
 }
 
-// logs are a role's loggers: one for what it does and believes, one for the
-// lines of requests.
-type logs struct{ log, requests zerolog.Logger }
+// loggers are the loggers of a process: one for its own events, one for the lines
+// about requests.
+type loggers struct{ log, requests zerolog.Logger }
 
-// starter starts a role.
-type starter func(logs, direct.Settings, *rand.Rand) (process, error)
+// startFunc starts a process with one of the roles.
+type startFunc func(loggers, direct.Settings, *rand.Rand) (process, error)
 
-// directCommand returns the command that runs one such role.
-func directCommand(path *string, role direct.Role, short string, start starter) *cobra.Command {
+// directCommand returns the command that runs a process with the given role, with
+// a subcommand that checks its settings.
+func directCommand(path *string, role direct.Role, short string, start startFunc) *cobra.Command {
 	run := &cobra.Command{
 		Use:   string(role),
 		Short: short,
@@ -79,14 +84,14 @@
 			if _, err := readDirect(settingsPath(command, *path), role); err != nil {
 				return err
 			}
-			return sayGood(command)
+			return printValid(command)
 		},
 	})
 	return run
 }
 
-// readDirect reads the settings of a role. Errors: those of the file, all
-// mistakes in it, a file for another role.
+// readDirect reads the settings of a role. It returns an error if the file can't
+// be read, has mistakes, or is for another role.
 func readDirect(path string, role direct.Role) (direct.Settings, error) {
 	settings, err := direct.ReadFile(path)
 	if err != nil {
@@ -98,7 +103,8 @@
 	return settings, nil
 }
 
-// settingsPath prefers the flag over the environment.
+// settingsPath returns the path of the settings file: the flag if it was given,
+// else the environment variable, else the flag's default.
 func settingsPath(command *cobra.Command, flag string) string {
 	if named := os.Getenv(settingsVariable); named != "" && !command.Flags().Changed("config") {
 		return named
@@ -106,54 +112,55 @@
 	return flag
 }
 
-// runDirect runs a role until a signal ends it.
-func runDirect(path string, role direct.Role, start starter) error {
+// runDirect runs a process with the given role until a signal stops it.
+func runDirect(path string, role direct.Role, start startFunc) error {
 	settings, err := readDirect(path, role)
 	if err != nil {
 		return err
 	}
-	debug.SetGCPercent(collectPercent)
-	debug.SetMemoryLimit(int64(memoryShare * float64(settings.Memory.LimitMB) * (1 << 20)))
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(int64(memoryLimitShare * float64(settings.Memory.LimitMB) * (1 << 20)))
 	lines := loglines.New(os.Stdout, settings.Name, settings.Log.LinesPerSecond)
-	defer lines.Close(logPatience)
+	defer lines.Close(logFlushTimeout)
 	log := newDirectLogger(settings, lines)
-	running, err := start(logs{log: log, requests: newDirectLogger(settings, lines.Ordinary())}, settings, newRandom())
+	running, err := start(loggers{log: log, requests: newDirectLogger(settings, lines.Ordinary())}, settings, newRandom())
 	if err != nil {
 		log.Error().Str("event", "not-started").Err(err).Send()
 		return err
 	}
 	log.Info().Str("event", "started").Str("role", string(role)).Strs("seeds", settings.Seeds).Send()
-	awaitStop(func() { reloadDirect(running, path, log) })
+	waitForStop(func() { reloadDirect(running, path, log) })
 	if !running.Stop() {
-		return errCut
+		return errRequestsCut
 	}
 	return nil
 }
 
-// newDirectLogger returns the logger of a role.
+// newDirectLogger returns the logger of a process.
 func newDirectLogger(settings direct.Settings, lines io.Writer) zerolog.Logger {
 	level, err := zerolog.ParseLevel(settings.Log.Level)
 	if err != nil {
-		panic("endiveplankd: settings with a log level that was not checked: " + settings.Log.Level)
+		panic("endiveplankd: unchecked settings: log.level is invalid: " + settings.Log.Level)
 	}
 	zerolog.TimeFieldFormat = "2006-01-02T15:04:05.000Z07:00"
-	// Hundredths of a millisecond, and of the mean load, are all that anybody reads.
+	// Two decimals suffice for durations in milliseconds and for loads relative to
+	// the mean.
 	zerolog.FloatingPointPrecision = 2
 	return zerolog.New(lines).Level(level).With().Timestamp().Str("node", settings.Name).Logger()
 }
 
-// newRandom returns a source that differs between two starts, also where two
-// VMs start at the same moment.
+// newRandom returns a random source with a random seed, so that VMs that start at
+// the same moment do not make the same choices.
 func newRandom() *rand.Rand {
 	var seed [16]byte
 	if _, err := crand.Read(seed[:]); err != nil {
-		panic("endiveplankd: the system has no random numbers: " + err.Error())
+		panic("endiveplankd: read random seed from the system: " + err.Error())
 	}
 	return rand.New(rand.NewPCG(binary.LittleEndian.Uint64(seed[:8]), binary.LittleEndian.Uint64(seed[8:])))
 }
 
-// reloadDirect reads the settings again. A document with mistakes changes
-// nothing.
+// reloadDirect reads the settings file again and applies it. If the file has
+// mistakes, the running settings stay in force.
 func reloadDirect(running process, path string, log zerolog.Logger) {
 	changed, err := direct.ReadFile(path)
 	if err != nil {
@@ -163,8 +170,8 @@
 	running.Reload(changed)
 }
 
-// startRouter starts the role router.
-func startRouter(logs logs, settings direct.Settings, random *rand.Rand) (process, error) {
+// startRouter starts a router.
+func startRouter(logs loggers, settings direct.Settings, random *rand.Rand) (process, error) {
 	tracer, err := tracing.New(settings.Traces, settings.Self(), settings.DataCentre)
 	if err != nil {
 		return nil, err
@@ -172,21 +179,21 @@
 	return router.New(router.Options{
 		Settings: settings, Tracer: tracer, Dialect: platform.Dialect{}, Log: logs.log, RequestLog: logs.requests, Random: random,
 		ReadTable: func(_ uint64, body []byte) (*routing.Table, error) { return platform.ReadTable(body) },
-		AnnouncementHandler: func(take func(context.Context, roster.Entry) bool) http.Handler {
-			return platform.NewAnnouncementHandler(take, logs.log)
+		AnnouncementHandler: func(confirm func(context.Context, roster.Entry) bool) http.Handler {
+			return platform.NewAnnouncementHandler(confirm, logs.log)
 		},
 	})
 }
 
-// diskVM joins a disk VM with its servers.
+// diskVM is a disk VM with its HTTP servers.
 type diskVM struct {
 	*diskvm.VM
 	log     zerolog.Logger
 	servers []*http.Server
 }
 
-// startDiskVM starts the role disk-vm.
-func startDiskVM(logs logs, settings direct.Settings, random *rand.Rand) (process, error) {
+// startDiskVM starts a disk VM and its HTTP servers for control and metrics.
+func startDiskVM(logs loggers, settings direct.Settings, random *rand.Rand) (process, error) {
 	vm, err := diskvm.New(diskvm.Options{Settings: settings, CheckTable: platform.CheckTable, Log: logs.log, Random: random})
 	if err != nil {
 		return nil, err
@@ -206,7 +213,7 @@
 	return d, nil
 }
 
-// serve starts a server.
+// serve starts an HTTP server at address.
 func (d *diskVM) serve(address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -222,10 +229,10 @@
 	return nil
 }
 
-// Stop implements process. Calls under way have some time to end.
+// Stop implements process. It gives calls in flight shutdownTimeout to complete.
 func (d *diskVM) Stop() bool {
 	d.log.Info().Str("event", "stopping").Send()
-	ctx, cancel := context.WithTimeout(context.Background(), stopPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	for _, server := range d.servers {
 		if err := server.Shutdown(ctx); err != nil {
--- a/cmd/endiveplankd/main.go
+++ b/cmd/endiveplankd/main.go
@@ -1,5 +1,7 @@
-// Command endiveplankd is one process of the router fleet. Its settings say
-// which part it plays.
+// Command endiveplankd runs one process of the router fleet. Without a subcommand
+// it runs a process of a fleet whose routers own upstreams; the subcommands router
+// and disk-vm run the processes of a fleet whose routers send to upstreams
+// themselves.
 package main
 
 import (
@@ -20,12 +22,12 @@
 const (
 	exitFailed   = 1
 	exitSettings = 2
-	// exitCut means that a planned stop cut requests in flight.
-	exitCut = 3
+	// exitRequestsCut means that a planned stop cut off requests in flight.
+	exitRequestsCut = 3
 )
 
-// errCut is the error of a planned stop that cut requests.
-var errCut = errors.New("the patience for draining ran out and requests were cut")
+// errRequestsCut means that a planned stop cut off requests in flight.
+var errRequestsCut = errors.New("the drain timeout expired and requests in flight were cut off")
 
 func main() {
 	os.Exit(run())
@@ -41,9 +43,9 @@
 	case errors.As(err, &problems):
 		fmt.Fprintf(os.Stderr, "endiveplankd: the settings have %d mistakes:\n%s\n", len(problems), problems)
 		return exitSettings
-	case errors.Is(err, errCut):
+	case errors.Is(err, errRequestsCut):
 		fmt.Fprintln(os.Stderr, "endiveplankd:", err)
-		return exitCut
+		return exitRequestsCut
 	}
 	fmt.Fprintln(os.Stderr, "endiveplankd:", err)
 	return exitFailed
@@ -69,7 +71,7 @@
 			if _, err := settings.ReadFile(path); err != nil {
 				return err
 			}
-			return sayGood(command)
+			return printValid(command)
 		},
 	})
 	root.AddCommand(recoverCommand(&path))
@@ -78,14 +80,14 @@
 	return root
 }
 
-// sayGood tells the operator that a settings file has no mistake.
-func sayGood(command *cobra.Command) error {
+// printValid tells the operator that a settings file has no mistakes.
+func printValid(command *cobra.Command) error {
 	_, err := fmt.Fprintln(command.OutOrStdout(), "settings are good")
 	return err
 }
 
-// serve runs the process until SIGTERM or an interrupt asks it to stop. A
-// second signal, or the drain time of the settings, ends its patience.
+// serve runs the process until SIGTERM or SIGINT and then drains requests in
+// flight. A second signal, or the drain timeout of the settings, cuts them off.
 func serve(path string) error {
 	loaded, err := settings.ReadFile(path)
 	if err != nil {
@@ -98,7 +100,7 @@
 	if err := process.Start(); err != nil {
 		return err
 	}
-	awaitStop(func() { reload(process, path) })
+	waitForStop(func() { reload(process, path) })
 	ctx, cancel := context.WithTimeout(context.Background(), loaded.Timing.Drain())
 	defer cancel()
 	go func() {
@@ -106,13 +108,13 @@
 		cancel()
 	}()
 	if !process.Stop(ctx) {
-		return errCut
+		return errRequestsCut
 	}
 	return nil
 }
 
-// awaitStop returns with the first signal to stop, and reloads at each hangup.
-func awaitStop(reload func()) {
+// waitForStop returns on the first stop signal. It calls reload on each SIGHUP.
+func waitForStop(reload func()) {
 	for {
 		select {
 		case <-signals.Stops():
@@ -123,7 +125,8 @@
 	}
 }
 
-// reload reads the settings again. A document with mistakes changes nothing.
+// reload reads the settings file again and applies it. If the file has mistakes,
+// the running settings stay in force.
 func reload(process *daemon.Daemon, path string) {
 	changed, err := settings.ReadFile(path)
 	if err != nil {
--- a/cmd/endiveplankd/main_test.go
+++ b/cmd/endiveplankd/main_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// runLine executes a command line and returns what it printed.
-func runLine(t *testing.T, arguments ...string) (string, error) {
+// execute runs a command line and returns its output.
+func execute(t *testing.T, arguments ...string) (string, error) {
 	t.Helper()
 	root := rootCommand()
 	var printed bytes.Buffer
@@ -22,8 +22,9 @@
 	return printed.String(), err
 }
 
-// settingsFile writes settings of a router that sends to upstreams itself.
-func settingsFile(t *testing.T, name, seeds string) string {
+// writeSettings writes a settings file of a router that sends to upstreams itself
+// and returns its path.
+func writeSettings(t *testing.T, name, seeds string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "router.json")
 	text := `{"role": "router", "name": "` + name + `", "data_centre": "dc1", "seeds": [` + seeds + `],
@@ -32,17 +33,17 @@
 	return path
 }
 
-func TestSettingsOfDirectRolesAreCheckedWithoutStarting(t *testing.T) {
-	// An operator checks a file before it goes to a hundred VMs. All mistakes
-	// come at once, and nothing is started.
-	printed, err := runLine(t, "router", "check", "--config", settingsFile(t, "r1", `"127.0.0.1:8083"`))
+func TestCheckReportsAllMistakesWithoutStarting(t *testing.T) {
+	// An operator checks a settings file before distributing it to a hundred VMs.
+	// The command must report all mistakes at once and start nothing.
+	printed, err := execute(t, "router", "check", "--config", writeSettings(t, "r1", `"127.0.0.1:8083"`))
 	assert.NilError(t, err)
 	assert.Equal(t, printed, "settings are good\n")
 
-	_, err = runLine(t, "router", "check", "--config", settingsFile(t, "r 1", `"nowhere"`))
+	_, err = execute(t, "router", "check", "--config", writeSettings(t, "r 1", `"nowhere"`))
 	assert.ErrorContains(t, err, "name")
 	assert.ErrorContains(t, err, "seeds")
 
-	_, err = runLine(t, "disk-vm", "check", "--config", settingsFile(t, "r1", `"127.0.0.1:8083"`))
+	_, err = execute(t, "disk-vm", "check", "--config", writeSettings(t, "r1", `"127.0.0.1:8083"`))
 	assert.Assert(t, err != nil && strings.Contains(err.Error(), "role"), "%v", err)
 }
--- a/cmd/endiveplankd/recover.go
+++ b/cmd/endiveplankd/recover.go
@@ -12,14 +12,14 @@
 	"endiveplank/state/replica"
 )
 
-// recoverCommand goes on from one voter's disk after the quorum is lost for
-// good. Without --yes it only says what it would do.
+// recoverCommand makes one voter the only voter, with the state on its disk, after
+// the quorum is permanently lost. Without --yes it only reports what it would do.
 func recoverCommand(path *string) *cobra.Command {
 	var lost []string
 	var yes bool
 	command := &cobra.Command{
 		Use:   "recover",
-		Short: "Go on from this voter's disk when the quorum is lost for good",
+		Short: "Continue from this voter's disk when the quorum is permanently lost",
 		Long: `Makes this stopped voter the only one, in a new epoch. Use it only when so
 many voters are lost for good that the others can't agree any more.
 
@@ -38,12 +38,12 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprint(command.OutOrStdout(), describe(loaded, report, yes))
+			fmt.Fprint(command.OutOrStdout(), recoveryText(loaded, report, yes))
 			return nil
 		},
 	}
-	command.Flags().StringSliceVar(&lost, "lost", nil, "all other voters, comma between, as found lost for good")
-	command.Flags().BoolVar(&yes, "yes", false, "do it; without this nothing is written")
+	command.Flags().StringSliceVar(&lost, "lost", nil, "all other voters, separated by commas; all must be permanently lost")
+	command.Flags().BoolVar(&yes, "yes", false, "perform the recovery; without this flag nothing is written")
 	return command
 }
 
@@ -55,8 +55,8 @@
 	return ids
 }
 
-// describe says what was done or would be, and what may be lost.
-func describe(s settings.Settings, report replica.RecoveryReport, done bool) string {
+// recoveryText describes what was or would be done and which changes may be lost.
+func recoveryText(s settings.Settings, report replica.RecoveryReport, done bool) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s holds the state up to index %d of term %d.\n", s.RouterID, report.LastIndex, report.LastTerm)
 	if done {
--- a/cmd/endiveplankd/signals_test.go
+++ b/cmd/endiveplankd/signals_test.go
@@ -11,8 +11,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards: a hangup while a process initializes its packages ends it without a word.
-func TestSignalsAreTakenBeforeMostPackagesAreInitialized(t *testing.T) {
+// A SIGHUP that arrives while a process initializes its packages would end it
+// without a log line, because Go's default action for an uncaught signal is to
+// exit. Package signals must therefore be initialized before most others.
+func TestSignalsAreCaughtBeforeMostPackagesInitialize(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "endiveplankd")
 	output, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput()
 	assert.NilError(t, err, "%s", output)
@@ -27,6 +29,6 @@
 		}
 	}
 	at := slices.Index(packages, "endiveplank/internal/signals")
-	assert.Assert(t, at >= 0, "nothing takes signals while packages are initialized")
-	assert.Assert(t, at < len(packages)/3, "signals are taken after %d of %d packages", at, len(packages))
+	assert.Assert(t, at >= 0, "package signals is not initialized")
+	assert.Assert(t, at < len(packages)/3, "package signals is initialized after %d of %d packages", at, len(packages))
 }
