--- a/internal/proofs/main.go
+++ b/internal/proofs/main.go
@@ -1,7 +1,7 @@
-// Command proofs reads the results of `go test -json`, prints them as go test
-// would, and checks that every test that docs/PROOFS.md and docs/FAILURES.md
-// name exists, ran and passed, and that every script they name is there. It
-// exits 1 otherwise, so that no page can promise a proof that isn't run.
+// Command proofs reads the output of `go test -json`, prints it as go test would,
+// and checks that every test named in docs/PROOFS.md and docs/FAILURES.md exists,
+// ran and passed, and that every script named there exists. Otherwise it exits
+// with status 1, so that no page can refer to a test that isn't run.
 package main
 
 import (
@@ -23,7 +23,7 @@
 	Output  string
 }
 
-// results are the tests by name with their last action.
+// results holds the outcome and output of each test, by package and test name.
 type results struct {
 	outcome map[string]string
 	output  map[string][]string
@@ -36,7 +36,7 @@
 	path := flag.String("results", "", "file with the output of go test -json")
 	red := flag.String("red", "", "names of tests that may fail, separated by |")
 	flag.Parse()
-	found, err := read(*path)
+	found, err := readResults(*path)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "proofs:", err)
 		os.Exit(2)
@@ -55,8 +55,8 @@
 	}
 }
 
-// read takes the events in and prints the packages' closing lines.
-func read(path string) (*results, error) {
+// readResults reads the events and prints the summary line of each package.
+func readResults(path string) (*results, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, err
@@ -68,16 +68,16 @@
 	for scanner.Scan() {
 		var e event
 		if json.Unmarshal(scanner.Bytes(), &e) != nil {
-			// What isn't JSON comes from the compiler or the linker.
+			// Lines that aren't JSON come from the compiler or the linker.
 			fmt.Println(scanner.Text())
 			continue
 		}
-		found.take(e)
+		found.add(e)
 	}
 	return found, scanner.Err()
 }
 
-func (r *results) take(e event) {
+func (r *results) add(e event) {
 	switch {
 	case e.Action == "output" || e.Action == "build-output":
 		key := e.Package + " " + e.Test
@@ -105,16 +105,17 @@
 	}
 }
 
-// failures lists the failed tests that aren't known to be red, with output.
-func (r *results) failures(red []string) []string {
+// failures prints the output of the failed tests that aren't known to fail and
+// returns one problem for each.
+func (r *results) failures(knownRed []string) []string {
 	var problems []string
 	for key, outcome := range r.outcome {
 		_, test, _ := strings.Cut(key, " ")
 		top, _, _ := strings.Cut(test, "/")
-		if outcome != "fail" || (top != "" && slices.Contains(red, top)) {
+		if outcome != "fail" || (top != "" && slices.Contains(knownRed, top)) {
 			continue
 		}
-		if test == "" && r.onlyRed(key, red) {
+		if test == "" && r.failedOnlyKnownRed(key, knownRed) {
 			continue
 		}
 		fmt.Print(strings.Join(r.output[key], ""))
@@ -124,8 +125,9 @@
 	return problems
 }
 
-// onlyRed says whether a package failed by known red tests alone.
-func (r *results) onlyRed(pkg string, red []string) bool {
+// failedOnlyKnownRed reports whether all failed tests of a package are known to
+// fail.
+func (r *results) failedOnlyKnownRed(pkg string, knownRed []string) bool {
 	failed := false
 	for key, outcome := range r.outcome {
 		if outcome != "fail" || key == pkg || !strings.HasPrefix(key, pkg) {
@@ -133,7 +135,7 @@
 		}
 		failed = true
 		top, _, _ := strings.Cut(strings.TrimPrefix(key, pkg), "/")
-		if !slices.Contains(red, top) {
+		if !slices.Contains(knownRed, top) {
 			return false
 		}
 	}
@@ -145,27 +147,28 @@
 	scriptName = regexp.MustCompile("`(scripts/[\\w.-]+\\.sh)")
 )
 
-// check looks for what a page names. Tests that are known to be red needn't pass.
-func (r *results) check(page string, red []string) []string {
+// check returns a problem for each test that a page names and that did not run and
+// pass, unless it is known to fail, and for each script that does not exist.
+func (r *results) check(page string, knownRed []string) []string {
 	text, err := os.ReadFile(page)
 	if err != nil {
 		return []string{err.Error()}
 	}
 	var problems []string
 	for _, match := range testName.FindAllStringSubmatch(string(text), -1) {
-		if !r.ran(match[1]) && !slices.Contains(red, match[1]) {
+		if !r.passedTest(match[1]) && !slices.Contains(knownRed, match[1]) {
 			problems = append(problems, fmt.Sprintf("%s names %s, which did not run and pass", page, match[1]))
 		}
 	}
 	for _, match := range scriptName.FindAllStringSubmatch(string(text), -1) {
 		if _, err := os.Stat(match[1]); err != nil {
-			problems = append(problems, fmt.Sprintf("%s names %s, which isn't there", page, match[1]))
+			problems = append(problems, fmt.Sprintf("%s names %s, which doesn't exist", page, match[1]))
 		}
 	}
 	return slices.Compact(problems)
 }
 
-func (r *results) ran(test string) bool {
+func (r *results) passedTest(test string) bool {
 	for key, outcome := range r.outcome {
 		if outcome == "pass" && strings.HasSuffix(key, " "+test) {
 			return true
--- a/internal/signals/signals.go
+++ b/internal/signals/signals.go
@@ -1,12 +1,11 @@
-// Package signals takes the signals of operators from the first moment of a
-// process on.
+// Package signals catches SIGTERM, SIGINT and SIGHUP from the start of a process.
 //
-// Failure guarded: a hangup or a planned stop reaches a process that is just
-// starting, and ends it without a word, because a signal that nobody has asked
-// for ends a Go program. The package asks while packages are initialized. It
-// needs the standard library alone, so that its turn comes before that of the
-// packages that take long. What comes earlier, while the kernel and the runtime
-// set the process up, no program can catch.
+// It guards against a signal that reaches a process which is just starting: a Go
+// program exits without a log line on a signal that it does not catch. The package
+// registers for the signals while packages are initialized. It imports only the
+// standard library, so that it is initialized before the packages that take long.
+// No program can catch a signal that arrives earlier, while the kernel and the
+// runtime set up the process.
 package signals
 
 import (
@@ -25,8 +24,9 @@
 	signal.Notify(hangups, syscall.SIGHUP)
 }
 
-// Stops tells of each request to stop: SIGTERM or an interrupt.
+// Stops returns the channel that receives each SIGTERM and SIGINT.
 func Stops() <-chan os.Signal { return stops }
 
-// Hangups tells that the settings may have changed.
+// Hangups returns the channel that receives SIGHUP, which means that the settings
+// may have changed.
 func Hangups() <-chan os.Signal { return hangups }
