--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -23,7 +23,8 @@
 	"protocol":     {"net/rpc", "os", "endiveplank/transport", "endiveplank/daemon", "endiveplank/coordination", "endiveplank/platform"},
 	"state":        {"net", "endiveplank/transport", "endiveplank/daemon", "endiveplank/platform"},
 	"transport":    {"endiveplank/daemon", "endiveplank/platform"},
-	// Only package platform and the commands know the platform's names.
+	// Only package platform knows the platform's names. The daemon gets a Dialect and
+	// functions from the command instead.
 	"daemon":   {"endiveplank/platform"},
 	"settings": {"endiveplank/transport", "endiveplank/daemon", "endiveplank/platform"},
 }
