--- a/protocol/chat/chat.go
+++ b/protocol/chat/chat.go
@@ -90,6 +90,6 @@
 	Type string `json:"type"`
 	// Code is the fleet's own reason code, listed in docs/REASONS.md.
 	Code string `json:"code"`
-	// Outcome says whether the request ran: not-run, ran or unknown.
+	// Outcome is the RunOutcome of the request: not-run, ran or unknown.
 	Outcome string `json:"outcome"`
 }
--- a/protocol/fleet/fleet.go
+++ b/protocol/fleet/fleet.go
@@ -102,7 +102,8 @@
 	// PlaceSpilled means that the upstream has no spare capacity and the entry
 	// router should try the next one.
 	PlaceSpilled PlaceOutcome = 3
-	// PlaceRefused means that the caller should be told to retry later.
+	// PlaceRefused means that the entry router should refuse the request and ask the
+	// caller to retry later.
 	PlaceRefused PlaceOutcome = 4
 	// PlaceNotOwner means that the receiver must not admit requests to the upstream
 	// now: it is not the owner, or its lease has expired.
--- a/protocol/upstreamapi/upstreamapi.go
+++ b/protocol/upstreamapi/upstreamapi.go
@@ -26,18 +26,19 @@
 
 // Paths on engines, called by routers.
 const (
-	// CompletionsPath takes a chat request and streams its answer. Closing
+	// CompletionsPath accepts a chat request and streams its answer. Closing
 	// the connection cancels the request.
 	CompletionsPath = "/v1/chat/completions"
-	// CancelPath takes a CancelRequest.
+	// CancelPath accepts a CancelRequest.
 	CancelPath = "/v1/cancel"
-	// ExportPath takes a KVExport and answers with the cache blob.
+	// ExportPath accepts a KVExport and responds with the cache blob.
 	ExportPath = "/v1/kv/export"
-	// ImportPath takes a cache blob from ExportPath as its body.
+	// ImportPath accepts a cache blob from ExportPath as its body.
 	ImportPath = "/v1/kv/import"
-	// OrderPath takes an EngineOrder; 409 means an old fencing number.
+	// OrderPath accepts an EngineOrder; 409 means that its fencing number is old.
 	OrderPath = "/v1/engine/orders"
-	// StatePath answers GET with an EngineState, to read an order back.
+	// StatePath responds to GET with an EngineState, which shows whether an order
+	// was carried out.
 	StatePath = "/v1/engine/state"
 )
 
@@ -45,7 +46,7 @@
 // three missed announcements the upstream is suspected.
 const AnnounceInterval = 500 * time.Millisecond
 
-// Kind tells a model engine from a server of a plain service.
+// Kind is the kind of an upstream: a model engine or a server of a plain service.
 type Kind string
 
 const (
@@ -93,7 +94,7 @@
 	OutstandingTokens int `json:"outstanding_tokens"`
 }
 
-// CacheOp says what happened to a prefix in an engine's cache.
+// CacheOp is what happened to a prefix in an engine's cache.
 type CacheOp string
 
 const (
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -82,8 +82,8 @@
 	AuthorityFile   string `json:"authority_file"`
 }
 
-// OperatorRole says what an operator's key may do. Each role includes those
-// before it.
+// OperatorRole is the set of operations that an operator's key permits. Each role
+// includes those before it.
 type OperatorRole string
 
 const (
