--- a/transport/forward/handler.go
+++ b/transport/forward/handler.go
@@ -216,7 +216,7 @@
 	f.span = f.handler.options.Tracer.Request(call.ID, f.request.Header)
 	f.job.ID = call.ID
 	f.job.Prompt = call.Prompt
-	f.timeout = requestTimeout(call.Left, 0)
+	f.timeout = requestTimeout(call.Remaining, 0)
 	index := f.waitForTable()
 	if index == nil {
 		f.refuse(http.StatusServiceUnavailable, "no-table", retryAfterNoTable)
@@ -234,7 +234,7 @@
 	if !f.identify(index) {
 		return false
 	}
-	f.timeout = requestTimeout(call.Left, route.Timeout)
+	f.timeout = requestTimeout(call.Remaining, route.Timeout)
 	return f.readBody(index.Table().Limits)
 }
 
--- a/transport/forward/run.go
+++ b/transport/forward/run.go
@@ -190,7 +190,7 @@
 func (f *forwarding) attempt(choice balance.Choice, outcome *AttemptOutcome) verdict {
 	header := f.request.Header.Clone()
 	removeHopByHop(header)
-	attempt := dialect.Attempt{Upstream: choice.ID, Left: time.Until(f.deadline), Priority: f.job.Priority, LastEvent: f.stream.lastID, CopyFrom: choice.CopyFrom}
+	attempt := dialect.Attempt{Upstream: choice.ID, Remaining: time.Until(f.deadline), Priority: f.job.Priority, LastEventID: f.stream.lastID, CopyFrom: choice.CopyFrom}
 	if f.customer != nil {
 		attempt.Customer = f.customer.Name
 	}
@@ -209,7 +209,7 @@
 	defer f.stopWatchdog(outcome)
 	f.timing = f.startTiming(choice)
 	defer f.timing.ended()
-	f.logSent(choice, attempt.Left)
+	f.logSent(choice, attempt.Remaining)
 	began := time.Now()
 	answer, err := f.handler.options.Pool.Send(ctx, choice.Address, request, f.answeredID)
 	if err != nil {
