--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -107,16 +107,16 @@
 		return err
 	}
 	d.mesh = peer.New(peer.Options{
-		Self:        d.settings.RouterID,
-		DataCentre:  d.settings.DataCentre,
-		Address:     d.settings.Listen.Peers,
-		Incarnation: incarnation,
-		ServerTLS:   server,
-		ClientTLS:   client,
-		Stall:       d.settings.Timing.Stall() / 2,
-		LostAfter:   lostAfter,
-		Handler:     d,
-		Log:         d.log,
+		Self:         d.settings.RouterID,
+		DataCentre:   d.settings.DataCentre,
+		Address:      d.settings.Listen.Peers,
+		Incarnation:  incarnation,
+		ServerTLS:    server,
+		ClientTLS:    client,
+		StallTimeout: d.settings.Timing.Stall() / 2,
+		LostAfter:    lostAfter,
+		Handler:      d,
+		Log:          d.log,
 	})
 	for _, known := range d.settings.Peers {
 		if known.RouterID != d.settings.RouterID {
@@ -352,15 +352,15 @@
 	}
 }
 
-// Frame implements peer.Handler.
-func (d *Daemon) Frame(from protocol.RouterID, frame wire.Frame) {
+// HandleFrame implements peer.Handler.
+func (d *Daemon) HandleFrame(from protocol.RouterID, frame wire.Frame) {
 	if err := d.handle(from, frame); err != nil {
 		d.log.Warn().Err(err).Str("peer", string(from)).Msg("daemon: frame dropped")
 	}
 }
 
-// Lost implements peer.Handler.
-func (d *Daemon) Lost(lost protocol.RouterID) {
+// HandlePeerLost implements peer.Handler.
+func (d *Daemon) HandlePeerLost(lost protocol.RouterID) {
 	d.log.Warn().Str("peer", string(lost)).Msg("daemon: peer lost")
 	d.runner.Input(node.PeerLost{Peer: lost})
 }
--- a/daemon/fabric/fabric.go
+++ b/daemon/fabric/fabric.go
@@ -62,15 +62,15 @@
 func New(options Options) *Fabric {
 	f := &Fabric{listen: options.Listen, receiver: options.Receiver, log: options.Log}
 	f.mesh = peer.New(peer.Options{
-		Self:        options.Self,
-		DataCentre:  options.DataCentre,
-		Incarnation: options.Incarnation,
-		Address:     string(options.Self),
-		Stall:       stall,
-		LostAfter:   lostAfter,
-		Handler:     f,
-		Log:         options.Log,
-		Duplex:      true,
+		Self:         options.Self,
+		DataCentre:   options.DataCentre,
+		Incarnation:  options.Incarnation,
+		Address:      string(options.Self),
+		StallTimeout: stall,
+		LostAfter:    lostAfter,
+		Handler:      f,
+		Log:          options.Log,
+		Duplex:       true,
 	})
 	return f
 }
@@ -109,8 +109,8 @@
 	}
 }
 
-// Frame implements peer.Handler.
-func (f *Fabric) Frame(from protocol.RouterID, frame wire.Frame) {
+// HandleFrame implements peer.Handler.
+func (f *Fabric) HandleFrame(from protocol.RouterID, frame wire.Frame) {
 	body, err := decode(frame)
 	if err != nil {
 		f.log.Warn().Str("event", "message-refused").Str("from", string(from)).Stringer("kind", frame.Kind).Err(err).Send()
@@ -119,8 +119,8 @@
 	f.receiver.Receive(from, body)
 }
 
-// Lost implements peer.Handler. Who needs an answer asks again.
-func (f *Fabric) Lost(protocol.RouterID) {}
+// HandlePeerLost implements peer.Handler. Who needs an answer asks again.
+func (f *Fabric) HandlePeerLost(protocol.RouterID) {}
 
 // kindOf returns the kind under which a message travels.
 func kindOf(body any) wire.Kind {
--- a/transport/peer/accept.go
+++ b/transport/peer/accept.go
@@ -12,58 +12,61 @@
 	"endiveplank/protocol/wire"
 )
 
-// reception remembers what came from one peer over all its connections.
-type reception struct {
-	mu          sync.Mutex
-	incarnation uint64
-	highest     uint64
-	// sentNumber is where the numbers of a link to this peer go on after the
-	// link was closed.
-	sentNumber uint64
-}
-
-// adopt makes the sender's process that has just said Hello the one that is
-// listened to. Numbers of another process start anew.
+// sequenceState holds the frame numbers exchanged with one peer across all
+// connections.
+type sequenceState struct {
+	mu              sync.Mutex
+	incarnation     uint64
+	highestReceived uint64
+	// lastSent is the last frame number that a closed link to this peer used. A
+	// new link continues from it.
+	lastSent uint64
+}
+
+// beginIncarnation makes the process that has just sent its Hello the only one
+// whose frames are accepted. The numbers of another incarnation start again.
 //
-// What an ended process had sent can still lie in its old connection's buffers
-// when its successor connects. Only the handshake, never a frame, moves the
-// memory from one incarnation to the next, so late frames can't move it back
-// and have numbers that were seen taken for new ones.
-func (r *reception) adopt(incarnation uint64) {
+// Frames of an ended process can still be in its old connection's buffers when
+// its successor connects. Only the handshake, never a frame, changes the
+// incarnation, so a late frame can't change it back and make numbers that were
+// already received count as new.
+func (r *sequenceState) beginIncarnation(incarnation uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if incarnation != r.incarnation {
 		r.incarnation = incarnation
-		r.highest = 0
+		r.highestReceived = 0
 	}
 }
 
-// fresh says whether a frame was not seen before, and remembers it.
-func (r *reception) fresh(number uint64) bool {
+// recordNew records a frame's number and returns false if the frame was
+// received before. Frames without a number always count as new.
+func (r *sequenceState) recordNew(number uint64) bool {
 	if number == 0 {
 		return true
 	}
-	if number <= r.highest {
+	if number <= r.highestReceived {
 		return false
 	}
-	r.highest = number
+	r.highestReceived = number
 	return true
 }
 
-// receptionOf returns the memory of a peer. The mesh's lock is held.
-func (m *Mesh) receptionOf(peer protocol.RouterID) *reception {
-	found := m.received[peer]
+// sequenceOf returns a peer's sequence state and creates it if it is missing.
+// The caller holds the mesh's lock.
+func (m *Mesh) sequenceOf(peer protocol.RouterID) *sequenceState {
+	found := m.sequences[peer]
 	if found == nil {
-		found = &reception{}
-		m.received[peer] = found
+		found = &sequenceState{}
+		m.sequences[peer] = found
 	}
 	return found
 }
 
-// resumeNumber remembers where a closed link's numbers ended. The mesh's lock
-// is held.
-func (m *Mesh) resumeNumber(peer protocol.RouterID, number uint64) {
-	m.receptionOf(peer).sentNumber = number
+// saveLastSent stores the last frame number of a closed link. The caller holds
+// the mesh's lock.
+func (m *Mesh) saveLastSent(peer protocol.RouterID, number uint64) {
+	m.sequenceOf(peer).lastSent = number
 }
 
 func (m *Mesh) acceptLoop() {
@@ -86,55 +89,56 @@
 	}
 }
 
-// serveInbound takes frames from one connection until it ends.
+// serveInbound reads frames from one accepted connection until it ends.
 func (m *Mesh) serveInbound(connection net.Conn) {
 	defer m.done.Done()
 	defer m.dropInbound(connection)
-	hello, err := m.welcome(connection)
+	hello, err := m.acceptHello(connection)
 	if err != nil {
-		m.refused(err)
+		m.recordRefused(err)
 		return
 	}
 	m.mu.Lock()
-	memory := m.receptionOf(hello.From)
+	sequence := m.sequenceOf(hello.From)
 	if hello.Address != "" {
-		m.address[hello.From] = hello.Address
+		m.addresses[hello.From] = hello.Address
 	}
 	m.mu.Unlock()
-	memory.adopt(hello.Incarnation)
+	sequence.beginIncarnation(hello.Incarnation)
 	acks := newAcker(connection)
 	defer acks.stop()
 	if hello.Duplex && m.options.Duplex {
-		defer m.offerInbound(hello.From, connection)()
+		defer m.registerInbound(hello.From, connection)()
 	}
-	reader := bufio.NewReaderSize(connection, m.readBuffer())
+	reader := bufio.NewReaderSize(connection, m.readBufferSize())
 	for {
 		_ = connection.SetReadDeadline(time.Now().Add(2 * IdleClose))
 		frame, err := wire.Read(reader, wire.MaxFrame)
 		if err != nil {
-			m.broken(hello.From, err)
+			m.recordBroken(hello.From, err)
 			return
 		}
-		if !m.deliver(memory, hello, frame) {
+		if !m.deliver(sequence, hello, frame) {
 			return
 		}
 		if frame.Number != 0 {
-			acks.note(frame.Number)
+			acks.record(frame.Number)
 		}
 	}
 }
 
-// deliver hands a frame on unless an earlier connection brought it. The lock
-// of the peer's memory keeps frames of two connections in order. It returns
-// false when the connection belongs to a process that has been replaced.
-func (m *Mesh) deliver(memory *reception, hello wire.Hello, frame wire.Frame) bool {
-	memory.mu.Lock()
-	defer memory.mu.Unlock()
-	if hello.Incarnation != memory.incarnation {
+// deliver passes a frame to the handler unless it was received before, on this
+// or an earlier connection. The lock of the peer's sequence state keeps frames
+// of two connections in order. deliver returns false when the connection belongs
+// to an earlier incarnation of the peer.
+func (m *Mesh) deliver(sequence *sequenceState, hello wire.Hello, frame wire.Frame) bool {
+	sequence.mu.Lock()
+	defer sequence.mu.Unlock()
+	if hello.Incarnation != sequence.incarnation {
 		return false
 	}
-	if memory.fresh(frame.Number) && frame.Kind != wire.KindProbe {
-		m.options.Handler.Frame(hello.From, frame)
+	if sequence.recordNew(frame.Number) && frame.Kind != wire.KindProbe {
+		m.options.Handler.HandleFrame(hello.From, frame)
 	}
 	return true
 }
@@ -146,8 +150,9 @@
 	delete(m.accepted, connection)
 }
 
-// welcome checks the dialer's Hello and answers with ours.
-func (m *Mesh) welcome(connection net.Conn) (wire.Hello, error) {
+// acceptHello checks the dialer's Hello and certificate and replies with this
+// process's Hello.
+func (m *Mesh) acceptHello(connection net.Conn) (wire.Hello, error) {
 	_ = connection.SetDeadline(time.Now().Add(dialTimeout))
 	theirs, err := readHello(connection)
 	if err != nil {
@@ -166,7 +171,7 @@
 	return theirs, nil
 }
 
-// hello is this process's Hello towards a peer.
+// hello returns this process's Hello for a peer.
 func (m *Mesh) hello(to protocol.RouterID) wire.Hello {
 	return wire.Hello{
 		Version:     wire.Version,
@@ -204,7 +209,8 @@
 	return hello, hello.Check()
 }
 
-// acker gathers acknowledgements and sends the highest after ackDelay.
+// acker batches acknowledgements: ackDelay after the first frame it sends one
+// acknowledgement for the highest number received.
 type acker struct {
 	connection net.Conn
 	mu         sync.Mutex
@@ -215,7 +221,7 @@
 
 func newAcker(connection net.Conn) *acker { return &acker{connection: connection} }
 
-func (a *acker) note(number uint64) {
+func (a *acker) record(number uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.highest = max(a.highest, number)
@@ -233,7 +239,7 @@
 	}
 	raw, err := wire.Append(nil, wire.Frame{Kind: wire.KindAck, Payload: wire.Encode(wire.Ack{Number: a.highest})})
 	if err != nil {
-		panic("peer: an ack over wire.MaxFrame")
+		panic("peer: acknowledgement exceeds wire.MaxFrame")
 	}
 	_ = a.connection.SetWriteDeadline(time.Now().Add(dialTimeout))
 	_, _ = a.connection.Write(raw)
--- a/transport/peer/inbound.go
+++ b/transport/peer/inbound.go
@@ -10,29 +10,29 @@
 )
 
 const (
-	// maxPending bounds what waits for a peer that reads slowly. Frames beyond
-	// it are dropped, as frames that needn't arrive may be: a whole routing
-	// table is a tenth of it.
-	maxPending = 512 << 10
-	// bulkBuffer and smallBuffer are what is read of an inbound connection at
-	// once. A fleet with Options.Duplex exchanges small frames with a hundred
-	// peers, and their buffers would be most of its memory.
-	bulkBuffer  = 64 << 10
-	smallBuffer = 4 << 10
+	// maxPendingBytes bounds the bytes queued for a peer that reads slowly. Beyond
+	// it the connection takes no more frames, which is allowed because only
+	// unreliable frames are sent here. A whole routing table is a tenth of it.
+	maxPendingBytes = 512 << 10
+	// largeReadBuffer and smallReadBuffer are the sizes of an inbound connection's
+	// read buffer. A process with Options.Duplex exchanges small frames with a
+	// hundred peers, and large buffers for them would be most of its memory.
+	largeReadBuffer = 64 << 10
+	smallReadBuffer = 4 << 10
 )
 
-// readBuffer returns the size of an inbound connection's buffer.
-func (m *Mesh) readBuffer() int {
+// readBufferSize returns the size of an inbound connection's read buffer.
+func (m *Mesh) readBufferSize() int {
 	if m.options.Duplex {
-		return smallBuffer
+		return smallReadBuffer
 	}
-	return bulkBuffer
+	return largeReadBuffer
 }
 
-// inbound is the way back over a connection that a peer has dialled. The peer
-// watches it: when it goes silent in either direction the peer's frames or
-// their acknowledgements vanish, and the peer dials anew, which brings another
-// inbound in the place of this one.
+// inbound sends frames to a peer over the connection that the peer has dialled.
+// The peer monitors the connection: when either direction goes silent, the peer's
+// frames or their acknowledgements are lost, so the peer dials again, and the new
+// connection's inbound replaces this one.
 type inbound struct {
 	mesh       *Mesh
 	connection net.Conn
@@ -43,36 +43,37 @@
 	closed  bool
 }
 
-// offerInbound makes a connection the way back to a peer, until the returned
-// function is called.
-func (m *Mesh) offerInbound(peer protocol.RouterID, connection net.Conn) (withdraw func()) {
-	back := &inbound{mesh: m, connection: connection}
+// registerInbound lets frames to a peer go over a connection that the peer has
+// dialled, until the returned function is called.
+func (m *Mesh) registerInbound(peer protocol.RouterID, connection net.Conn) (unregister func()) {
+	registered := &inbound{mesh: m, connection: connection}
 	m.mu.Lock()
-	m.inbounds[peer] = back
+	m.inbounds[peer] = registered
 	m.mu.Unlock()
 	return func() {
 		m.mu.Lock()
-		if m.inbounds[peer] == back {
+		if m.inbounds[peer] == registered {
 			delete(m.inbounds, peer)
 		}
 		m.mu.Unlock()
-		back.mu.Lock()
-		defer back.mu.Unlock()
-		back.closed = true
+		registered.mu.Lock()
+		defer registered.mu.Unlock()
+		registered.closed = true
 	}
 }
 
-// send queues a frame. It returns false when the connection has ended or holds
-// too much; then a connection of the sender's own may still carry it.
+// send queues a frame. It returns false when the connection has ended or more
+// than maxPendingBytes are queued; the caller can then send the frame over a
+// connection that it dials itself.
 func (i *inbound) send(frame wire.Frame) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if i.closed || len(i.pending) > maxPending {
+	if i.closed || len(i.pending) > maxPendingBytes {
 		return false
 	}
 	longer, err := wire.Append(i.pending, frame)
 	if err != nil {
-		panic("peer: frame over wire.MaxFrame was queued")
+		panic("peer: queued frame exceeds wire.MaxFrame")
 	}
 	i.pending = longer
 	if !i.writing {
@@ -82,14 +83,14 @@
 	return true
 }
 
-// write sends what waits, until nothing does.
+// write sends the pending bytes until none are left.
 func (i *inbound) write() {
 	for {
-		batch := i.take()
+		batch := i.takePending()
 		if len(batch) == 0 {
 			return
 		}
-		_ = i.connection.SetWriteDeadline(time.Now().Add(i.mesh.options.Stall))
+		_ = i.connection.SetWriteDeadline(time.Now().Add(i.mesh.options.StallTimeout))
 		if _, err := i.connection.Write(batch); err != nil {
 			i.fail()
 			return
@@ -97,8 +98,9 @@
 	}
 }
 
-// take returns what waits. An empty batch ends the writer.
-func (i *inbound) take() []byte {
+// takePending removes and returns the pending bytes. The writer ends when the
+// batch is empty.
+func (i *inbound) takePending() []byte {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	batch := i.pending
@@ -109,7 +111,7 @@
 	return batch
 }
 
-// fail ends the connection, which the peer then dials anew.
+// fail closes the connection; the peer then dials again.
 func (i *inbound) fail() {
 	i.mu.Lock()
 	i.closed = true
--- a/transport/peer/link.go
+++ b/transport/peer/link.go
@@ -13,31 +13,33 @@
 	"endiveplank/protocol/wire"
 )
 
-// link is the outgoing side towards one peer: a queue that outlives the
-// connections it is sent over.
+// link sends frames to one peer. Its queue outlives the connections over which
+// the frames are sent.
 type link struct {
 	mesh *Mesh
 	peer protocol.RouterID
 	wake chan struct{}
-	// check asks to look for a stall.
+	// check makes sendLoop test whether the connection has stalled or is idle.
 	check chan struct{}
 	quit  chan struct{}
 
 	mu sync.Mutex
-	// unacked holds the reliable frames that were sent on the current or an
-	// earlier connection, oldest first.
+	// unacked holds the reliable frames that were sent on this connection and not
+	// acknowledged yet, oldest first. After a connection ends, requeueUnacked moves
+	// them back to the queue.
 	unacked []wire.Frame
-	// oldest is when the first of unacked was sent on this connection.
-	oldest time.Time
-	// queue holds the frames that were not sent yet.
+	// oldestSentAt is when the first of unacked was sent, or when the last
+	// acknowledgement arrived if that is later.
+	oldestSentAt time.Time
+	// queue holds the frames that wait to be sent.
 	queue       []queued
 	queuedBytes int
-	next        uint64
+	lastNumber  uint64
 	lastUse     time.Time
-	// proved is when the last reliable frame was sent, whose acknowledgement
-	// shows that the connection carries frames.
-	proved  time.Time
-	stopped bool
+	// lastReliable is when the last reliable frame was sent. Its acknowledgement
+	// shows that the connection still works.
+	lastReliable time.Time
+	stopped      bool
 }
 
 // queued is a frame that waits to be sent.
@@ -46,17 +48,17 @@
 	reliable bool
 }
 
-// newLink starts a link whose numbers go on from an earlier one. The mesh's
-// lock is held.
+// newLink returns a link whose frame numbers continue from an earlier link to
+// the same peer. The caller holds the mesh's lock.
 func newLink(mesh *Mesh, peer protocol.RouterID) *link {
 	return &link{
-		mesh:    mesh,
-		peer:    peer,
-		wake:    make(chan struct{}, 1),
-		check:   make(chan struct{}, 1),
-		quit:    make(chan struct{}),
-		next:    mesh.receptionOf(peer).sentNumber,
-		lastUse: time.Now(),
+		mesh:       mesh,
+		peer:       peer,
+		wake:       make(chan struct{}, 1),
+		check:      make(chan struct{}, 1),
+		quit:       make(chan struct{}),
+		lastNumber: mesh.sequenceOf(peer).lastSent,
+		lastUse:    time.Now(),
 	}
 }
 
@@ -65,8 +67,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if reliable {
-		l.next++
-		frame.Number = l.next
+		l.lastNumber++
+		frame.Number = l.lastNumber
 	}
 	l.queue = append(l.queue, queued{frame, reliable})
 	l.queuedBytes += len(frame.Payload)
@@ -82,7 +84,7 @@
 	}
 }
 
-// signalCheck asks the sender to look for a stall.
+// signalCheck makes the sender test for a stalled or idle connection.
 func (l *link) signalCheck() {
 	select {
 	case l.check <- struct{}{}:
@@ -99,7 +101,7 @@
 	}
 }
 
-// drained says whether nothing waits to be sent or acknowledged.
+// drained reports whether no frame waits to be sent or acknowledged.
 func (l *link) drained() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -111,14 +113,14 @@
 	defer l.mesh.done.Done()
 	unreachableSince := time.Now()
 	failures := 0
-	for again := false; ; {
+	for connectedBefore := false; ; {
 		tried := time.Now()
-		connection, err := l.dial(connectPatience(failures, again))
+		connection, err := l.dial(connectTimeout(failures, connectedBefore))
 		failures++
 		if err == nil {
 			failures = 0
-			l.countReconnect(again)
-			again = true
+			l.countReconnect(connectedBefore)
+			connectedBefore = true
 			progress := l.serve(connection)
 			_ = connection.Close()
 			if progress {
@@ -128,26 +130,27 @@
 		if l.finish() {
 			return
 		}
-		if l.giveUp(unreachableSince) {
+		if l.dropIfLost(unreachableSince) {
 			return
 		}
 		select {
 		case <-l.quit:
-			l.mesh.forget(l)
+			l.mesh.removeLink(l)
 			return
 		case <-time.After(redialDelay - time.Since(tried)):
 		}
 	}
 }
 
-func (l *link) countReconnect(again bool) {
-	if again {
+func (l *link) countReconnect(connectedBefore bool) {
+	if connectedBefore {
 		l.mesh.count(func(c *Counts) { c.Reconnected++ })
 	}
 }
 
-// finish ends an idle link. It holds the mesh's lock so that no frame is
-// pushed to a link that nobody serves.
+// finish removes an idle link and reports whether run should return because the
+// link is removed or stopped. It holds the mesh's lock so that no frame is pushed
+// to a link whose goroutine has ended.
 func (l *link) finish() bool {
 	l.mesh.mu.Lock()
 	defer l.mesh.mu.Unlock()
@@ -157,38 +160,39 @@
 	if l.stopped || !idle || time.Since(l.lastUse) < IdleClose {
 		return l.stopped
 	}
-	// The numbers go on from here if the link is opened again, because the
-	// receiver remembers the highest it saw from this incarnation.
-	l.mesh.resumeNumber(l.peer, l.next)
+	// A later link must continue from this number, because the receiver drops
+	// numbers up to the highest it has received from this incarnation.
+	l.mesh.saveLastSent(l.peer, l.lastNumber)
 	delete(l.mesh.links, l.peer)
 	return true
 }
 
-// giveUp drops what waits and reports the peer lost once it has been
-// unreachable for too long or holds too much.
-func (l *link) giveUp(since time.Time) bool {
+// dropIfLost drops the link with its queued frames and reports the peer lost if
+// the peer has been unreachable for longer than Options.LostAfter or more than
+// maxQueued bytes wait for it. It returns whether it did.
+func (l *link) dropIfLost(since time.Time) bool {
 	l.mu.Lock()
-	tooLong := time.Since(since) > l.mesh.options.LostAfter
-	lost := tooLong || l.held() > maxQueued
+	expired := time.Since(since) > l.mesh.options.LostAfter
+	lost := expired || l.bufferedBytes() > maxQueued
 	l.mu.Unlock()
 	if !lost {
 		return false
 	}
 	l.mesh.mu.Lock()
 	l.mu.Lock()
-	l.mesh.resumeNumber(l.peer, l.next)
+	l.mesh.saveLastSent(l.peer, l.lastNumber)
 	l.mu.Unlock()
 	if l.mesh.links[l.peer] == l {
 		delete(l.mesh.links, l.peer)
 	}
 	l.mesh.mu.Unlock()
-	l.mesh.options.Handler.Lost(l.peer)
+	l.mesh.options.Handler.HandlePeerLost(l.peer)
 	return true
 }
 
-// held is the bytes that wait to be sent or acknowledged. The link's lock is
-// held.
-func (l *link) held() int {
+// bufferedBytes returns the payload bytes that wait to be sent or acknowledged.
+// The caller holds the link's lock.
+func (l *link) bufferedBytes() int {
 	total := l.queuedBytes
 	for _, frame := range l.unacked {
 		total += len(frame.Payload)
@@ -196,53 +200,55 @@
 	return total
 }
 
-// connectPatience returns how long a connection attempt may take after a number
-// of failed ones; known says that the peer was reached before.
+// connectTimeout returns how long a connection attempt may take after a number
+// of failed attempts. reachedBefore means that the link has had a connection to
+// the peer before.
 //
-// Load pattern: a whole fleet comes back from a power loss, its VMs some tenths
-// of a second apart. Harm: an attempt at a VM that isn't up yet loses its first
-// packet, and the kernel sends another one after a second; until then a router
-// refuses its callers, with all disk VMs long up. So the first attempts at a peer
-// that was never reached are short. Later ones leave time for slow ways between
-// regions. Of peers that were reached before many may be gone at once, and short
-// attempts at all of them would take a router's processor.
-func connectPatience(failures int, known bool) time.Duration {
-	if !known && failures < shortAttempts {
-		return shortAttempt
-	}
-	if !known {
-		failures -= shortAttempts
-	}
-	patience := firstConnect
+// When a whole fleet restarts after a power loss, its VMs start some tenths of a
+// second apart. The first packet of an attempt to a VM that isn't up yet is lost,
+// and the kernel retransmits it only after a second; until then the router refuses
+// its callers although all disk VMs are up. The first attempts to a peer that was
+// never reached are therefore short. Later attempts leave time for slow network
+// paths between regions. Peers that were reached before get no short attempts:
+// many of them may be gone at once, and short attempts to all of them would use up
+// a router's CPU.
+func connectTimeout(failures int, reachedBefore bool) time.Duration {
+	if !reachedBefore && failures < shortConnectAttempts {
+		return shortConnectTimeout
+	}
+	if !reachedBefore {
+		failures -= shortConnectAttempts
+	}
+	timeout := firstConnectTimeout
 	for range failures {
-		if patience >= dialTimeout {
+		if timeout >= dialTimeout {
 			return dialTimeout
 		}
-		patience *= 2
+		timeout *= 2
 	}
-	return min(patience, dialTimeout)
+	return min(timeout, dialTimeout)
 }
 
-// dial opens a connection and exchanges Hellos.
-func (l *link) dial(patience time.Duration) (net.Conn, error) {
+// dial opens a connection, secures it if TLS is on, and exchanges Hellos.
+func (l *link) dial(timeout time.Duration) (net.Conn, error) {
 	l.mesh.mu.Lock()
-	address := l.mesh.address[l.peer]
+	address := l.mesh.addresses[l.peer]
 	l.mesh.mu.Unlock()
-	dialer := &net.Dialer{Timeout: patience}
+	dialer := &net.Dialer{Timeout: timeout}
 	connection, err := dialer.Dial("tcp", address)
 	if err != nil {
-		return nil, eris.Wrap(err, "dial peer")
+		return nil, eris.Wrapf(err, "dial peer %q", l.peer)
 	}
 	_ = connection.SetDeadline(time.Now().Add(dialTimeout))
 	if l.mesh.options.ClientTLS != nil {
 		secured := tls.Client(connection, l.mesh.options.ClientTLS)
 		if err := secured.Handshake(); err != nil {
 			_ = connection.Close()
-			return nil, eris.Wrap(err, "secure the connection to a peer")
+			return nil, eris.Wrapf(err, "TLS handshake with peer %q at %s", l.peer, address)
 		}
 		connection = secured
 	}
-	if err := l.greet(connection); err != nil {
+	if err := l.exchangeHellos(connection); err != nil {
 		_ = connection.Close()
 		return nil, err
 	}
@@ -250,8 +256,8 @@
 	return connection, nil
 }
 
-// greet sends our Hello and checks the peer's.
-func (l *link) greet(connection net.Conn) error {
+// exchangeHellos sends this process's Hello and checks the peer's.
+func (l *link) exchangeHellos(connection net.Conn) error {
 	if err := writeHello(connection, l.mesh.hello(l.peer)); err != nil {
 		return err
 	}
@@ -260,13 +266,13 @@
 		return err
 	}
 	if theirs.From != l.peer {
-		return eris.Errorf("peer at this address is %q, not %q", theirs.From, l.peer)
+		return eris.Errorf("peer at %s is %q, expected %q", connection.RemoteAddr(), theirs.From, l.peer)
 	}
 	return checkCertificate(connection, theirs.From)
 }
 
-// serve sends over one connection until it fails, stalls or is idle. It says
-// whether any acknowledgement came.
+// serve sends over one connection until it fails, stalls or is idle. It reports
+// whether the peer sent any acknowledgement or frame.
 func (l *link) serve(connection net.Conn) bool {
 	l.requeueUnacked()
 	acks := make(chan struct{})
@@ -281,25 +287,26 @@
 	return <-progress
 }
 
-// requeueUnacked puts what the last connection may have lost in front again.
+// requeueUnacked moves the unacknowledged frames, which the last connection may
+// have lost, back to the front of the queue.
 func (l *link) requeueUnacked() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.unacked) == 0 {
 		return
 	}
-	again := make([]queued, 0, len(l.unacked)+len(l.queue))
+	requeued := make([]queued, 0, len(l.unacked)+len(l.queue))
 	for _, frame := range l.unacked {
-		again = append(again, queued{frame, true})
+		requeued = append(requeued, queued{frame, true})
 		l.queuedBytes += len(frame.Payload)
 	}
-	l.queue = append(again, l.queue...)
+	l.queue = append(requeued, l.queue...)
 	l.unacked = nil
-	l.oldest = time.Time{}
+	l.oldestSentAt = time.Time{}
 	l.signal()
 }
 
-// sendLoop writes frames as they come, and watches for a stall.
+// sendLoop writes queued frames until the connection ends, stalls or is idle.
 func (l *link) sendLoop(connection net.Conn, acks <-chan struct{}) {
 	for {
 		if err := l.writeQueued(connection); err != nil {
@@ -319,95 +326,99 @@
 	}
 }
 
-// writeQueued writes all queued frames with one write.
+// writeQueued writes all queued frames in one call.
 func (l *link) writeQueued(connection net.Conn) error {
-	batch, probed := l.take()
+	batch, hasProbe := l.encodeQueue()
 	if len(batch) == 0 {
 		return nil
 	}
-	if probed {
+	if hasProbe {
 		l.mesh.count(func(c *Counts) {
 			c.FramesSent[wire.KindProbe]++
 			c.BytesSent[wire.KindProbe] += frameOverhead
 		})
 	}
-	_ = connection.SetWriteDeadline(time.Now().Add(l.mesh.options.Stall))
+	_ = connection.SetWriteDeadline(time.Now().Add(l.mesh.options.StallTimeout))
 	_, err := connection.Write(batch)
 	return err
 }
 
-// take encodes the queue and moves its reliable frames to unacked. It says
-// whether a probe rides along.
-func (l *link) take() (batch []byte, probed bool) {
+// encodeQueue empties the queue into a batch of encoded frames and adds the
+// reliable frames to unacked. hasProbe reports whether the batch ends with a probe.
+func (l *link) encodeQueue() (batch []byte, hasProbe bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, item := range l.queue {
 		longer, err := wire.Append(batch, item.frame)
 		if err != nil {
-			panic("peer: frame over wire.MaxFrame was queued")
+			panic("peer: queued frame exceeds wire.MaxFrame")
 		}
 		batch = longer
 		if item.reliable {
-			l.keep(item.frame)
+			l.recordUnacked(item.frame)
 		}
 	}
-	if len(l.queue) > 0 && l.unproved() {
-		batch, probed = l.appendProbe(batch), true
+	if len(l.queue) > 0 && l.needsProbe() {
+		batch, hasProbe = l.appendProbe(batch), true
 	}
 	clear(l.queue)
 	l.queue = l.queue[:0]
 	l.queuedBytes = 0
-	return batch, probed
+	return batch, hasProbe
 }
 
-// unproved says whether only frames without acknowledgement have been sent for
-// the stall time. The link's lock is held.
-func (l *link) unproved() bool {
-	return len(l.unacked) == 0 && time.Since(l.proved) > l.mesh.options.Stall
+// needsProbe reports whether no reliable frame was sent within StallTimeout, so
+// that no acknowledgement is due. The caller holds the link's lock.
+func (l *link) needsProbe() bool {
+	return len(l.unacked) == 0 && time.Since(l.lastReliable) > l.mesh.options.StallTimeout
 }
 
-// appendProbe puts a reliable frame without payload behind a batch.
+// appendProbe appends a reliable frame without payload to a batch.
 //
-// Consensus messages, lease renewals and pushes aren't resent, so nothing
-// would show that the connection they go over is silent, and being in use it
-// is never closed as idle: a voter would be cut off for good while a new
-// connection works. The probe's missing acknowledgement shows it. One a stall
-// time costs some 40 bytes on a connection in use, and bounds the time to
-// detection by two stall times. The link's lock is held.
+// Consensus messages, lease renewals and pushes are unreliable frames that are
+// never acknowledged. A connection that carries only these could go silent
+// unnoticed, and because it is in use it is never closed as idle: a voter would
+// stay cut off although a new connection would work. The missing acknowledgement
+// of the probe reveals the silence. One probe per StallTimeout costs some 40 bytes
+// on a connection in use and bounds the detection time to two StallTimeouts. The
+// caller holds the link's lock.
 func (l *link) appendProbe(batch []byte) []byte {
-	l.next++
-	probe := wire.Frame{Kind: wire.KindProbe, Number: l.next}
+	l.lastNumber++
+	probe := wire.Frame{Kind: wire.KindProbe, Number: l.lastNumber}
 	longer, err := wire.Append(batch, probe)
 	if err != nil {
-		panic("peer: a probe over wire.MaxFrame")
+		panic("peer: probe exceeds wire.MaxFrame")
 	}
-	l.keep(probe)
+	l.recordUnacked(probe)
 	return longer
 }
 
-func (l *link) keep(frame wire.Frame) {
+// recordUnacked adds a sent frame to unacked. The caller holds the link's lock.
+func (l *link) recordUnacked(frame wire.Frame) {
 	if len(l.unacked) == 0 {
-		l.oldest = time.Now()
+		l.oldestSentAt = time.Now()
 	}
-	l.proved = time.Now()
+	l.lastReliable = time.Now()
 	l.unacked = append(l.unacked, frame)
 }
 
-// overdue says whether the oldest unacknowledged frame has waited too long.
-func (l *link) overdue() bool {
+// ackOverdue reports whether an acknowledgement is due for longer than
+// StallTimeout.
+func (l *link) ackOverdue() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.unacked) > 0 && time.Since(l.oldest) > l.mesh.options.Stall
+	return len(l.unacked) > 0 && time.Since(l.oldestSentAt) > l.mesh.options.StallTimeout
 }
 
-// stalled says whether the connection has to be replaced, and tells it.
+// stalled reports whether the connection must be replaced because an
+// acknowledgement is overdue, and if so counts and logs it.
 func (l *link) stalled() bool {
-	waiting := l.overdue()
-	if waiting {
+	overdue := l.ackOverdue()
+	if overdue {
 		l.mesh.count(func(c *Counts) { c.Stalled++ })
-		l.mesh.options.Log.Warn().Str("peer", string(l.peer)).Msg("peer: connection is silent, replaced")
+		l.mesh.options.Log.Warn().Str("peer", string(l.peer)).Msg("peer: no acknowledgement in time, replacing the connection")
 	}
-	return waiting
+	return overdue
 }
 
 func (l *link) idle() bool {
@@ -416,8 +427,8 @@
 	return len(l.queue) == 0 && len(l.unacked) == 0 && time.Since(l.lastUse) > IdleClose
 }
 
-// readAcks takes acknowledgements, and with Options.Duplex the peer's frames,
-// until the connection ends. It says whether any came.
+// readAcks reads acknowledgements, and with Options.Duplex the peer's frames,
+// until the connection ends. It reports whether it read any.
 func (l *link) readAcks(connection net.Conn) bool {
 	reader := bufio.NewReader(connection)
 	limit := wire.MaxHello
@@ -432,7 +443,7 @@
 		}
 		if frame.Kind != wire.KindAck && l.mesh.options.Duplex {
 			progress = true
-			l.mesh.options.Handler.Frame(l.peer, frame)
+			l.mesh.options.Handler.HandleFrame(l.peer, frame)
 			continue
 		}
 		if frame.Kind != wire.KindAck {
@@ -443,22 +454,22 @@
 			return progress
 		}
 		progress = true
-		l.acknowledged(ack.Number)
+		l.handleAck(ack.Number)
 	}
 }
 
-// acknowledged drops the frames up to number; the rest start a new wait,
-// because an acknowledgement is progress.
-func (l *link) acknowledged(number uint64) {
+// handleAck removes the frames up to number from unacked. An acknowledgement is
+// progress, so it restarts the stall timeout of the remaining frames.
+func (l *link) handleAck(number uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	kept := 0
-	for kept < len(l.unacked) && l.unacked[kept].Number <= number {
-		kept++
+	acked := 0
+	for acked < len(l.unacked) && l.unacked[acked].Number <= number {
+		acked++
 	}
-	if kept == 0 {
+	if acked == 0 {
 		return
 	}
-	l.unacked = append([]wire.Frame(nil), l.unacked[kept:]...)
-	l.oldest = time.Now()
+	l.unacked = append([]wire.Frame(nil), l.unacked[acked:]...)
+	l.oldestSentAt = time.Now()
 }
--- a/transport/peer/peer.go
+++ b/transport/peer/peer.go
@@ -1,32 +1,36 @@
 // Package peer carries messages between the fleet's own processes over TCP.
 //
-// Each process dials the peers it sends to; a connection carries frames from
-// its dialer to its acceptor, and acknowledgements back. Connections are
-// opened when there is something to send and closed after IdleClose, so an
-// idle fleet of any size spends nothing here.
+// Each process has one Mesh. It dials the peers that it sends to: a connection
+// carries frames from its dialer to its acceptor, and acknowledgements back. Mesh
+// opens a connection when there is something to send and closes it after IdleClose
+// without use, so an idle fleet of any size has no traffic here. Each peer has a
+// link, whose queue outlives the connections.
 //
-// Failures guarded:
+// The package guards against these failures:
 //
-//   - A connection goes silent: something between the two ends has lost track
-//     of it, no error ever comes, and whatever is sent vanishes. It shows as
-//     frames that stay unacknowledged. After Options.Stall the dialer drops the
-//     connection, dials a new one and sends the unacknowledged reliable frames
-//     again. The guard holds because it needs nothing from the silent
-//     connection, only the absence of an acknowledgement.
-//   - The silent connection carries only frames that are never acknowledged. A
-//     numbered probe rides with them once a stall time, see link.appendProbe.
-//   - A resent frame arrives twice. Reliable frames are numbered, and the
-//     acceptor drops numbers it has seen from that incarnation of the sender.
+//   - A connection goes silent: a device between the two ends has lost its state,
+//     neither end gets an error, and all frames are lost. The sender notices that
+//     frames stay unacknowledged. After Options.StallTimeout it closes the
+//     connection, dials a new one and resends the unacknowledged reliable frames.
+//     This works because it needs nothing from the silent connection, only the
+//     absence of an acknowledgement.
+//   - The silent connection carries only frames that are never acknowledged. The
+//     sender adds a numbered probe to them once per StallTimeout, see
+//     link.appendProbe.
+//   - A resent frame arrives twice. Reliable frames are numbered, and the acceptor
+//     drops numbers that it has already received from this incarnation of the
+//     sender.
 //   - A peer is gone. When no connection could be made and kept for
-//     Options.LostAfter, the frames waiting for it are dropped and the peer is
-//     reported lost, so that the node core can move the work elsewhere.
-//   - A few processes are asked by many. If each answer went over a connection
-//     of the answerer's own, hundreds of them would be dialled at once when all
-//     start, and on a fifth of a core that takes longer than the questions'
-//     patience. With Options.Duplex answers go back over the asker's connection;
-//     see inbound.
-//   - A stranger or a broken peer connects. It must prove its router ID by its
-//     certificate, and its frames are bounded; it costs one connection.
+//     Options.LostAfter, the link drops its queued frames and reports the peer
+//     lost, so that the node core can move the work elsewhere.
+//   - Many processes send requests to a few. If each reply went over a connection
+//     that the replying process dials, it would dial hundreds of connections at
+//     once when all start; on a fifth of a core that takes longer than the
+//     requests' timeout. With Options.Duplex replies go back over the requester's
+//     connection, see inbound.
+//   - An unknown or faulty process connects. It must prove its router ID by its
+//     certificate, and the size of its frames is bounded, so it costs no more than
+//     one connection.
 package peer
 
 import (
@@ -44,37 +48,37 @@
 
 // Timing and size limits.
 const (
-	// IdleClose is how long an unused connection stays open. An idle
-	// connection can go silent unseen, and the next frame would wait Stall on
-	// it; closing it early keeps that rare.
+	// IdleClose is how long an unused connection stays open. An idle connection
+	// can go silent unnoticed, and the next frame would then wait for
+	// Options.StallTimeout; closing idle connections early makes that rare.
 	IdleClose = 15 * time.Second
-	// ackDelay gathers frames into one acknowledgement.
+	// ackDelay is how long an acknowledgement waits so that it covers more frames.
 	ackDelay = 50 * time.Millisecond
-	// dialTimeout bounds a handshake, and a connection attempt to a peer that
-	// took none for a while.
+	// dialTimeout bounds a handshake, and a connection attempt after several
+	// failed ones.
 	dialTimeout = time.Second
-	// firstConnect bounds the first connection attempt: a round trip between
-	// regions of one continent and as much again.
-	firstConnect = 150 * time.Millisecond
-	// shortAttempt bounds each of the first shortAttempts at a peer that was never
-	// reached.
-	shortAttempt  = 100 * time.Millisecond
-	shortAttempts = 10
-	// redialDelay is the least time between two attempts. It keeps attempts on a
-	// dead peer from spinning.
+	// firstConnectTimeout bounds the first regular connection attempt. It is twice
+	// a round trip between regions of one continent.
+	firstConnectTimeout = 150 * time.Millisecond
+	// shortConnectTimeout bounds each of the first shortConnectAttempts attempts to
+	// a peer that was never reached.
+	shortConnectTimeout  = 100 * time.Millisecond
+	shortConnectAttempts = 10
+	// redialDelay is the minimum time between the starts of two attempts. It keeps
+	// a link to a failed peer from dialling in a busy loop.
 	redialDelay = 100 * time.Millisecond
-	// maxQueued bounds the bytes that wait for one peer. A peer that takes
-	// nothing while this much piles up is treated as lost.
+	// maxQueued bounds the bytes that wait for one peer. If more than this waits
+	// when a connection or an attempt has failed, the peer is reported lost.
 	maxQueued = 64 << 20
 )
 
-// Handler receives what the mesh brings. Its methods are called from the
-// mesh's goroutines and must not block for long.
+// Handler receives frames and lost peers. The mesh calls its methods from its own
+// goroutines; they must not block for long.
 type Handler interface {
-	// Frame is called for each frame, in order for each sender.
-	Frame(from protocol.RouterID, frame wire.Frame)
-	// Lost is called when a peer could not be reached for Options.LostAfter.
-	Lost(peer protocol.RouterID)
+	// HandleFrame is called for each received frame, in order for each sender.
+	HandleFrame(from protocol.RouterID, frame wire.Frame)
+	// HandlePeerLost is called when a peer could not be reached for Options.LostAfter.
+	HandlePeerLost(peer protocol.RouterID)
 }
 
 // Options configures a Mesh.
@@ -82,20 +86,21 @@
 	Self        protocol.RouterID
 	DataCentre  protocol.DataCentre
 	Incarnation uint64
-	// Address is where peers reach this process.
+	// Address is the IP:port at which peers reach this process.
 	Address string
-	// ServerTLS and ClientTLS are nil when peers talk in clear.
+	// ServerTLS and ClientTLS are nil when connections between peers aren't
+	// encrypted.
 	ServerTLS *tls.Config
 	ClientTLS *tls.Config
-	// Stall is how long a frame may stay unacknowledged.
-	Stall time.Duration
-	// LostAfter is how long a peer may be unreachable.
+	// StallTimeout is how long a frame may stay unacknowledged before its
+	// connection is replaced.
+	StallTimeout time.Duration
+	// LostAfter is how long a peer may be unreachable before it is reported lost.
 	LostAfter time.Duration
 	Handler   Handler
 	Log       zerolog.Logger
-	// Duplex sends frames that needn't be reliable over a connection that the
-	// peer has dialled, if there is one. Every process of a fleet has to have
-	// the same.
+	// Duplex lets unreliable frames go over a connection that the peer has dialled,
+	// if there is one. Every process of a fleet must have the same value.
 	Duplex bool
 }
 
@@ -104,42 +109,42 @@
 	options  Options
 	listener net.Listener
 
-	mu       sync.Mutex
-	links    map[protocol.RouterID]*link
-	address  map[protocol.RouterID]string
-	received map[protocol.RouterID]*reception
-	accepted map[net.Conn]struct{}
-	inbounds map[protocol.RouterID]*inbound
-	watching bool
-	quit     chan struct{}
-	closed   bool
-	done     sync.WaitGroup
-	counts   Counts
+	mu           sync.Mutex
+	links        map[protocol.RouterID]*link
+	addresses    map[protocol.RouterID]string
+	sequences    map[protocol.RouterID]*sequenceState
+	accepted     map[net.Conn]struct{}
+	inbounds     map[protocol.RouterID]*inbound
+	watchStarted bool
+	quit         chan struct{}
+	closed       bool
+	done         sync.WaitGroup
+	counts       Counts
 }
 
-// Counts are totals since the start, for metrics.
+// Counts are totals since the process started, for metrics.
 type Counts struct {
 	BytesSent  map[wire.Kind]uint64
 	FramesSent map[wire.Kind]uint64
 	Stalled    uint64
-	// Reconnected counts connections that took the place of an earlier one.
+	// Reconnected counts connections that replaced an earlier one.
 	Reconnected uint64
-	// RefusedInbound counts connections refused before or at their Hello.
+	// RefusedInbound counts inbound connections whose handshake failed.
 	RefusedInbound uint64
-	// BrokenInbound counts connections that brought bytes which are no frame.
+	// BrokenInbound counts inbound connections closed because of an invalid frame.
 	BrokenInbound uint64
 }
 
 // New returns a mesh that is not listening yet.
 func New(options Options) *Mesh {
 	return &Mesh{
-		options:  options,
-		links:    map[protocol.RouterID]*link{},
-		address:  map[protocol.RouterID]string{},
-		received: map[protocol.RouterID]*reception{},
-		accepted: map[net.Conn]struct{}{},
-		inbounds: map[protocol.RouterID]*inbound{},
-		quit:     make(chan struct{}),
+		options:   options,
+		links:     map[protocol.RouterID]*link{},
+		addresses: map[protocol.RouterID]string{},
+		sequences: map[protocol.RouterID]*sequenceState{},
+		accepted:  map[net.Conn]struct{}{},
+		inbounds:  map[protocol.RouterID]*inbound{},
+		quit:      make(chan struct{}),
 		counts: Counts{
 			BytesSent:  map[wire.Kind]uint64{},
 			FramesSent: map[wire.Kind]uint64{},
@@ -147,11 +152,11 @@
 	}
 }
 
-// Listen starts taking connections on an IP:port.
+// Listen starts accepting connections on an IP:port.
 func (m *Mesh) Listen(address string) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return eris.Wrap(err, "listen for peers")
+		return eris.Wrapf(err, "listen for peers on %q", address)
 	}
 	if m.options.ServerTLS != nil {
 		listener = tls.NewListener(listener, m.options.ServerTLS)
@@ -162,37 +167,37 @@
 	return nil
 }
 
-// SetAddress tells where a peer listens. It may be called again when the peer
-// moves; the next connection uses it.
+// SetAddress sets the address at which a peer listens. It may be called again when
+// the peer moves; the next connection uses the new address.
 func (m *Mesh) SetAddress(peer protocol.RouterID, address string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.address[peer] = address
+	m.addresses[peer] = address
 }
 
 // Peers returns the peers with a known address.
 func (m *Mesh) Peers() []protocol.RouterID {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	peers := make([]protocol.RouterID, 0, len(m.address))
-	for peer := range m.address {
+	peers := make([]protocol.RouterID, 0, len(m.addresses))
+	for peer := range m.addresses {
 		peers = append(peers, peer)
 	}
 	return peers
 }
 
-// Send queues a frame for a peer. A reliable frame arrives once and in order
-// among reliable ones, unless the peer is reported lost; another frame arrives
-// at most once and may vanish. Send returns false when the peer's address is
-// unknown, the mesh is closed, or the payload is larger than a frame holds.
+// Send queues a frame for a peer. A reliable frame arrives exactly once and in
+// order among reliable frames, unless the peer is reported lost. An unreliable
+// frame arrives at most once and may be lost. Send returns false when the peer's
+// address is unknown, the mesh is closed, or the payload doesn't fit in a frame.
 func (m *Mesh) Send(to protocol.RouterID, kind wire.Kind, payload []byte, reliable bool) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.closed || m.address[to] == "" || len(payload)+frameOverhead > wire.MaxFrame {
+	if m.closed || m.addresses[to] == "" || len(payload)+frameOverhead > wire.MaxFrame {
 		return false
 	}
 	current := m.links[to]
-	if !reliable && m.goesBack(to, current) && m.inbounds[to].send(wire.Frame{Kind: kind, Payload: payload}) {
+	if !reliable && m.usesInbound(to, current) && m.inbounds[to].send(wire.Frame{Kind: kind, Payload: payload}) {
 		m.counts.FramesSent[kind]++
 		m.counts.BytesSent[kind] += uint64(len(payload)) + frameOverhead
 		return true
@@ -202,7 +207,7 @@
 		m.links[to] = current
 		m.done.Add(1)
 		go current.run()
-		m.startWatching()
+		m.startWatch()
 	}
 	m.counts.FramesSent[kind]++
 	m.counts.BytesSent[kind] += uint64(len(payload)) + frameOverhead
@@ -210,14 +215,15 @@
 	return true
 }
 
-// goesBack reports whether frames for a peer go over the connection that it has
-// dialled. The mesh's lock is held.
+// usesInbound reports whether frames for a peer go over the connection that the
+// peer has dialled. The caller holds the mesh's lock.
 //
-// Failure: two peers have dialled each other, and both connections go silent. If
-// each sent over the other's connection, no probe would ride on either, and both
-// would be taken for good. The guard holds because only one of two is used, that of
-// the peer whose name comes first, which sends over it and so watches it.
-func (m *Mesh) goesBack(to protocol.RouterID, own *link) bool {
+// If two peers have dialled each other and each sent over the other's connection,
+// neither would send probes, and nobody would notice when both connections go
+// silent. Therefore only one of the two connections is used: the one dialled by
+// the peer whose ID sorts first. That peer sends over its own link and so detects
+// a silent connection.
+func (m *Mesh) usesInbound(to protocol.RouterID, own *link) bool {
 	return m.inbounds[to] != nil && (own == nil || to < m.options.Self)
 }
 
@@ -238,10 +244,11 @@
 	return copied
 }
 
-// Flush waits until every reliable frame is acknowledged or the time is up,
-// and says whether all were. A planned stop calls it last.
-func (m *Mesh) Flush(patience time.Duration) bool {
-	deadline := time.Now().Add(patience)
+// Flush waits until every queued frame is sent and every reliable frame is
+// acknowledged, or until the timeout. It reports whether all were. A planned stop
+// calls it before Close.
+func (m *Mesh) Flush(timeout time.Duration) bool {
+	deadline := time.Now().Add(timeout)
 	for time.Now().Before(deadline) {
 		if m.allAcknowledged() {
 			return true
@@ -262,7 +269,7 @@
 	return true
 }
 
-// Close drops all connections and waits for the mesh's goroutines.
+// Close closes all connections and waits for the mesh's goroutines.
 func (m *Mesh) Close() {
 	m.mu.Lock()
 	if !m.closed {
@@ -282,25 +289,25 @@
 	m.done.Wait()
 }
 
-// checksPerStall is how often in a stall time the links are looked at.
+// checksPerStall is how often per StallTimeout the mesh checks its links.
 const checksPerStall = 8
 
-// startWatching starts the one goroutine that looks at all links: a ticker for
-// each would wake a process with a hundred links a thousand times a second. The
-// mesh's lock is held.
-func (m *Mesh) startWatching() {
-	if m.watching {
+// startWatch starts the goroutine that checks all links. A ticker for each link
+// would wake a process with a hundred links a thousand times a second. The caller
+// holds the mesh's lock.
+func (m *Mesh) startWatch() {
+	if m.watchStarted {
 		return
 	}
-	m.watching = true
+	m.watchStarted = true
 	m.done.Add(1)
 	go m.watch()
 }
 
-// watch wakes the links that have stalled or are idle.
+// watch periodically wakes the links that have stalled or are idle.
 func (m *Mesh) watch() {
 	defer m.done.Done()
-	ticker := time.NewTicker(max(m.options.Stall/checksPerStall, time.Millisecond))
+	ticker := time.NewTicker(max(m.options.StallTimeout/checksPerStall, time.Millisecond))
 	defer ticker.Stop()
 	for {
 		select {
@@ -316,21 +323,21 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, l := range m.links {
-		if l.overdue() || l.idle() {
+		if l.ackOverdue() || l.idle() {
 			l.signalCheck()
 		}
 	}
 }
 
-// count changes the totals.
+// count changes the totals under the mesh's lock.
 func (m *Mesh) count(change func(*Counts)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	change(&m.counts)
 }
 
-// forget takes a finished link out, unless a newer one stands in its place.
-func (m *Mesh) forget(finished *link) {
+// removeLink removes a finished link, unless a newer link has replaced it.
+func (m *Mesh) removeLink(finished *link) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.links[finished.peer] == finished {
--- a/transport/peer/peer_test.go
+++ b/transport/peer/peer_test.go
@@ -22,33 +22,33 @@
 )
 
 const (
-	// testStall is the stall time of the meshes under test.
-	testStall = 200 * time.Millisecond
-	// patience bounds a wait for what must happen; it decides no verdict on a
-	// machine that runs at all.
-	patience = 30 * time.Second
+	// testStallTimeout is Options.StallTimeout of the meshes under test.
+	testStallTimeout = 200 * time.Millisecond
+	// waitTimeout bounds the wait for an expected event. It is long enough that it
+	// decides no result even on a slow machine.
+	waitTimeout = 30 * time.Second
 )
 
-// inbox is a Handler that remembers what came.
+// inbox is a Handler that records received frames and lost peers.
 type inbox struct {
 	mu     sync.Mutex
 	frames []uint64
 	lost   int
 }
 
-func (i *inbox) Frame(_ protocol.RouterID, frame wire.Frame) {
+func (i *inbox) HandleFrame(_ protocol.RouterID, frame wire.Frame) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.frames = append(i.frames, binary.BigEndian.Uint64(frame.Payload))
 }
 
-func (i *inbox) Lost(protocol.RouterID) {
+func (i *inbox) HandlePeerLost(protocol.RouterID) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.lost++
 }
 
-func (i *inbox) taken() []uint64 {
+func (i *inbox) received() []uint64 {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return append([]uint64(nil), i.frames...)
@@ -73,7 +73,8 @@
 	return startWith(t, Options{Self: protocol.RouterID(id), ServerTLS: server, ClientTLS: client})
 }
 
-// startDuplex starts a clear node that sends back over connections of its peers.
+// startDuplex starts a node without TLS that sends unreliable frames over
+// connections that its peers have dialled.
 func startDuplex(t *testing.T, id string) *node {
 	t.Helper()
 	return startWith(t, Options{Self: protocol.RouterID(id), Duplex: true})
@@ -82,7 +83,7 @@
 func startWith(t *testing.T, options Options) *node {
 	t.Helper()
 	n := &node{}
-	options.Incarnation, options.Stall, options.LostAfter = 1, testStall, 4*testStall
+	options.Incarnation, options.StallTimeout, options.LostAfter = 1, testStallTimeout, 4*testStallTimeout
 	options.Handler, options.Log = n, zerolog.Nop()
 	n.Mesh = New(options)
 	assert.NilError(t, n.Listen("127.0.0.1:0"))
@@ -90,7 +91,7 @@
 	return n
 }
 
-func (n *node) listening() string { return n.listener.Addr().String() }
+func (n *node) listenAddress() string { return n.listener.Addr().String() }
 
 // push sends the numbers from first to last.
 func (n *node) push(to protocol.RouterID, first, last uint64, reliable bool) {
@@ -101,55 +102,55 @@
 
 func await(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(2 * time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(2 * time.Millisecond) {
 		if holds() {
 			return
 		}
 	}
-	t.Fatalf("not within %v: %s", patience, what)
+	t.Fatalf("not within %v: %s", waitTimeout, what)
 }
 
-// expectOnceInOrder waits until the numbers 1 to last came, and checks that
-// nothing else did.
+// expectOnceInOrder waits until the numbers 1 to last have arrived and checks that
+// each arrived once, in order, and nothing else did.
 func (n *node) expectOnceInOrder(t *testing.T, last uint64) {
 	t.Helper()
-	await(t, "all frames came", func() bool { return uint64(len(n.taken())) >= last })
-	for i, number := range n.taken() {
+	await(t, "all frames arrived", func() bool { return uint64(len(n.received())) >= last })
+	for i, number := range n.received() {
 		assert.Equal(t, number, uint64(i)+1)
 	}
-	assert.Equal(t, uint64(len(n.taken())), last)
+	assert.Equal(t, uint64(len(n.received())), last)
 }
 
-// relayed starts two clear nodes where a reaches b over a relay.
-func relayed(t *testing.T) (a, b *node, between *relay.Relay) {
+// startRelayed starts two nodes without TLS, where a reaches b through a relay.
+func startRelayed(t *testing.T) (a, b *node, between *relay.Relay) {
 	t.Helper()
 	a, b = startNode(t, "a", settings.TLS{}), startNode(t, "b", settings.TLS{})
-	between, err := relay.Start("127.0.0.1:0", b.listening())
+	between, err := relay.Start("127.0.0.1:0", b.listenAddress())
 	assert.NilError(t, err)
 	t.Cleanup(between.Close)
 	a.SetAddress("b", between.Address())
 	return a, b, between
 }
 
-// A stream stops in the middle and never goes on. Something between entry and
-// owner has lost track of their connection: no error comes at either end, in
-// one direction or in both, while new connections work. Chunks sent before,
-// during and after must reach the caller once and in order.
+// Guards against a stream that stops in the middle for ever. A device between the
+// entry router and the owner loses the state of their connection: neither end gets
+// an error, in one direction or both, while new connections work. Chunks sent
+// before, during and after must arrive once and in order.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	for _, direction := range []relay.Direction{relay.Forward, relay.Backward, relay.Both} {
 		for name, traffic := range map[string]bool{"idle": false, "in mid-traffic": true} {
 			t.Run(string(direction)+" "+name, func(t *testing.T) {
-				a, b, between := relayed(t)
+				a, b, between := startRelayed(t)
 				a.push("b", 1, 20, true)
 				if !traffic {
-					assert.Assert(t, a.Flush(patience))
+					assert.Assert(t, a.Flush(waitTimeout))
 				}
 				between.Forget(direction)
 				a.push("b", 21, 40, true)
-				time.Sleep(testStall / 4)
+				time.Sleep(testStallTimeout / 4)
 				a.push("b", 41, 60, true)
 				b.expectOnceInOrder(t, 60)
-				assert.Assert(t, a.Flush(patience))
+				assert.Assert(t, a.Flush(waitTimeout))
 				b.expectOnceInOrder(t, 60)
 				assert.Equal(t, a.losses(), 0)
 			})
@@ -157,18 +158,18 @@
 	}
 }
 
-// Operators see a voter that no heartbeat of the leader reaches, and it stays
-// so. The connection has gone silent, and all it carries are frames that are
-// sent on and never acknowledged: nothing is missing, and since it is in use
-// it is never closed as idle.
+// Guards against a voter that never receives a heartbeat of the leader again. The
+// connection has gone silent and carries only frames that are never acknowledged,
+// so no acknowledgement is missing, and because it is in use it is never closed as
+// idle.
 func TestSilentConnectionWithoutReliableFramesIsReplaced(t *testing.T) {
-	a, b, between := relayed(t)
+	a, b, between := startRelayed(t)
 	a.push("b", 1, 1, false)
 	b.expectOnceInOrder(t, 1)
 	between.Forget(relay.Forward)
-	await(t, "a heartbeat comes through again", func() bool {
+	await(t, "a heartbeat arrives again", func() bool {
 		a.push("b", 2, 2, false)
-		return len(b.taken()) > 1
+		return len(b.received()) > 1
 	})
 	assert.Equal(t, a.losses(), 0)
 }
@@ -180,63 +181,67 @@
 	return n.inbounds[peer] != nil
 }
 
-func TestTwoThatHaveDialledEachOtherFindSilentConnections(t *testing.T) {
-	// Two disk VMs start at once and dial each other, and then their ways are cut.
-	// Each sends over the other's connection and trusts the other to watch it;
-	// nobody does, and the follower hears its leader again only when the kernel
-	// repeats what it holds back, three seconds and more after the cut has ended.
+func TestPeersThatDialledEachOtherDetectSilentConnections(t *testing.T) {
+	// Two disk VMs start at once and dial each other, then both connections go
+	// silent. If each sends over the connection that the other dialled and relies on
+	// the other to monitor it, nobody does. The follower then receives its leader's
+	// messages again only when the kernel retransmits, three seconds and more after
+	// the network works again.
 	a, b := startDuplex(t, "a"), startDuplex(t, "b")
-	var ways []*relay.Relay
+	var relays []*relay.Relay
 	for _, pair := range [][2]*node{{a, b}, {b, a}} {
-		way, err := relay.Start("127.0.0.1:0", pair[1].listening())
+		proxy, err := relay.Start("127.0.0.1:0", pair[1].listenAddress())
 		assert.NilError(t, err)
-		t.Cleanup(way.Close)
-		pair[0].SetAddress(pair[1].options.Self, way.Address())
-		ways = append(ways, way)
+		t.Cleanup(proxy.Close)
+		pair[0].SetAddress(pair[1].options.Self, proxy.Address())
+		relays = append(relays, proxy)
 	}
 	a.push("b", 1, 1, true)
 	b.push("a", 1, 1, true)
 	await(t, "each has dialled the other", func() bool { return a.hasInbound("b") && b.hasInbound("a") })
 	b.expectOnceInOrder(t, 1)
 	a.expectOnceInOrder(t, 1)
-	assert.Assert(t, a.Flush(patience) && b.Flush(patience), "nothing waits to be acknowledged")
-	for _, way := range ways {
-		way.Forget(relay.Both)
+	assert.Assert(t, a.Flush(waitTimeout) && b.Flush(waitTimeout), "every frame is acknowledged")
+	for _, proxy := range relays {
+		proxy.Forget(relay.Both)
 	}
 	const within = IdleClose / 2 // after that connections are closed as unused
-	for deadline := time.Now().Add(within); len(a.taken()) < 2 || len(b.taken()) < 2; time.Sleep(testStall / 10) {
-		assert.Assert(t, time.Now().Before(deadline), "nothing came through in %s: %d to a, %d to b", within, len(a.taken())-1, len(b.taken())-1)
+	for deadline := time.Now().Add(within); len(a.received()) < 2 || len(b.received()) < 2; time.Sleep(testStallTimeout / 10) {
+		assert.Assert(t, time.Now().Before(deadline), "new frames after %s: %d reached a, %d reached b", within, len(a.received())-1, len(b.received())-1)
 		a.push("b", 2, 2, false)
 		b.push("a", 2, 2, false)
 	}
 }
 
-// Guards: a router dials disk VMs that aren't up yet and finds them long after they are.
-func TestAPeerThatComesUpIsFoundSoon(t *testing.T) {
+// Guards against a router that dials disk VMs before they are up and then connects
+// only long after they have started.
+func TestStartingPeerIsReachedSoon(t *testing.T) {
 	for up := time.Duration(0); up < time.Second; up += 10 * time.Millisecond {
 		at := time.Duration(0)
 		for failures := 0; at < up; failures++ {
-			at += max(connectPatience(failures, false), redialDelay)
+			at += max(connectTimeout(failures, false), redialDelay)
 		}
-		assert.Assert(t, at-up <= 100*time.Millisecond, "up after %s, tried after %s", up, at)
+		assert.Assert(t, at-up <= 100*time.Millisecond, "peer up after %s, next attempt only after %s", up, at)
 	}
-	assert.Equal(t, connectPatience(20, false), dialTimeout, "slow ways need the whole time")
-	assert.Equal(t, connectPatience(10, true), dialTimeout, "slow ways need the whole time")
+	assert.Equal(t, connectTimeout(20, false), dialTimeout, "slow ways need the whole time")
+	assert.Equal(t, connectTimeout(10, true), dialTimeout, "slow ways need the whole time")
 }
 
-// Guards: half of a fleet is gone, and the rest spends its processor on dialling it.
-func TestPeersThatAreGoneAreDialledSeldom(t *testing.T) {
+// Guards against routers that spend their CPU on dialling when half of the fleet
+// is gone.
+func TestUnreachablePeersAreDialledRarely(t *testing.T) {
 	attempts := 0
 	for at := time.Duration(0); at < 3*time.Second; attempts++ {
-		at += max(connectPatience(attempts, true), redialDelay)
+		at += max(connectTimeout(attempts, true), redialDelay)
 	}
 	assert.Assert(t, attempts <= 5, "%d attempts in three seconds", attempts)
 }
 
-// A router dies with requests on it. Its peers must hear that it is lost, and
-// not wait for answers that can't come; once it is back, frames flow again.
+// A router crashes while it handles requests. Its peers must get it reported as
+// lost instead of waiting for answers that can't come. Once the router is back,
+// frames must arrive again.
 func TestDeadPeerIsReportedLost(t *testing.T) {
-	a, b, between := relayed(t)
+	a, b, between := startRelayed(t)
 	a.push("b", 1, 1, true)
 	b.expectOnceInOrder(t, 1)
 	between.Set(relay.Faults{Refuse: true})
@@ -248,35 +253,35 @@
 	b.expectOnceInOrder(t, 2)
 }
 
-// A router restarts in mid-stream. Frames of its ended process lie in the old
-// connection's buffer and come after the new process has begun to send; they
-// must not make the receiver take numbers it has seen for new ones.
-func TestLateFramesOfAnEndedProcessAreDropped(t *testing.T) {
+// A router restarts in the middle of a stream. Frames of its ended process are
+// still in the old connection's buffer and arrive after the new process has begun
+// to send. They must not make the receiver accept numbers of the new process twice.
+func TestLateFramesOfAnEarlierIncarnationAreDropped(t *testing.T) {
 	b := startNode(t, "b", settings.TLS{})
-	was, is := wire.Hello{From: "a", Incarnation: 1}, wire.Hello{From: "a", Incarnation: 2}
-	memory := &reception{}
-	memory.adopt(was.Incarnation)
+	ended, current := wire.Hello{From: "a", Incarnation: 1}, wire.Hello{From: "a", Incarnation: 2}
+	sequence := &sequenceState{}
+	sequence.beginIncarnation(ended.Incarnation)
 	frame := func(number uint64) wire.Frame {
 		return wire.Frame{Kind: wire.KindChunk, Number: number, Payload: binary.BigEndian.AppendUint64(nil, number)}
 	}
-	memory.adopt(is.Incarnation)
-	assert.Assert(t, b.deliver(memory, is, frame(1)))
-	assert.Assert(t, !b.deliver(memory, was, frame(7)), "the ended process's connection is closed")
-	assert.Assert(t, b.deliver(memory, is, frame(1)))
-	assert.Assert(t, b.deliver(memory, is, frame(2)))
+	sequence.beginIncarnation(current.Incarnation)
+	assert.Assert(t, b.deliver(sequence, current, frame(1)))
+	assert.Assert(t, !b.deliver(sequence, ended, frame(7)), "the ended process's connection is closed")
+	assert.Assert(t, b.deliver(sequence, current, frame(1)))
+	assert.Assert(t, b.deliver(sequence, current, frame(2)))
 	b.expectOnceInOrder(t, 2)
 }
 
-// An operator asks for more than a frame holds. The question fails; the
-// process must not.
+// An operator's query has a reply that doesn't fit in a frame. Send must refuse it
+// without a panic, and later frames must still arrive.
 func TestPayloadOverTheFrameLimitIsNotTaken(t *testing.T) {
-	a, b, _ := relayed(t)
+	a, b, _ := startRelayed(t)
 	assert.Assert(t, !a.Send("b", wire.KindQueryReply, make([]byte, wire.MaxFrame), true))
 	a.push("b", 1, 3, true)
 	b.expectOnceInOrder(t, 3)
 }
 
-// fleetKeys issues certificates into files.
+// fleetKeys issues certificates with one authority and writes them to files.
 type fleetKeys struct {
 	t         *testing.T
 	authority certs.Pair
@@ -288,7 +293,8 @@
 	return fleetKeys{t, authority}
 }
 
-// write issues a router's certificate into a folder's files.
+// write issues a router's certificate and writes it, its key and the authority to
+// files in a folder.
 func (k fleetKeys) write(folder, router string) settings.TLS {
 	k.t.Helper()
 	pair, err := certs.Issue(k.authority, protocol.RouterID(router), time.Now(), time.Hour)
@@ -306,13 +312,13 @@
 	return files
 }
 
-// A stranger on the fleet's network connects to a router and sends what it
-// likes. It must cost its own connection and a count, and the healthy peer
-// beside it must not notice.
-func TestStrangersAreRefusedAndHurtNobody(t *testing.T) {
+// An unknown or faulty process on the fleet's network connects to a router and
+// sends arbitrary bytes. The router must close and count that connection, and the
+// connection of a healthy peer must not be affected.
+func TestInvalidConnectionsDoNotAffectOtherPeers(t *testing.T) {
 	ours, foreign := newFleetKeys(t), newFleetKeys(t)
 	a, b := startNode(t, "a", ours.write(t.TempDir(), "a")), startNode(t, "b", ours.write(t.TempDir(), "b"))
-	a.SetAddress("b", b.listening())
+	a.SetAddress("b", b.listenAddress())
 	hello := func(length int) []byte {
 		raw, _ := wire.Append(nil, wire.Frame{Kind: wire.KindHello, Payload: wire.Encode(wire.Hello{Version: wire.Version, MinVersion: wire.MinVersion, From: "c", To: "b", Incarnation: 1})})
 		return raw[:min(length, len(raw))]
@@ -339,12 +345,12 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			before := b.Counts()
-			sendRaw(t, b.listening(), tc.keys, tc.router, tc.send)
+			sendRaw(t, b.listenAddress(), tc.keys, tc.router, tc.send)
 			await(t, "the connection is counted", func() bool {
 				now := b.Counts()
 				return (now.RefusedInbound > before.RefusedInbound) == tc.refused && (now.BrokenInbound > before.BrokenInbound) != tc.refused
 			})
-			sent := uint64(len(b.taken()))
+			sent := uint64(len(b.received()))
 			a.push("b", sent+1, sent+5, true)
 			b.expectOnceInOrder(t, sent+5)
 		})
@@ -353,14 +359,14 @@
 	assert.Equal(t, a.Counts().Reconnected, uint64(0))
 }
 
-// sendRaw connects as keys allow, sends bytes, closes its side and waits until
-// the other end closes too.
+// sendRaw connects with a certificate of keys, or without TLS if keys is nil,
+// sends bytes, closes its side and waits until the other end closes too.
 func sendRaw(t *testing.T, address string, keys *fleetKeys, router string, raw []byte) {
 	t.Helper()
 	connection, err := net.Dial("tcp", address)
 	assert.NilError(t, err)
 	defer connection.Close()
-	_ = connection.SetDeadline(time.Now().Add(patience))
+	_ = connection.SetDeadline(time.Now().Add(waitTimeout))
 	var half interface{ CloseWrite() error } = connection.(*net.TCPConn)
 	if keys != nil {
 		_, client, err := LoadTLS(keys.write(t.TempDir(), router))
@@ -369,32 +375,32 @@
 		secured := tls.Client(connection, client)
 		connection, half = secured, secured
 	}
-	// A refusal may come while the bytes are on their way.
+	// The other end may refuse the connection before all bytes are written.
 	_, _ = connection.Write(raw)
 	_ = half.CloseWrite()
 	_, _ = io.Copy(io.Discard, connection)
 }
 
-// Certificates run out, so keys are replaced on running routers. Frames must
-// flow with the new authority's keys, and the old ones be refused, without a
-// restart.
+// Certificates expire, so operators replace keys on running routers. Without a
+// restart, peers with the new authority's keys must be accepted and peers with the
+// old keys refused.
 func TestKeysAreRotatedWithoutRestart(t *testing.T) {
 	before, after := newFleetKeys(t), newFleetKeys(t)
 	folderA, folderB := t.TempDir(), t.TempDir()
 	a, b := startNode(t, "a", before.write(folderA, "a")), startNode(t, "b", before.write(folderB, "b"))
-	a.SetAddress("b", b.listening())
+	a.SetAddress("b", b.listenAddress())
 	a.push("b", 1, 1, true)
 	b.expectOnceInOrder(t, 1)
 	after.write(folderA, "a")
 	after.write(folderB, "b")
 	c := startNode(t, "c", after.write(t.TempDir(), "c"))
-	c.SetAddress("b", b.listening())
-	await(t, "a new key is taken", func() bool {
+	c.SetAddress("b", b.listenAddress())
+	await(t, "a peer with a new key is accepted", func() bool {
 		c.push("b", 2, 2, true)
-		return len(b.taken()) > 1
+		return len(b.received()) > 1
 	})
 	stranger := startNode(t, "d", before.write(t.TempDir(), "d"))
-	stranger.SetAddress("b", b.listening())
+	stranger.SetAddress("b", b.listenAddress())
 	stranger.push("b", 9, 9, true)
-	await(t, "the old key is refused", func() bool { return stranger.losses() > 0 })
+	await(t, "a peer with an old key is refused", func() bool { return stranger.losses() > 0 })
 }
--- a/transport/peer/tls.go
+++ b/transport/peer/tls.go
@@ -14,25 +14,26 @@
 	"endiveplank/settings"
 )
 
-// reloadInterval is how often a handshake looks at the files again.
+// reloadInterval is the minimum time between two checks whether the files have
+// changed.
 const reloadInterval = time.Second
 
-// keyStore holds the certificate, key and authority that are in force, and
-// reads them again when the files change, so that keys are rotated without a
-// restart. A half-written file keeps the old ones in force.
+// keyStore holds the certificate, key and authority in use and reloads them when
+// their files change, so that keys are rotated without a restart. While a file is
+// only partly written, the old ones stay in use.
 type keyStore struct {
 	files settings.TLS
 
 	mu          sync.Mutex
-	checked     time.Time
-	stamps      [3]time.Time
+	checkedAt   time.Time
+	modTimes    [3]time.Time
 	certificate *tls.Certificate
 	authority   *x509.CertPool
 }
 
-// LoadTLS returns the server's and the client's side of mutual TLS. It
-// returns nil for both when no files are set, and an error when they can't be
-// read at the start.
+// LoadTLS returns the server and client configuration for mutual TLS. It returns
+// nil for both when no files are set, and an error when the files can't be read
+// now; later read errors keep the loaded keys.
 func LoadTLS(files settings.TLS) (server, client *tls.Config, err error) {
 	if files.CertificateFile == "" {
 		return nil, nil, nil
@@ -59,18 +60,19 @@
 			certificate, _ := store.current()
 			return certificate, nil
 		},
-		// The library's check compares host names, and peers have none. The
-		// chain is checked here and the router ID in checkCertificate.
+		// The check of crypto/tls compares host names, and peers have none.
+		// verifyServer checks the chain and checkCertificate the router ID.
 		InsecureSkipVerify: true,
 		VerifyConnection:   store.verifyServer,
 	}
 	return server, client, nil
 }
 
-// verifyServer checks the server's chain against the authority in force.
+// verifyServer verifies the server's certificate chain against the authority in
+// use.
 func (k *keyStore) verifyServer(state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 {
-		return eris.New("peer shows no certificate")
+		return eris.New("peer sent no certificate")
 	}
 	_, authority := k.current()
 	intermediates := x509.NewCertPool()
@@ -82,33 +84,33 @@
 		Intermediates: intermediates,
 		KeyUsages:     []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth},
 	})
-	return eris.Wrap(err, "peer's certificate")
+	return eris.Wrap(err, "verify the peer's certificate")
 }
 
-// current returns what is in force, looking at the files at most once each
-// reloadInterval.
+// current returns the certificate and authority in use. It checks the files for
+// changes at most once per reloadInterval.
 func (k *keyStore) current() (*tls.Certificate, *x509.CertPool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if time.Since(k.checked) > reloadInterval && k.changed() {
+	if time.Since(k.checkedAt) > reloadInterval && k.changed() {
 		_ = k.readLocked()
 	}
 	return k.certificate, k.authority
 }
 
 func (k *keyStore) changed() bool {
-	k.checked = time.Now()
-	return k.readStamps() != k.stamps
+	k.checkedAt = time.Now()
+	return k.readModTimes() != k.modTimes
 }
 
-func (k *keyStore) readStamps() [3]time.Time {
-	var stamps [3]time.Time
+func (k *keyStore) readModTimes() [3]time.Time {
+	var modTimes [3]time.Time
 	for i, file := range []string{k.files.CertificateFile, k.files.KeyFile, k.files.AuthorityFile} {
 		if info, err := os.Stat(file); err == nil {
-			stamps[i] = info.ModTime()
+			modTimes[i] = info.ModTime()
 		}
 	}
-	return stamps
+	return modTimes
 }
 
 func (k *keyStore) read() error {
@@ -118,42 +120,42 @@
 }
 
 func (k *keyStore) readLocked() error {
-	stamps := k.readStamps()
+	modTimes := k.readModTimes()
 	certificate, err := tls.LoadX509KeyPair(k.files.CertificateFile, k.files.KeyFile)
 	if err != nil {
-		return eris.Wrap(err, "load certificate and key")
+		return eris.Wrapf(err, "load certificate %q and key %q", k.files.CertificateFile, k.files.KeyFile)
 	}
 	pem, err := os.ReadFile(k.files.AuthorityFile)
 	if err != nil {
-		return eris.Wrap(err, "load authority")
+		return eris.Wrapf(err, "load authority %q", k.files.AuthorityFile)
 	}
 	authority := x509.NewCertPool()
 	if !authority.AppendCertsFromPEM(pem) {
-		return eris.Errorf("no certificate in %s", k.files.AuthorityFile)
+		return eris.Errorf("authority file %q contains no certificate", k.files.AuthorityFile)
 	}
 	k.certificate = &certificate
 	k.authority = authority
-	k.stamps = stamps
+	k.modTimes = modTimes
 	return nil
 }
 
-// checkCertificate compares the router ID that a peer claims with the common
-// name of its certificate, so that a key stolen from one VM can't speak for
-// another.
+// checkCertificate compares the router ID that a peer claims with the common name
+// of its certificate, so that a key stolen from one VM can't be used to act as
+// another router.
 func checkCertificate(connection net.Conn, claimed protocol.RouterID) error {
 	secured, ok := connection.(*tls.Conn)
 	if !ok {
 		return nil
 	}
 	if err := secured.Handshake(); err != nil {
-		return eris.Wrap(err, "handshake")
+		return eris.Wrapf(err, "TLS handshake with the peer that claims to be %q", claimed)
 	}
 	certificates := secured.ConnectionState().PeerCertificates
 	if len(certificates) == 0 {
 		return &CertificateError{Claimed: claimed}
 	}
 	if name := certificates[0].Subject.CommonName; name != string(claimed) {
-		return &CertificateError{Named: name, Claimed: claimed}
+		return &CertificateError{CommonName: name, Claimed: claimed}
 	}
 	return nil
 }
