--- a/transport/certs/certs.go
+++ b/transport/certs/certs.go
@@ -1,11 +1,13 @@
-// Package certs makes the keys and certificates with which the fleet's
-// processes prove to each other who they are.
+// Package certs creates the keys and certificates with which the fleet's processes
+// authenticate each other.
 //
-// One authority, kept off the fleet's VMs, signs a certificate for each router
-// with the router ID as its common name. Peers accept a connection only when
-// the certificate is signed by the authority and names the router that the
-// other end claims to be, so a key stolen from one VM can't speak for another.
-// Keys are ECDSA over P-256. The forms are PEM, so that other tools can read
+// NewAuthority creates a certificate authority, whose key is kept off the fleet's
+// VMs. Issue signs a certificate for each router with the router ID as its common
+// name. Peers accept a connection only when the authority has signed the
+// certificate and the certificate names the router that the other end claims to
+// be, so a key stolen from one VM can't be used to act as another router.
+//
+// Keys are ECDSA over P-256. Both are encoded as PEM, so that other tools can read
 // and replace them.
 package certs
 
@@ -26,24 +28,26 @@
 )
 
 const (
-	// backdate lets a certificate be used on a VM whose clock is behind.
+	// backdate is how long before its creation a certificate becomes valid, so that
+	// VMs whose clocks are behind accept it.
 	backdate = time.Hour
-	// serialBits is the length of a serial number: long enough that two never
-	// meet by chance.
+	// serialBits is the length of a serial number. Serial numbers are random; this
+	// length makes collisions practically impossible.
 	serialBits = 127
 )
 
-// Pair is a certificate and its private key in PEM.
+// Pair is a certificate and its private key, both as PEM.
 type Pair struct {
 	Certificate []byte
 	Key         []byte
 }
 
-// NewAuthority makes a fleet's authority, valid from now for a time.
+// NewAuthority creates a fleet's certificate authority, which expires validity
+// after now.
 func NewAuthority(now time.Time, validity time.Duration) (Pair, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return Pair{}, eris.Wrap(err, "make the authority's key")
+		return Pair{}, eris.Wrap(err, "generate the authority's key")
 	}
 	template, err := newTemplate("endiveplank fleet authority", now, validity)
 	if err != nil {
@@ -56,29 +60,29 @@
 	return sign(template, template, key, key)
 }
 
-// Issue makes a router's key and certificate. It returns an error when the
-// authority's pair doesn't belong together or is no authority.
+// Issue creates a router's key and certificate. It returns an error when the
+// authority's certificate and key don't match or the certificate isn't a CA's.
 func Issue(authority Pair, router protocol.RouterID, now time.Time, validity time.Duration) (Pair, error) {
 	signer, err := tls.X509KeyPair(authority.Certificate, authority.Key)
 	if err != nil {
-		return Pair{}, eris.Wrap(err, "read the authority")
+		return Pair{}, eris.Wrap(err, "parse the authority's certificate and key")
 	}
 	if !signer.Leaf.IsCA {
-		return Pair{}, eris.New("this certificate may sign no others: it is no authority")
+		return Pair{}, eris.Errorf("certificate %q is not a CA and can't sign other certificates", signer.Leaf.Subject.CommonName)
 	}
 	if router == "" {
-		return Pair{}, eris.New("a router's certificate needs a router ID")
+		return Pair{}, eris.New("the router ID for the certificate is empty")
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return Pair{}, eris.Wrap(err, "make the router's key")
+		return Pair{}, eris.Wrapf(err, "generate the key of router %q", router)
 	}
 	template, err := newTemplate(string(router), now, validity)
 	if err != nil {
 		return Pair{}, err
 	}
 	template.KeyUsage = x509.KeyUsageDigitalSignature
-	// Each process both dials and accepts.
+	// Each process is both a client and a server.
 	template.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
 	return sign(template, signer.Leaf, key, signer.PrivateKey)
 }
@@ -86,7 +90,7 @@
 func newTemplate(name string, now time.Time, validity time.Duration) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
-		return nil, eris.Wrap(err, "draw a serial number")
+		return nil, eris.Wrapf(err, "generate the serial number of certificate %q", name)
 	}
 	return &x509.Certificate{
 		SerialNumber: serial,
@@ -96,15 +100,15 @@
 	}, nil
 }
 
-// sign makes the certificate of key and encodes both.
+// sign creates the certificate of key and encodes both as PEM.
 func sign(template, parent *x509.Certificate, key *ecdsa.PrivateKey, signer any) (Pair, error) {
 	certificate, err := x509.CreateCertificate(rand.Reader, template, parent, &key.PublicKey, signer)
 	if err != nil {
-		return Pair{}, eris.Wrap(err, "sign a certificate")
+		return Pair{}, eris.Wrapf(err, "sign certificate %q", template.Subject.CommonName)
 	}
 	raw, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
-		return Pair{}, eris.Wrap(err, "encode a key")
+		return Pair{}, eris.Wrapf(err, "encode the key of certificate %q", template.Subject.CommonName)
 	}
 	return Pair{
 		Certificate: pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: certificate}),
