--- a/daemon/hops.go
+++ b/daemon/hops.go
@@ -37,9 +37,9 @@
 			return in
 		}
 		h.end(in.Place.Attempt, tracing.Result{Reason: "placed anew"})
-		span, headers := h.tracer.Owner(in.Place)
+		span, headers := h.tracer.StartOwner(in.Place)
 		in.Place.Headers = headers
-		h.open[in.Place.Attempt] = hop{span, tracing.ID(headers), in.From}
+		h.open[in.Place.Attempt] = hop{span, tracing.TraceID(headers), in.From}
 		return in
 	case node.PeerCancel:
 		h.end(in.Cancel.Attempt, tracing.Result{Reason: "cancelled"})
--- a/transport/callers/callers.go
+++ b/transport/callers/callers.go
@@ -99,10 +99,10 @@
 		return
 	}
 	request := buildRequest(id, r, body)
-	span, headers := h.tracer.Entry(id, request.Headers)
+	span, headers := h.tracer.StartEntry(id, request.Headers)
 	request.Headers = headers
 	answer := NewAnswer()
-	answer.Trace = tracing.ID(headers)
+	answer.Trace = tracing.TraceID(headers)
 	writer := &answerWriter{
 		response: w,
 		control:  http.NewResponseController(w),
--- a/transport/forward/handler.go
+++ b/transport/forward/handler.go
@@ -201,7 +201,7 @@
 		f.outcome.Doubt = err.Error()
 	}
 	f.call = call
-	f.span = f.handler.options.Tracer.Request(call.ID, f.request.Header)
+	f.span = f.handler.options.Tracer.StartRequest(call.ID, f.request.Header)
 	f.job.ID = call.ID
 	f.job.Prompt = call.Prompt
 	f.patience = patience(call.Left, 0)
--- a/transport/forward/run.go
+++ b/transport/forward/run.go
@@ -187,7 +187,7 @@
 		attempt.Customer = f.customer.Name
 	}
 	f.handler.options.Dialect.WriteAttempt(header, attempt)
-	span := f.handler.options.Tracer.Attempt(f.span, len(f.outcome.Attempts)+1, choice.ID, header)
+	span := f.handler.options.Tracer.StartAttempt(f.span, len(f.outcome.Attempts)+1, choice.ID, header)
 	defer func() {
 		span.End(tracing.Result{Status: outcome.Status, Reason: outcome.Cause, Failed: outcome.Result != balance.Served})
 	}()
--- a/transport/tracing/span.go
+++ b/transport/tracing/span.go
@@ -12,57 +12,58 @@
 	"endiveplank/protocol/fleet"
 )
 
-// Headers of the W3C trace context, in Go's canonical form.
+// Headers of the W3C trace context, in the canonical form of net/http.
 const (
 	parentHeader = "Traceparent"
 	stateHeader  = "Tracestate"
 )
 
-// A traceparent is version, trace ID, span ID and flags in hexadecimal; the
-// trace ID stands at these positions.
+// A traceparent header consists of version, trace ID, span ID and flags in
+// hexadecimal. These are the positions of the trace ID.
 const (
 	traceIDStart = 3
 	traceIDEnd   = traceIDStart + 32
 )
 
-// Span is one hop's span. The zero Span does nothing.
+// Span is the span of one hop. The methods of the zero Span do nothing.
 type Span struct{ span trace.Span }
 
 // Result is how a hop ended.
 type Result struct {
-	// Reason is a code of package reason; empty when all went well.
+	// Reason is a code of package reason; empty on success.
 	Reason string
-	// Status is the HTTP status; 0 for none.
+	// Status is the HTTP status; 0 if there is none.
 	Status int
 	Failed bool
 }
 
-// Entry starts the span of a caller's request and returns the headers that
-// carry it on.
-func (t *Tracer) Entry(id protocol.RequestID, headers []fleet.Header) (Span, []fleet.Header) {
+// StartEntry starts the span of a caller's request at its entry router and returns
+// the request's headers with the new span as trace context.
+func (t *Tracer) StartEntry(id protocol.RequestID, headers []fleet.Header) (Span, []fleet.Header) {
 	if t == nil {
 		return Span{}, headers
 	}
 	return t.start("entry", trace.SpanKindServer, headers, attribute.String("endiveplank.request", string(id)))
 }
 
-// Owner starts the span of an attempt that came from its entry router.
-func (t *Tracer) Owner(place fleet.Place) (Span, []fleet.Header) {
+// StartOwner starts the span of an attempt that the entry router sent to this
+// router.
+func (t *Tracer) StartOwner(place fleet.Place) (Span, []fleet.Header) {
 	if t == nil {
 		return Span{}, place.Headers
 	}
-	return t.attempt("owner", trace.SpanKindInternal, place)
+	return t.startHop("owner", trace.SpanKindInternal, place)
 }
 
-// Upstream starts the span of a call to an upstream.
-func (t *Tracer) Upstream(place fleet.Place) (Span, []fleet.Header) {
+// StartUpstream starts the span of a call to an upstream.
+func (t *Tracer) StartUpstream(place fleet.Place) (Span, []fleet.Header) {
 	if t == nil {
 		return Span{}, place.Headers
 	}
-	return t.attempt("upstream", trace.SpanKindClient, place)
+	return t.startHop("upstream", trace.SpanKindClient, place)
 }
 
-func (t *Tracer) attempt(name string, kind trace.SpanKind, place fleet.Place) (Span, []fleet.Header) {
+func (t *Tracer) startHop(name string, kind trace.SpanKind, place fleet.Place) (Span, []fleet.Header) {
 	return t.start(name, kind, place.Headers,
 		attribute.String("endiveplank.request", string(place.Attempt.Request)),
 		attribute.Int64("endiveplank.attempt", int64(place.Attempt.Number)),
@@ -80,7 +81,7 @@
 	return Span{span}, replaceContext(headers, next)
 }
 
-// carrierOf finds the context in a request's headers.
+// carrierOf returns the trace context in a request's headers.
 func carrierOf(headers []fleet.Header) propagation.MapCarrier {
 	carrier := propagation.MapCarrier{}
 	for _, header := range headers {
@@ -94,7 +95,7 @@
 	return carrier
 }
 
-// replaceContext returns a copy of headers with another context.
+// replaceContext returns a copy of headers with next as its trace context.
 func replaceContext(headers []fleet.Header, next propagation.MapCarrier) []fleet.Header {
 	replaced := make([]fleet.Header, 0, len(headers)+2)
 	for _, header := range headers {
@@ -109,7 +110,7 @@
 	return replaced
 }
 
-// End closes the span with how the hop ended.
+// End records how the hop ended and ends the span.
 func (s Span) End(result Result) {
 	if s.span == nil {
 		return
@@ -126,9 +127,9 @@
 	s.span.End()
 }
 
-// ID returns the trace ID in a request's headers, empty without one. It is
-// what events carry, also when this process makes no spans.
-func ID(headers []fleet.Header) string {
+// TraceID returns the trace ID in a request's headers; empty if there is none.
+// Events carry it even when this process makes no spans.
+func TraceID(headers []fleet.Header) string {
 	for _, header := range headers {
 		if header.Name == parentHeader && len(header.Value) > traceIDEnd {
 			return header.Value[traceIDStart:traceIDEnd]
--- a/transport/tracing/tracing.go
+++ b/transport/tracing/tracing.go
@@ -1,22 +1,22 @@
-// Package tracing makes a span for each hop of a request by OpenTelemetry's
-// library: the entry router, the owner when it is another router, and the call
-// to the upstream.
+// Package tracing creates OpenTelemetry spans for each hop of a request: the entry
+// router, the owner if it is another router, and the call to the upstream. A router
+// that calls upstreams itself creates one span for the request and one for each
+// attempt, whose span the upstream gets as its parent. Tracer starts spans, Span
+// ends them.
 //
-// The context travels in the request's own headers, traceparent and tracestate
-// of the W3C. It is taken from the caller, replaced at each hop by that hop's
-// span, and passed to the upstream. The node core carries the headers and
-// knows nothing of traces.
+// The trace context is in the request's own headers, traceparent and tracestate of
+// the W3C. It comes from the caller, each hop replaces it by its own span, and the
+// upstream receives it. The node core passes the headers on and doesn't depend on
+// tracing.
 //
-// The entry decides by the sample ratio of its settings whether a request is
-// traced, whatever the caller's flag says, so that callers can't make the
-// fleet trace more than its operators want; later hops follow the entry. A
-// router that sends to upstreams itself makes one span for the request and one
-// for each attempt, which names it to the upstream. With
-// the exporter none a Tracer is nil, and every method does nothing and
-// allocates nothing; a caller's context then passes through as it came.
+// The entry router decides by the sample ratio in its settings whether a request is
+// traced, regardless of the caller's sampled flag, so that callers can't make the
+// fleet trace more than its operators want. Later hops follow its decision. With
+// the exporter "none" the Tracer is nil: its methods do nothing and allocate
+// nothing, and a caller's trace context is passed on unchanged.
 //
-// Failure guarded: the collector is down or slow. Spans wait in a bounded
-// queue and are dropped beyond it, and no request waits for it.
+// The package guards against a collector that is down or slow: spans wait in a
+// bounded queue, spans beyond it are dropped, and no request waits for it.
 package tracing
 
 import (
@@ -35,30 +35,31 @@
 	"endiveplank/settings"
 )
 
-// fileMode lets only the process's user and group read a file of spans.
+// fileMode lets only the process's user and group read the file of spans.
 const fileMode = 0o640
 
-// Tracer makes the spans of one process. Nil means that traces are off.
+// Tracer creates the spans of one process. Tracing is off for a nil Tracer.
 type Tracer struct {
 	provider *sdktrace.TracerProvider
 	tracer   trace.Tracer
 	file     *os.File
 }
 
-// New returns a tracer with the exporter of the settings, nil for none. The
-// error is that of opening the file or reading the endpoint.
+// New returns a tracer with the exporter that the settings name, or nil for the
+// exporter "none". It returns an error when it can't open the file or parse the
+// endpoint.
 func New(s settings.Traces, router protocol.RouterID, dataCentre protocol.DataCentre) (*Tracer, error) {
 	t := &Tracer{}
-	exporter, err := t.exporter(s)
+	exporter, err := t.newExporter(s)
 	if err != nil || exporter == nil {
 		return nil, err
 	}
-	t.provide(sdktrace.WithBatcher(exporter), s.SampleRatio, router, dataCentre)
+	t.setUpProvider(sdktrace.WithBatcher(exporter), s.SampleRatio, router, dataCentre)
 	return t, nil
 }
 
-// provide makes the provider around a processor of spans.
-func (t *Tracer) provide(processor sdktrace.TracerProviderOption, ratio float64, router protocol.RouterID, dataCentre protocol.DataCentre) {
+// setUpProvider creates the tracer provider with a span processor.
+func (t *Tracer) setUpProvider(processor sdktrace.TracerProviderOption, ratio float64, router protocol.RouterID, dataCentre protocol.DataCentre) {
 	t.provider = sdktrace.NewTracerProvider(
 		processor,
 		sdktrace.WithSampler(newSampler(ratio)),
@@ -71,26 +72,27 @@
 	t.tracer = t.provider.Tracer("endiveplank")
 }
 
-// exporter returns nil for the exporter none.
-func (t *Tracer) exporter(s settings.Traces) (sdktrace.SpanExporter, error) {
+// newExporter returns the exporter that the settings name, or nil for "none".
+func (t *Tracer) newExporter(s settings.Traces) (sdktrace.SpanExporter, error) {
 	switch s.Exporter {
 	case "stdout":
 		return stdouttrace.New()
 	case "file":
 		file, err := os.OpenFile(s.File, os.O_WRONLY|os.O_CREATE|os.O_APPEND, fileMode)
 		if err != nil {
-			return nil, eris.Wrap(err, "open the file for traces")
+			return nil, eris.Wrapf(err, "open trace file %q", s.File)
 		}
 		t.file = file
 		return stdouttrace.New(stdouttrace.WithWriter(file))
 	case "otlp":
 		exporter, err := otlptracehttp.New(context.Background(), otlptracehttp.WithEndpointURL(s.Endpoint))
-		return exporter, eris.Wrap(err, "start the exporter for traces")
+		return exporter, eris.Wrapf(err, "start the OTLP trace exporter for %q", s.Endpoint)
 	}
 	return nil, nil
 }
 
-// Close sends what waits and ends the exporter; the context bounds it.
+// Close exports the spans that wait and stops the exporter. The context bounds how
+// long this takes.
 func (t *Tracer) Close(ctx context.Context) error {
 	if t == nil {
 		return nil
@@ -99,10 +101,10 @@
 	if t.file != nil {
 		_ = t.file.Close()
 	}
-	return eris.Wrap(err, "stop traces")
+	return eris.Wrap(err, "stop the trace exporter")
 }
 
-// sampler lets the entry decide by ratio and later hops follow it.
+// sampler decides by ratio at the entry router. Later hops follow that decision.
 type sampler struct {
 	entry sdktrace.Sampler
 	later sdktrace.Sampler
@@ -113,8 +115,8 @@
 	return sampler{entry: byRatio, later: sdktrace.ParentBased(byRatio)}
 }
 
-// ShouldSample implements the library's Sampler. Only the entry's spans are of
-// the kind server.
+// ShouldSample implements sdktrace.Sampler. Only the entry router's spans have the
+// kind server.
 func (s sampler) ShouldSample(p sdktrace.SamplingParameters) sdktrace.SamplingResult {
 	if p.Kind == trace.SpanKindServer {
 		return s.entry.ShouldSample(p)
@@ -122,5 +124,5 @@
 	return s.later.ShouldSample(p)
 }
 
-// Description implements the library's Sampler.
+// Description implements sdktrace.Sampler.
 func (s sampler) Description() string { return "entry by ratio: " + s.entry.Description() }
--- a/transport/tracing/tracing_test.go
+++ b/transport/tracing/tracing_test.go
@@ -29,27 +29,27 @@
 	}
 }
 
-// recorded returns a tracer whose spans stay in memory.
-func recorded(ratio float64) (*Tracer, *tracetest.SpanRecorder) {
+// newRecordingTracer returns a tracer that keeps its spans in memory.
+func newRecordingTracer(ratio float64) (*Tracer, *tracetest.SpanRecorder) {
 	recorder := tracetest.NewSpanRecorder()
 	t := &Tracer{}
-	t.provide(sdktrace.WithSpanProcessor(recorder), ratio, "r1", "dc1")
+	t.setUpProvider(sdktrace.WithSpanProcessor(recorder), ratio, "r1", "dc1")
 	return t, recorder
 }
 
 func TestEachHopIsAChildOfTheOneBefore(t *testing.T) {
-	tracer, recorder := recorded(1)
+	tracer, recorder := newRecordingTracer(1)
 	place := fleet.Place{Attempt: fleet.Attempt{Request: "r1-1", Number: 1}, Upstream: "e1"}
-	entry, headers := tracer.Entry("r1-1", callersHeaders("00"))
+	entry, headers := tracer.StartEntry("r1-1", callersHeaders("00"))
 	place.Headers = headers
-	owner, headers := tracer.Owner(place)
+	owner, headers := tracer.StartOwner(place)
 	place.Headers = headers
-	upstream, headers := tracer.Upstream(place)
+	upstream, headers := tracer.StartUpstream(place)
 	upstream.End(Result{Status: 500, Reason: "upstream_failed", Failed: true})
 	owner.End(Result{})
 	entry.End(Result{Status: 200})
 
-	assert.Equal(t, ID(headers), callersTrace)
+	assert.Equal(t, TraceID(headers), callersTrace)
 	assert.Equal(t, len(headers), 3)
 	spans := recorder.Ended()
 	assert.Equal(t, len(spans), 3)
@@ -69,42 +69,42 @@
 	})
 }
 
-// A caller sets the sampled flag on everything it sends. The operators asked
-// for no traces but left the exporter on; the fleet must not trace for it.
+// A caller sets the sampled flag on every request. The operators have set the sample
+// ratio to 0 but left the exporter on; the fleet must not trace these requests.
 func TestEntryDecidesWhatIsTraced(t *testing.T) {
-	tracer, recorder := recorded(0)
-	span, headers := tracer.Entry("r1-1", callersHeaders("01"))
-	owner, _ := tracer.Owner(fleet.Place{Headers: headers})
+	tracer, recorder := newRecordingTracer(0)
+	span, headers := tracer.StartEntry("r1-1", callersHeaders("01"))
+	owner, _ := tracer.StartOwner(fleet.Place{Headers: headers})
 	owner.End(Result{})
 	span.End(Result{})
 	assert.Equal(t, len(recorder.Ended()), 0)
-	assert.Equal(t, ID(headers), callersTrace)
+	assert.Equal(t, TraceID(headers), callersTrace)
 }
 
-func TestBrokenContextStartsATraceOfItsOwn(t *testing.T) {
-	tracer, recorder := recorded(1)
+func TestInvalidContextStartsANewTrace(t *testing.T) {
+	tracer, recorder := newRecordingTracer(1)
 	for _, value := range []string{"", "00-zz", "00-00000000000000000000000000000000-0000000000000000-01"} {
-		span, headers := tracer.Entry("r1-1", []fleet.Header{{Name: "Traceparent", Value: value}})
+		span, headers := tracer.StartEntry("r1-1", []fleet.Header{{Name: "Traceparent", Value: value}})
 		span.End(Result{})
-		assert.Equal(t, len(ID(headers)), 32)
+		assert.Equal(t, len(TraceID(headers)), 32)
 	}
 	assert.Equal(t, len(recorder.Ended()), 3)
 }
 
-func TestTracesThatAreOffCostNoAllocation(t *testing.T) {
+func TestDisabledTracerAllocatesNothing(t *testing.T) {
 	tracer, err := New(settings.Traces{Exporter: "none"}, "r1", "dc1")
 	assert.NilError(t, err)
 	headers := callersHeaders("01")
 	place := fleet.Place{Headers: headers}
 	allocations := testing.AllocsPerRun(100, func() {
-		entry, _ := tracer.Entry("r1-1", headers)
-		owner, _ := tracer.Owner(place)
-		upstream, kept := tracer.Upstream(place)
+		entry, _ := tracer.StartEntry("r1-1", headers)
+		owner, _ := tracer.StartOwner(place)
+		upstream, kept := tracer.StartUpstream(place)
 		upstream.End(Result{Status: 200})
 		owner.End(Result{Reason: "x"})
 		entry.End(Result{})
-		if ID(kept) != callersTrace {
-			t.Fatal("the caller's context is gone")
+		if TraceID(kept) != callersTrace {
+			t.Fatal("the caller's trace context was not passed on")
 		}
 	})
 	assert.Equal(t, allocations, 0.0)
@@ -121,7 +121,7 @@
 	} {
 		tracer, err := New(s, "r1", "dc1")
 		assert.NilError(t, err)
-		span, _ := tracer.Entry("r1-1", nil)
+		span, _ := tracer.StartEntry("r1-1", nil)
 		span.End(Result{})
 		assert.NilError(t, tracer.Close(context.Background()))
 	}
@@ -131,16 +131,17 @@
 }
 
 func TestEachAttemptIsAChildOfItsRequest(t *testing.T) {
-	// A caller traces its calls. It has to find the router's work under its own
-	// span, and the upstream's under that of the attempt it got.
-	tracer, recorder := recorded(1)
+	// A caller traces its calls. The router's request span must be a child of the
+	// caller's span, and the context sent to an upstream must name the span of that
+	// attempt.
+	tracer, recorder := newRecordingTracer(1)
 	header := http.Header{}
 	header.Set("Traceparent", "00-"+callersTrace+"-"+callersSpan+"-01")
-	request := tracer.Request("r-1", header)
+	request := tracer.StartRequest("r-1", header)
 	first, second := header.Clone(), header.Clone()
-	lost := tracer.Attempt(request, 1, "u1", first)
+	lost := tracer.StartAttempt(request, 1, "u1", first)
 	lost.End(Result{Reason: "reset", Failed: true})
-	served := tracer.Attempt(request, 2, "u2", second)
+	served := tracer.StartAttempt(request, 2, "u2", second)
 	served.End(Result{Status: 200})
 	request.End(Result{Status: 200})
 
@@ -154,12 +155,12 @@
 	}
 }
 
-func TestARouterWithoutTracesPassesTheCallersOn(t *testing.T) {
+func TestDisabledTracerPassesTheCallersContextOn(t *testing.T) {
 	var off *Tracer
 	header := http.Header{}
 	header.Set("Traceparent", "00-"+callersTrace+"-"+callersSpan+"-01")
-	span := off.Request("r-1", header)
-	off.Attempt(span, 1, "u1", header).End(Result{})
+	span := off.StartRequest("r-1", header)
+	off.StartAttempt(span, 1, "u1", header).End(Result{})
 	span.End(Result{})
 	assert.Equal(t, header.Get("Traceparent"), "00-"+callersTrace+"-"+callersSpan+"-01")
 }
--- a/transport/upstream/client.go
+++ b/transport/upstream/client.go
@@ -131,7 +131,7 @@
 
 // traced makes one call within a span.
 func (c *Client) traced(ctx context.Context, call node.CallUpstream) node.UpstreamEnd {
-	span, headers := c.tracer.Upstream(call.Place)
+	span, headers := c.tracer.StartUpstream(call.Place)
 	call.Place.Headers = headers
 	end := c.run(ctx, call)
 	span.End(tracing.Result{Status: end.Status, Failed: !end.Complete})
