--- a/daemon/hops.go
+++ b/daemon/hops.go
@@ -84,7 +84,7 @@
 // known. The runner's lock is held.
 func (r *runner) traceOf(event node.Event) string {
 	if answer := r.answers[event.Request]; answer != nil {
-		return answer.Trace
+		return answer.TraceID
 	}
 	return r.hops.open[fleet.Attempt{Request: event.Request, Number: event.Attempt}].trace
 }
--- a/daemon/runner.go
+++ b/daemon/runner.go
@@ -155,8 +155,8 @@
 	r.Input(request)
 }
 
-// Gone tells the core that a caller went away.
-func (r *runner) Gone(id protocol.RequestID) {
+// CallerGone tells the core that a caller went away.
+func (r *runner) CallerGone(id protocol.RequestID) {
 	r.mu.Lock()
 	delete(r.answers, id)
 	r.mu.Unlock()
--- a/transport/callers/answer.go
+++ b/transport/callers/answer.go
@@ -6,45 +6,45 @@
 	"endiveplank/coordination/node"
 )
 
-// maxWaiting is the most answer bytes that wait for one slow caller. It is a
-// few seconds of the fastest stream; a caller further behind than that holds
-// memory that others need.
-const maxWaiting = 1 << 20
+// maxPendingBytes bounds the answer bytes that wait for one slow caller. It is a
+// few seconds of the fastest stream; a caller further behind than that holds memory
+// that other requests need.
+const maxPendingBytes = 1 << 20
 
-// Answer carries an answer from the node core to a caller's connection. The
-// core's side never blocks.
+// Answer is the queue from the node core to a caller's connection. The core calls
+// Put, which never blocks; the connection's goroutine calls take.
 type Answer struct {
-	// Trace is the request's trace ID, empty without one.
-	Trace string
+	// TraceID is the request's trace ID; empty if the request has none.
+	TraceID string
 
-	mu      sync.Mutex
-	pieces  []node.Output
-	waiting int
-	closed  bool
-	wake    chan struct{}
+	mu           sync.Mutex
+	pending      []node.Output
+	pendingBytes int
+	closed       bool
+	wake         chan struct{}
 }
 
 // NewAnswer returns an empty answer.
 func NewAnswer() *Answer { return &Answer{wake: make(chan struct{}, 1)} }
 
-// Put adds a piece. It returns false when the caller is too far behind or
-// gone; the core then gives the request up.
-func (a *Answer) Put(piece node.Output) bool {
+// Put queues a part of the answer. It returns false when the caller is too far
+// behind or has gone away; the core then cancels the request.
+func (a *Answer) Put(output node.Output) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.closed {
 		return false
 	}
-	if chunk, ok := piece.(node.AnswerChunk); ok {
-		a.waiting += len(chunk.Data)
+	if chunk, ok := output.(node.AnswerChunk); ok {
+		a.pendingBytes += len(chunk.Data)
 	}
-	if a.waiting > maxWaiting {
-		// The connection may hang in a write for a while yet; what waits goes
-		// at once.
+	if a.pendingBytes > maxPendingBytes {
+		// The connection's goroutine may block in a write for a while longer, so
+		// the queued parts are freed here and not by that goroutine.
 		a.closed = true
-		a.pieces = nil
+		a.pending = nil
 	} else {
-		a.pieces = append(a.pieces, piece)
+		a.pending = append(a.pending, output)
 	}
 	select {
 	case a.wake <- struct{}{}:
@@ -53,29 +53,29 @@
 	return !a.closed
 }
 
-// Close says that nobody takes the answer any more.
+// Close drops the queued parts and makes every later Put return false.
 func (a *Answer) Close() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.closed = true
-	a.pieces = nil
+	a.pending = nil
 }
 
-// take waits for pieces. It returns false when the caller went away or the
-// answer was closed.
+// take waits for queued parts and returns them. It returns false when the caller
+// has gone away or the answer was closed.
 func (a *Answer) take(gone <-chan struct{}) ([]node.Output, bool) {
 	for {
 		a.mu.Lock()
-		pieces := a.pieces
-		a.pieces = nil
-		a.waiting = 0
+		outputs := a.pending
+		a.pending = nil
+		a.pendingBytes = 0
 		closed := a.closed
 		a.mu.Unlock()
 		if closed {
 			return nil, false
 		}
-		if len(pieces) > 0 {
-			return pieces, true
+		if len(outputs) > 0 {
+			return outputs, true
 		}
 		select {
 		case <-a.wake:
--- a/transport/callers/callers.go
+++ b/transport/callers/callers.go
@@ -1,13 +1,14 @@
-// Package callers serves callers over HTTP: it reads a request whole, hands it
-// to the node core, and writes the answer as it comes.
+// Package callers serves callers over HTTP. Handler reads a complete request,
+// submits it to the node core, and writes the answer to the caller as the core
+// produces it. Answer is the queue between the two.
 //
-// Failures guarded:
+// The package guards against these failures:
 //
-//   - A caller sends a huge or endless request: header, body and the time for
-//     each are bounded.
-//   - A caller takes its answer slowly or not at all: what waits for it is
-//     bounded in bytes, each write is bounded in time, and past either the
-//     request is given up, so that it holds neither memory nor an engine.
+//   - A caller sends a huge or endless request: the sizes of header and body and
+//     the time for each are bounded.
+//   - A caller reads its answer slowly or not at all: the bytes that wait for it
+//     and the time of each write are bounded. Beyond either bound the request is
+//     cancelled, so that it occupies neither memory nor an engine.
 package callers
 
 import (
@@ -34,13 +35,13 @@
 	"endiveplank/transport/upstream"
 )
 
-// Core is the part of the driver that a caller's connection needs.
+// Core is the interface to the node core that a caller's connection needs.
 type Core interface {
-	// Submit hands a request to the node core; its answer goes to the answer.
+	// Submit passes a request to the node core, which writes its outputs to answer.
 	Submit(request node.CallerRequest, answer *Answer)
-	// Gone tells the node core that a caller went away.
-	Gone(id protocol.RequestID)
-	// Ready says whether callers should come here.
+	// CallerGone tells the node core that the caller of a request has gone away.
+	CallerGone(id protocol.RequestID)
+	// Ready reports whether this router accepts callers.
 	Ready() bool
 }
 
@@ -54,8 +55,8 @@
 	mux      *http.ServeMux
 }
 
-// New returns a handler whose request IDs start with prefix, which must
-// differ between routers and between starts of one router. tracer may be nil.
+// New returns a handler. Its request IDs start with prefix, which must differ
+// between routers and between restarts of one router. tracer may be nil.
 func New(core Core, limits settings.Callers, prefix string, tracer *tracing.Tracer) *Handler {
 	h := &Handler{core: core, limits: limits, prefix: prefix, tracer: tracer, mux: http.NewServeMux()}
 	h.mux.HandleFunc("GET /livez", h.live)
@@ -64,7 +65,7 @@
 	return h
 }
 
-// Server returns an HTTP server with the limits applied.
+// Server returns an HTTP server with the configured timeouts and header limit.
 func (h *Handler) Server() *http.Server {
 	return &http.Server{
 		Handler:           h,
@@ -77,10 +78,10 @@
 // ServeHTTP routes one request.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) { h.mux.ServeHTTP(w, r) }
 
-// live answers the platform's question whether the process runs.
+// live answers the platform's liveness probe.
 func (h *Handler) live(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "live\n") }
 
-// ready answers the platform's question whether callers should come here.
+// ready answers the platform's readiness probe.
 func (h *Handler) ready(w http.ResponseWriter, _ *http.Request) {
 	if !h.core.Ready() {
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
@@ -89,7 +90,7 @@
 	_, _ = io.WriteString(w, "ready\n")
 }
 
-// serve takes one request from its first byte to the end of its answer.
+// serve handles one request until the end of its answer.
 func (h *Handler) serve(w http.ResponseWriter, r *http.Request) {
 	id := h.nextID()
 	w.Header().Set(protocol.RequestIDHeader, string(id))
@@ -102,7 +103,7 @@
 	span, headers := h.tracer.StartEntry(id, request.Headers)
 	request.Headers = headers
 	answer := NewAnswer()
-	answer.Trace = tracing.TraceID(headers)
+	answer.TraceID = tracing.TraceID(headers)
 	writer := &answerWriter{
 		response: w,
 		control:  http.NewResponseController(w),
@@ -114,7 +115,7 @@
 	if !writer.copy(r, answer) {
 		writer.result = tracing.Result{Reason: "caller gone", Failed: true}
 		answer.Close()
-		h.core.Gone(id)
+		h.core.CallerGone(id)
 	}
 }
 
@@ -122,7 +123,7 @@
 	return protocol.RequestID(fmt.Sprintf("%s-%d", h.prefix, h.sequence.Add(1)))
 }
 
-// buildRequest turns an HTTP request into the core's input.
+// buildRequest converts an HTTP request to the core's input.
 func buildRequest(id protocol.RequestID, r *http.Request, body []byte) node.CallerRequest {
 	digest := sha256.Sum256(body)
 	request := node.CallerRequest{
@@ -145,7 +146,8 @@
 	return request
 }
 
-// parseChat reads a chat request, or says what is wrong with it.
+// parseChat parses a chat request. The string describes what is wrong with it and
+// is empty for a valid request.
 func parseChat(method string, body []byte) (*chat.Request, string) {
 	if method != http.MethodPost {
 		return nil, "use POST"
@@ -163,7 +165,7 @@
 	return &parsed, ""
 }
 
-// writeBodyError answers a request whose body could not be read.
+// writeBodyError answers a request whose body could not be read completely.
 func writeBodyError(w http.ResponseWriter, err error, limit int64) {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
@@ -178,24 +180,24 @@
 	response http.ResponseWriter
 	control  *http.ResponseController
 	timeout  time.Duration
-	// chunked is false for HTTP/1.0, which ends a body by closing.
-	chunked bool
-	events  bool
-	// result is how the answer ended, for its span.
+	// chunked is false for HTTP/1.0, where the end of the connection ends the body.
+	chunked     bool
+	eventStream bool
+	// result is how the answer ended. It is recorded in the span.
 	result tracing.Result
 }
 
-// copy writes pieces until the answer ends. It returns false when the caller
-// went away or was too slow.
+// copy writes the parts of an answer until it ends. It returns false when the
+// caller went away or was too slow.
 func (a *answerWriter) copy(r *http.Request, answer *Answer) bool {
 	for {
-		pieces, open := answer.take(r.Context().Done())
+		outputs, open := answer.take(r.Context().Done())
 		if !open {
 			return false
 		}
 		_ = a.control.SetWriteDeadline(time.Now().Add(a.timeout))
-		for _, piece := range pieces {
-			ended, err := a.write(piece)
+		for _, output := range outputs {
+			ended, err := a.write(output)
 			if err != nil {
 				return false
 			}
@@ -209,24 +211,24 @@
 	}
 }
 
-// write puts one piece on the wire and says whether it was the last.
-func (a *answerWriter) write(piece node.Output) (bool, error) {
-	switch piece := piece.(type) {
+// write writes one part of the answer and reports whether it was the last.
+func (a *answerWriter) write(output node.Output) (bool, error) {
+	switch output := output.(type) {
 	case node.AnswerHead:
-		a.result.Status = piece.Status
-		a.writeHead(piece)
+		a.result.Status = output.Status
+		a.writeHead(output)
 		return false, nil
 	case node.AnswerChunk:
-		return false, a.writeChunk(piece)
+		return false, a.writeChunk(output)
 	case node.AnswerEnd:
-		a.result.Reason, a.result.Failed = string(piece.Reason), piece.Broken
-		return true, a.writeEnd(piece)
+		a.result.Reason, a.result.Failed = string(output.Reason), output.Broken
+		return true, a.writeEnd(output)
 	case node.AnswerError:
-		a.result = tracing.Result{Status: piece.Status, Reason: string(piece.Reason), Failed: true}
-		writeError(a.response, piece.Status, string(piece.Reason), piece.Detail, piece.Outcome, piece.RetryAfter)
+		a.result = tracing.Result{Status: output.Status, Reason: string(output.Reason), Failed: true}
+		writeError(a.response, output.Status, string(output.Reason), output.Detail, output.Outcome, output.RetryAfter)
 		return true, nil
 	}
-	panic("callers: output that is no answer")
+	panic("callers: output is not a part of an answer")
 }
 
 func (a *answerWriter) writeHead(head node.AnswerHead) {
@@ -234,7 +236,7 @@
 	for _, item := range head.Headers {
 		header.Add(item.Name, item.Value)
 		if item.Name == "Content-Type" && strings.HasPrefix(item.Value, "text/event-stream") {
-			a.events = true
+			a.eventStream = true
 		}
 	}
 	header.Set(protocol.RunOutcomeHeader, string(head.Outcome))
@@ -242,7 +244,7 @@
 }
 
 func (a *answerWriter) writeChunk(chunk node.AnswerChunk) error {
-	if !a.events {
+	if !a.eventStream {
 		_, err := a.response.Write(chunk.Data)
 		return err
 	}
@@ -256,30 +258,31 @@
 	return err
 }
 
-// writeEnd closes the answer. A broken one must not look whole: an event
-// stream gets an error event and no done marker, a plain body is cut.
+// writeEnd ends the answer. A broken answer must not look complete: an event stream
+// ends with an error event and no done marker, and the connection of a plain body is
+// broken off.
 func (a *answerWriter) writeEnd(end node.AnswerEnd) error {
 	if !end.Broken {
-		if a.events {
+		if a.eventStream {
 			_, err := io.WriteString(a.response, "data: "+chat.DoneMarker+"\n\n")
 			return err
 		}
 		return nil
 	}
-	if !a.events {
-		a.cut()
+	if !a.eventStream {
+		a.breakOff()
 	}
 	body := errorBody("server_error", string(end.Reason), "the answer could not be finished", protocol.UnknownRun)
 	_, err := fmt.Fprintf(a.response, "event: error\ndata: %s\n\n", body)
 	return err
 }
 
-// cut ends a plain answer so that it can't look whole. It doesn't return.
+// breakOff ends a plain answer so that it can't look complete. It doesn't return.
 //
-// A client of HTTP/1.1 misses the last chunk. One of HTTP/1.0, as some proxies
-// are by default, takes the end of the connection for the end of the body; it
-// gets a reset instead.
-func (a *answerWriter) cut() {
+// An HTTP/1.1 client notices that the last chunk is missing. For an HTTP/1.0 client,
+// which some proxies are by default, the end of the connection is the end of the
+// body, so its connection is reset.
+func (a *answerWriter) breakOff() {
 	if !a.chunked {
 		if connection, _, err := a.control.Hijack(); err == nil {
 			resetAndClose(connection)
@@ -288,7 +291,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// resetAndClose drops a TCP connection with a reset.
+// resetAndClose closes a TCP connection with a reset (RST) instead of a FIN.
 func resetAndClose(connection net.Conn) {
 	if tcp, ok := connection.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -296,7 +299,7 @@
 	_ = connection.Close()
 }
 
-// writeError answers with an error in the shape that chat API clients expect.
+// writeError answers with an error in the format that chat API clients expect.
 func writeError(w http.ResponseWriter, status int, code, detail string, outcome protocol.RunOutcome, retryAfter time.Duration) {
 	header := w.Header()
 	header.Set("Content-Type", "application/json")
@@ -311,12 +314,12 @@
 func errorBody(kind, code, detail string, outcome protocol.RunOutcome) []byte {
 	body, err := json.Marshal(chat.ErrorBody{Error: chat.ErrorDetail{Message: detail, Type: kind, Code: code, Outcome: string(outcome)}})
 	if err != nil {
-		panic("callers: error body that can't be encoded: " + err.Error())
+		panic("callers: can't encode the error body: " + err.Error())
 	}
 	return body
 }
 
-// errorType groups a status as chat API clients do.
+// errorType returns the error type that chat API clients expect for a status.
 func errorType(status int) string {
 	switch {
 	case status == http.StatusUnauthorized:
--- a/transport/callers/callers_test.go
+++ b/transport/callers/callers_test.go
@@ -22,47 +22,49 @@
 	"endiveplank/settings"
 )
 
-// patience bounds a wait for what must happen; it decides no verdict.
-const patience = 30 * time.Second
+// waitTimeout bounds the wait for an expected event. It is long enough that it
+// decides no result.
+const waitTimeout = 30 * time.Second
 
-// scripted is a Core that answers every request by a script.
-type scripted struct {
+// scriptedCore is a Core that answers every request with script.
+type scriptedCore struct {
 	script func(request node.CallerRequest, answer *Answer)
 
-	mu      sync.Mutex
-	taken   []node.CallerRequest
-	answers []*Answer
-	gone    int
+	mu       sync.Mutex
+	requests []node.CallerRequest
+	answers  []*Answer
+	gone     int
 }
 
-func (s *scripted) Submit(request node.CallerRequest, answer *Answer) {
+func (s *scriptedCore) Submit(request node.CallerRequest, answer *Answer) {
 	s.mu.Lock()
-	s.taken = append(s.taken, request)
+	s.requests = append(s.requests, request)
 	s.answers = append(s.answers, answer)
 	s.mu.Unlock()
 	s.script(request, answer)
 }
 
-func (s *scripted) Gone(protocol.RequestID) {
+func (s *scriptedCore) CallerGone(protocol.RequestID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.gone++
 }
 
-func (s *scripted) Ready() bool { return true }
+func (s *scriptedCore) Ready() bool { return true }
 
-func (s *scripted) count() (taken, gone int) {
+func (s *scriptedCore) count() (taken, gone int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.taken), s.gone
+	return len(s.requests), s.gone
 }
 
-// start serves a script with limits that tests can reach.
-func start(t *testing.T, pieces ...node.Output) (*scripted, string) {
+// start serves a core that answers every request with the given outputs. Its limits
+// are small enough for tests to exceed.
+func start(t *testing.T, outputs ...node.Output) (*scriptedCore, string) {
 	t.Helper()
-	core := &scripted{script: func(_ node.CallerRequest, answer *Answer) {
-		for _, piece := range pieces {
-			answer.Put(piece)
+	core := &scriptedCore{script: func(_ node.CallerRequest, answer *Answer) {
+		for _, output := range outputs {
+			answer.Put(output)
 		}
 	}}
 	limits := settings.Defaults().Callers
@@ -75,7 +77,7 @@
 	return core, server.Listener.Addr().String()
 }
 
-func events(head node.AnswerHead) node.AnswerHead {
+func eventStream(head node.AnswerHead) node.AnswerHead {
 	head.Status = http.StatusOK
 	head.Headers = append(head.Headers, fleet.Header{Name: "Content-Type", Value: "text/event-stream"})
 	return head
@@ -107,10 +109,10 @@
 	assert.Equal(t, taken, 1)
 }
 
-// A broken client or a hostile one opens connections and sends its header or
-// body a byte at a time, or never. Each must end by itself, and no part of a
-// request may run.
-func TestSlowRequestsEndByThemselves(t *testing.T) {
+// A faulty or hostile client opens connections and sends its header or body a byte
+// at a time, or never. The server must close each connection after its timeout, and
+// no such request may reach the core.
+func TestSlowRequestsTimeOut(t *testing.T) {
 	core, address := start(t, node.AnswerEnd{})
 	for name, sent := range map[string]string{
 		"nothing": "",
@@ -121,7 +123,7 @@
 			connection, err := net.Dial("tcp", address)
 			assert.NilError(t, err)
 			defer connection.Close()
-			_ = connection.SetDeadline(time.Now().Add(patience))
+			_ = connection.SetDeadline(time.Now().Add(waitTimeout))
 			_, err = io.WriteString(connection, sent)
 			assert.NilError(t, err)
 			answer, err := io.ReadAll(connection)
@@ -135,23 +137,24 @@
 	assert.Equal(t, taken, 0)
 }
 
-// A caller opens a stream and takes nothing of it while the engine goes on.
-// What waits for it is memory that others need, so it must be given up and let
-// go of, also while a write to it still hangs.
-func TestSlowReaderIsGivenUpWithoutHoldingMemory(t *testing.T) {
-	piece := make([]byte, 64<<10)
-	put := make(chan int, 1)
+// A caller opens a stream and reads nothing while the engine keeps generating. The
+// queued answer occupies memory that other requests need. The request must be
+// cancelled and its queue freed, even while a write to the caller still blocks.
+func TestSlowReaderIsDroppedAndItsMemoryFreed(t *testing.T) {
+	data := make([]byte, 64<<10)
+	accepted := make(chan int, 1)
 	core, address := start(t)
 	core.script = func(_ node.CallerRequest, answer *Answer) {
 		go func() {
-			answer.Put(events(node.AnswerHead{}))
+			answer.Put(eventStream(node.AnswerHead{}))
 			n := 0
-			for answer.Put(node.AnswerChunk{Data: piece}) {
+			for answer.Put(node.AnswerChunk{Data: data}) {
 				n++
-				// The connection's buffers fill before the answer's.
+				// The pause lets the connection's buffers fill before the answer's
+				// queue does.
 				time.Sleep(time.Millisecond)
 			}
-			put <- n
+			accepted <- n
 		}()
 	}
 	connection, err := net.Dial("tcp", address)
@@ -159,24 +162,24 @@
 	defer connection.Close()
 	_, err = io.WriteString(connection, "POST /svc/orders HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
 	assert.NilError(t, err)
-	<-put
+	<-accepted
 	answer := core.answers[0]
 	answer.mu.Lock()
-	held := len(answer.pieces)
+	held := len(answer.pending)
 	answer.mu.Unlock()
 	assert.Equal(t, held, 0)
-	for deadline := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); ; time.Sleep(time.Millisecond) {
 		if _, gone := core.count(); gone == 1 {
 			break
 		}
-		assert.Assert(t, time.Now().Before(deadline), "the core hears that the caller is gone")
+		assert.Assert(t, time.Now().Before(deadline), "the core was not told that the caller is gone")
 	}
 }
 
-// An answer breaks off after it has begun. A caller must see that, whatever
-// the form: the whole of a plain answer or the done marker of a stream would
-// pass the part for the whole.
-func TestBrokenAnswersNeverLookWhole(t *testing.T) {
+// An answer breaks off after it has begun. In every format the caller must be able
+// to tell: a plain body that ends normally, or a stream with a done marker, would
+// make the partial answer look complete.
+func TestBrokenAnswersNeverLookComplete(t *testing.T) {
 	broken := node.AnswerEnd{Broken: true, Reason: "upstream_lost"}
 	chunk := node.AnswerChunk{Data: []byte("fuel")}
 	t.Run("plain", func(t *testing.T) {
@@ -186,7 +189,7 @@
 			defer response.Body.Close()
 			_, err = io.ReadAll(response.Body)
 		}
-		assert.Assert(t, err != nil, "the client sees the cut")
+		assert.Assert(t, err != nil, "the client must notice that the answer broke off")
 	})
 	t.Run("plain, to a client that knows no chunks", func(t *testing.T) {
 		core, address := start(t)
@@ -208,10 +211,10 @@
 		assert.NilError(t, err)
 		close(begun)
 		_, err = io.ReadAll(response.Body)
-		assert.Assert(t, err != nil, "the end by closing looks whole to it")
+		assert.Assert(t, err != nil, "a normal close would look complete to an HTTP/1.0 client")
 	})
 	t.Run("events", func(t *testing.T) {
-		_, address := start(t, events(node.AnswerHead{}), chunk, broken)
+		_, address := start(t, eventStream(node.AnswerHead{}), chunk, broken)
 		raw, err := io.ReadAll(post(t, address, "").Body)
 		assert.NilError(t, err)
 		assert.Assert(t, strings.Contains(string(raw), "event: error\ndata: "), string(raw))
@@ -219,14 +222,14 @@
 		assert.Assert(t, !strings.Contains(string(raw), chat.DoneMarker), string(raw))
 	})
 	t.Run("whole events", func(t *testing.T) {
-		_, address := start(t, events(node.AnswerHead{}), chunk, node.AnswerEnd{})
+		_, address := start(t, eventStream(node.AnswerHead{}), chunk, node.AnswerEnd{})
 		raw, err := io.ReadAll(post(t, address, "").Body)
 		assert.NilError(t, err)
 		assert.Equal(t, string(raw), "id: 0\ndata: fuel\n\ndata: [DONE]\n\n")
 	})
 }
 
-func TestErrorsNameCauseOutcomeAndWhenToComeBack(t *testing.T) {
+func TestErrorsNameCauseOutcomeAndRetryAfter(t *testing.T) {
 	for status, kind := range map[int]string{
 		400: "invalid_request_error", 401: "authentication_error", 403: "permission_error",
 		429: "rate_limit_error", 500: "server_error", 503: "overloaded_error",
