--- a/transport/announce/announce.go
+++ b/transport/announce/announce.go
@@ -1,7 +1,10 @@
-// Package announce serves the listener on which upstreams announce themselves.
+// Package announce serves the HTTP listener on which upstreams register themselves
+// (announcements) and deregister. Handler checks each message and passes the valid
+// ones to a Sink.
 //
-// A bad announcement (not JSON, oversized, an impossible capacity or load, an
-// address that is no IP:port) is refused with the reason and changes nothing.
+// It guards against faulty upstreams and unknown senders: an invalid announcement
+// (not JSON, too large, an impossible capacity or load, an address that isn't an
+// IP:port) is refused with the reason and changes nothing.
 package announce
 
 import (
@@ -18,21 +21,23 @@
 
 // Limits of one announcement.
 const (
-	// maxBytes holds an announcement with a full batch of cache events.
+	// maxBytes bounds the body. An announcement with a full batch of cache events
+	// fits.
 	maxBytes = 256 << 10
-	// maxName is the longest name in bytes.
+	// maxName is the maximum length of a name in bytes.
 	maxName = 128
-	// maxModels is the most models one engine serves.
+	// maxModels is the maximum number of models of one engine.
 	maxModels = 64
-	// maxConcurrent is the most requests one upstream runs at once.
+	// maxConcurrent is the highest concurrency limit that an upstream can announce.
 	maxConcurrent = 100_000
-	// maxCapacity is in tokens a second.
+	// maxCapacity is the highest capacity in tokens per second.
 	maxCapacity = 1e9
-	// maxTokens bounds the load an upstream can report.
+	// maxTokens is the highest number of outstanding tokens that an upstream can
+	// report as its load.
 	maxTokens = 1 << 40
 )
 
-// Sink takes what upstreams say.
+// Sink receives the valid announcements and leave messages.
 type Sink interface{ Input(node.Input) }
 
 // Handler serves the upstreams' listener.
@@ -42,7 +47,7 @@
 	mux     *http.ServeMux
 }
 
-// New returns a handler that reports to sink.
+// New returns a handler that passes valid messages to sink.
 func New(sink Sink) *Handler {
 	h := &Handler{sink: sink, mux: http.NewServeMux()}
 	h.mux.HandleFunc("POST "+upstreamapi.AnnouncePath, h.announce)
@@ -53,7 +58,7 @@
 // ServeHTTP routes one request.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) { h.mux.ServeHTTP(w, r) }
 
-// Refused returns how many announcements were refused.
+// Refused returns how many messages were refused.
 func (h *Handler) Refused() uint64 { return h.refused.Load() }
 
 func (h *Handler) announce(w http.ResponseWriter, r *http.Request) {
@@ -91,7 +96,8 @@
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// Check says what is wrong with an announcement, or nothing.
+// Check describes what is wrong with an announcement. It returns an empty string
+// for a valid one.
 func Check(a upstreamapi.Announcement) string {
 	switch {
 	case !isName(string(a.ID)):
--- a/transport/announce/announce_test.go
+++ b/transport/announce/announce_test.go
@@ -10,16 +10,16 @@
 	"endiveplank/coordination/node"
 )
 
-type inputs []node.Input
+type inputRecorder []node.Input
 
-func (i *inputs) Input(in node.Input) { *i = append(*i, in) }
+func (i *inputRecorder) Input(in node.Input) { *i = append(*i, in) }
 
-const good = `{"id":"e1","kind":"engine","address":"127.0.0.1:9","data_centre":"dc1","models":["m"],"capacity":10,"max_concurrent":4}`
+const validAnnouncement = `{"id":"e1","kind":"engine","address":"127.0.0.1:9","data_centre":"dc1","models":["m"],"capacity":10,"max_concurrent":4}`
 
-// An upstream with a fault, or a stranger, announces nonsense. It must be told
-// what is wrong, be counted, and change nothing.
+// A faulty upstream or an unknown sender sends an invalid announcement. The handler
+// must reply with the reason, count it, and pass nothing on.
 func TestBadAnnouncementsChangeNothing(t *testing.T) {
-	for name, tc := range map[string]struct{ old, new, says string }{
+	for name, tc := range map[string]struct{ old, new, message string }{
 		"no id":         {`"e1"`, `""`, "id must"},
 		"host name":     {`127.0.0.1:9`, `engine.local:9`, "address"},
 		"no capacity":   {`"capacity":10`, `"capacity":0`, "capacity"},
@@ -29,23 +29,23 @@
 		"oversized":     {`"e1"`, `"` + strings.Repeat("x", maxBytes) + `"`, "too large"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var seen inputs
+			var seen inputRecorder
 			handler := New(&seen)
-			body := strings.Replace(good, tc.old, tc.new, 1)
+			body := strings.Replace(validAnnouncement, tc.old, tc.new, 1)
 			recorder := httptest.NewRecorder()
 			handler.ServeHTTP(recorder, httptest.NewRequest("POST", "/v1/upstreams/announce", strings.NewReader(body)))
 			assert.Equal(t, recorder.Code, 400)
-			assert.Assert(t, strings.Contains(recorder.Body.String(), tc.says), recorder.Body.String())
+			assert.Assert(t, strings.Contains(recorder.Body.String(), tc.message), recorder.Body.String())
 			assert.Equal(t, len(seen), 0)
 			assert.Equal(t, handler.Refused(), uint64(1))
 		})
 	}
 }
 
-func TestGoodAnnouncementReachesTheCore(t *testing.T) {
-	var seen inputs
+func TestValidAnnouncementReachesTheCore(t *testing.T) {
+	var seen inputRecorder
 	recorder := httptest.NewRecorder()
-	New(&seen).ServeHTTP(recorder, httptest.NewRequest("POST", "/v1/upstreams/announce", strings.NewReader(good)))
+	New(&seen).ServeHTTP(recorder, httptest.NewRequest("POST", "/v1/upstreams/announce", strings.NewReader(validAnnouncement)))
 	assert.Equal(t, recorder.Code, 200)
 	assert.Equal(t, len(seen), 1)
 }
