--- a/daemon/operators.go
+++ b/daemon/operators.go
@@ -67,7 +67,7 @@
 }
 
 // Settle implements admin.Fleet.
-func (d *Daemon) Settle(ctx context.Context, settle admin.Settle) (orders.Result, error) {
+func (d *Daemon) Settle(ctx context.Context, settle admin.SettleRequest) (orders.Result, error) {
 	command := orders.Command{
 		Op:  orders.OpSettle,
 		Key: orders.Key{Customer: settle.Customer, Key: settle.Key},
--- a/tool/order.go
+++ b/tool/order.go
@@ -48,7 +48,7 @@
 }
 
 func orderSettle(o *options) *cobra.Command {
-	request := admin.Settle{}
+	request := admin.SettleRequest{}
 	var notRun bool
 	command := &cobra.Command{
 		Use:   "settle CUSTOMER KEY (--ran --status N --body TEXT | --not-run)",
--- a/transport/admin/admin.go
+++ b/transport/admin/admin.go
@@ -1,11 +1,12 @@
-// Package admin serves operators over HTTP on a listener of its own: the
-// table, the fleet's status, explained events, orders, and metrics. The tool
-// `endiveplank` is its client; docs/ADMIN.md lists the calls.
+// Package admin serves the operators' HTTP API on a separate listener: the table,
+// the fleet's status, explained events, orders, quarantined requests and metrics.
+// Handler serves the calls and Fleet does their work. The tool `endiveplank` is the
+// client; docs/ADMIN.md lists the calls.
 //
-// Every call but the metrics needs an operator's key as a bearer. A key has a
-// role: read sees everything but keys' digests, edit also changes the table
-// and settles orders, control also drains and lifts quarantines. Every change
-// names the operator in the table's history, which is the audit trail.
+// Every call except the metrics needs an operator's key as bearer token. A key has a
+// role: read sees everything except the digests of keys, edit also changes the table
+// and settles orders, control also drains upstreams and lifts quarantines. The
+// table's history names the operator of every change and serves as the audit trail.
 package admin
 
 import (
@@ -31,50 +32,51 @@
 )
 
 const (
-	// maxBody bounds a change of the table.
+	// maxBody bounds the body of a call. The largest bodies are table changes.
 	maxBody = 4 << 20
-	// changeTimeout bounds how long a change may take to be in force.
+	// changeTimeout bounds how long a change may take to be in force everywhere.
 	changeTimeout = 10 * time.Second
-	// queryTimeout bounds a question to the fleet.
+	// queryTimeout bounds a query to the fleet.
 	queryTimeout = 2 * time.Second
-	// maxHistory is the most history entries of one answer.
+	// maxHistory is the maximum number of history entries in one answer.
 	maxHistory = 500
 )
 
-// Fleet is what the operators' calls work on.
+// Fleet executes the operators' calls.
 type Fleet interface {
 	// Status describes the fleet as this process sees it.
 	Status(ctx context.Context) Status
-	// Rows returns a sheet as it is in force here.
+	// Rows returns the rows of a sheet that are in force in this process.
 	Rows(sheet table.Sheet) []table.Row
 	// Change commits a change and returns when it is in force everywhere.
 	Change(ctx context.Context, change table.Change) (table.Answer, error)
-	// History asks the leader for past changes.
+	// History returns past changes from the leader.
 	History(ctx context.Context, query HistoryQuery) ([]table.HistoryEntry, error)
-	// Undo returns the edits that take a change back.
+	// Undo returns the edits that reverse a change.
 	Undo(ctx context.Context, changeID string) ([]table.Edit, error)
-	// Events asks every router for explained events.
+	// Events collects explained events from every router.
 	Events(ctx context.Context, query explain.Query) EventsAnswer
 	// Order returns an order's record.
 	Order(ctx context.Context, key orders.Key) (orders.Record, bool, error)
-	// Settle records what the service itself says about an unknown order.
-	Settle(ctx context.Context, settle Settle) (orders.Result, error)
-	// Quarantine lists the requests that are refused for crashes of upstreams,
-	// and LiftQuarantine lets one run again, on every router.
+	// Settle records the outcome of an order in state unknown, as the operator
+	// learned it from the service.
+	Settle(ctx context.Context, settle SettleRequest) (orders.Result, error)
+	// Quarantine lists the requests that are refused because they crashed
+	// upstreams. LiftQuarantine lets one of them run again, on every router.
 	Quarantine() []QuarantineEntry
 	LiftQuarantine(digest uint64)
 	// WriteMetrics writes this process's metrics.
 	WriteMetrics(w io.Writer) error
 }
 
-// Status is the fleet at a glance.
+// Status summarizes the fleet as one process sees it.
 type Status struct {
 	Router     protocol.RouterID   `json:"router"`
 	DataCentre protocol.DataCentre `json:"data_centre"`
 	Ready      bool                `json:"ready"`
 	Leader     protocol.RouterID   `json:"leader"`
 	Revision   uint64              `json:"revision"`
-	// Problems says what is wrong, worst first; empty when all is well.
+	// Problems lists what is wrong, worst first; empty if nothing is.
 	Problems  []string         `json:"problems"`
 	Routers   []RouterStatus   `json:"routers"`
 	Voters    []VoterStatus    `json:"voters,omitempty"`
@@ -109,7 +111,7 @@
 	Drain      bool                `json:"drain"`
 }
 
-// HistoryQuery selects past changes. Empty fields match all.
+// HistoryQuery selects past changes. An empty sheet or key matches all.
 type HistoryQuery struct {
 	Sheet table.Sheet `json:"sheet" msgpack:"s"`
 	Key   string      `json:"key" msgpack:"k"`
@@ -119,34 +121,34 @@
 // EventsAnswer holds the events of all routers that answered.
 type EventsAnswer struct {
 	Events []explain.Event `json:"events"`
-	// Silent lists routers that didn't answer in time: their part of the
-	// story is missing.
+	// Silent lists routers that didn't answer in time. Their events are missing.
 	Silent []protocol.RouterID `json:"silent,omitempty"`
 }
 
-// Settle is an operator's word about an order that is unknown.
-type Settle struct {
+// SettleRequest is the body of a call that settles an order in state unknown.
+type SettleRequest struct {
 	Customer protocol.CustomerID `json:"customer"`
 	Key      string              `json:"key"`
-	// Ran says whether the service ran it.
+	// Ran is whether the service executed the order.
 	Ran    bool   `json:"ran"`
 	Status int    `json:"status,omitempty"`
 	Body   string `json:"body,omitempty"`
 	Who    string `json:"-"`
 }
 
-// QuarantineEntry is one request that is refused for crashes of upstreams.
+// QuarantineEntry is one request that is refused because it crashed upstreams.
 type QuarantineEntry struct {
-	// Digest identifies customer and body, 16 hexadecimal digits.
+	// Digest identifies customer and body. It has 16 hexadecimal digits.
 	Digest string `json:"digest"`
-	// Customer is empty on routers that haven't met the request themselves.
+	// Customer is empty on routers that never received the request themselves.
 	Customer protocol.CustomerID `json:"customer,omitempty"`
-	// Strikes counts how often it was condemned, Seconds what is left.
+	// Strikes is how often the request was quarantined, Seconds how long the
+	// current quarantine still lasts.
 	Strikes int `json:"strikes"`
 	Seconds int `json:"seconds"`
 }
 
-// LiftRequest is the body of a lifted quarantine.
+// LiftRequest is the body of a call that lifts a quarantine.
 type LiftRequest struct {
 	Digest string `json:"digest"`
 }
@@ -168,25 +170,26 @@
 // ErrorBody is the body of an error answer.
 type ErrorBody struct {
 	Error string `json:"error"`
-	// Next says what the operator can do.
+	// Next tells the operator what to do about the error.
 	Next string `json:"next,omitempty"`
 }
 
-// Handler serves the operators' listener.
+// Handler serves the operators' HTTP API.
 type Handler struct {
 	fleet     Fleet
 	operators atomic.Pointer[[]settings.Operator]
 	mux       *http.ServeMux
 }
 
-// rank orders the roles; each includes the lower ones.
-var rank = map[settings.OperatorRole]int{
+// roleRank orders the roles. Each role includes the rights of the lower ones.
+var roleRank = map[settings.OperatorRole]int{
 	settings.OperatorRead:    1,
 	settings.OperatorEdit:    2,
 	settings.OperatorControl: 3,
 }
 
-// New returns a handler.
+// New returns a handler that executes calls on fleet and accepts the keys of
+// operators.
 func New(fleet Fleet, operators []settings.Operator) *Handler {
 	h := &Handler{fleet: fleet, mux: http.NewServeMux()}
 	h.SetOperators(operators)
@@ -208,25 +211,25 @@
 	return h
 }
 
-// SetOperators puts other operators' keys in force, from the next call on.
+// SetOperators replaces the operators and their keys, starting with the next call.
 func (h *Handler) SetOperators(operators []settings.Operator) { h.operators.Store(&operators) }
 
 // ServeHTTP routes one call.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) { h.mux.ServeHTTP(w, r) }
 
-// call is an operator's call; who is the operator's name.
-type call func(w http.ResponseWriter, r *http.Request, who string)
+// operatorHandler handles an operator's call. who is the operator's name.
+type operatorHandler func(w http.ResponseWriter, r *http.Request, who string)
 
-// handle registers a call that needs at least a role.
-func (h *Handler) handle(pattern string, least settings.OperatorRole, serve call) {
+// handle registers a handler for calls that need at least the role minRole.
+func (h *Handler) handle(pattern string, minRole settings.OperatorRole, serve operatorHandler) {
 	h.mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
 		operator, found := h.operator(r)
 		if !found {
 			writeError(w, http.StatusUnauthorized, "no operator has this key", "send an operator's key as Authorization: Bearer KEY")
 			return
 		}
-		if rank[operator.Role] < rank[least] {
-			writeError(w, http.StatusForbidden, "the role "+string(operator.Role)+" may not do this", "use a key with the role "+string(least))
+		if roleRank[operator.Role] < roleRank[minRole] {
+			writeError(w, http.StatusForbidden, "the role "+string(operator.Role)+" may not do this", "use a key with the role "+string(minRole))
 			return
 		}
 		r.Body = http.MaxBytesReader(w, r.Body, maxBody)
@@ -234,8 +237,8 @@
 	})
 }
 
-// operator finds the operator of a call. Every key is compared, each in
-// constant time, so the time taken tells nothing about them.
+// operator returns the operator whose key a call carries. It compares every key in
+// constant time, so that the response time reveals nothing about the keys.
 func (h *Handler) operator(r *http.Request) (settings.Operator, bool) {
 	key, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	digest := sha256.Sum256([]byte(key))
@@ -324,8 +327,9 @@
 	h.commit(w, r, table.Change{ID: request.ID, Who: who, Why: request.Why, Edits: edits})
 }
 
-// commit answers a change with its outcome: 200 in force, 409 another change
-// won, 422 invalid.
+// commit makes a change and answers with its outcome: status 200 when it is in
+// force, 409 when it conflicts with another change or reuses a change's ID, 422 when
+// it is invalid.
 func (h *Handler) commit(w http.ResponseWriter, r *http.Request, change table.Change) {
 	ctx, cancel := context.WithTimeout(r.Context(), changeTimeout)
 	defer cancel()
@@ -363,7 +367,7 @@
 	writeJSON(w, http.StatusOK, describeOrder(record))
 }
 
-// OrderView is an order as operators see it.
+// OrderView is an order in the operators' API.
 type OrderView struct {
 	Customer   protocol.CustomerID `json:"customer"`
 	Key        string              `json:"key"`
@@ -390,7 +394,7 @@
 }
 
 func (h *Handler) settle(w http.ResponseWriter, r *http.Request, who string) {
-	var request Settle
+	var request SettleRequest
 	if !readJSON(w, r, &request) {
 		return
 	}
@@ -413,7 +417,7 @@
 	writeJSON(w, http.StatusOK, h.fleet.Quarantine())
 }
 
-// hexadecimal is the base of digests in JSON, and digestBits their size.
+// hexadecimal is the base of digests in JSON, digestBits their size in bits.
 const (
 	hexadecimal = 16
 	digestBits  = 64
@@ -447,8 +451,8 @@
 	writeError(w, http.StatusServiceUnavailable, err.Error(), "try again, or ask another router")
 }
 
-func writeError(w http.ResponseWriter, status int, what, next string) {
-	writeJSON(w, status, ErrorBody{Error: what, Next: next})
+func writeError(w http.ResponseWriter, status int, message, next string) {
+	writeJSON(w, status, ErrorBody{Error: message, Next: next})
 }
 
 func writeJSON(w http.ResponseWriter, status int, body any) {
