--- a/cmd/endiveplankd/direct.go
+++ b/cmd/endiveplankd/direct.go
@@ -117,7 +117,7 @@
 	lines := loglines.New(os.Stdout, settings.Name, settings.Log.LinesPerSecond)
 	defer lines.Close(logPatience)
 	log := newDirectLogger(settings, lines)
-	running, err := start(logs{log: log, requests: newDirectLogger(settings, lines.Ordinary())}, settings, newRandom())
+	running, err := start(logs{log: log, requests: newDirectLogger(settings, lines.PerRequest())}, settings, newRandom())
 	if err != nil {
 		log.Error().Str("event", "not-started").Err(err).Send()
 		return err
@@ -171,7 +171,7 @@
 	}
 	return router.New(router.Options{
 		Settings: settings, Tracer: tracer, Dialect: platform.Dialect{}, Log: logs.log, RequestLog: logs.requests, Random: random,
-		ReadTable: func(_ uint64, body []byte) (*routing.Table, error) { return platform.ReadTable(body) },
+		ParseTable: func(_ uint64, body []byte) (*routing.Table, error) { return platform.ReadTable(body) },
 		AnnouncementHandler: func(take func(context.Context, roster.Entry) bool) http.Handler {
 			return platform.NewAnnouncementHandler(take, logs.log)
 		},
@@ -199,7 +199,7 @@
 	if settings.Listen.Metrics == "" {
 		return d, nil
 	}
-	if err := d.serve(settings.Listen.Metrics, http.HandlerFunc(vm.AnswerMetrics)); err != nil {
+	if err := d.serve(settings.Listen.Metrics, http.HandlerFunc(vm.ServeMetrics)); err != nil {
 		d.Stop()
 		return nil, err
 	}
--- a/transport/peer/accept.go
+++ b/transport/peer/accept.go
@@ -24,7 +24,7 @@
 }
 
 // beginIncarnation makes the process that has just sent its Hello the only one
-// whose frames are accepted. The numbers of another incarnation start again.
+// whose frames are accepted. Frame numbers start again with a new incarnation.
 //
 // Frames of an ended process can still be in its old connection's buffers when
 // its successor connects. Only the handshake, never a frame, changes the
