--- a/transport/forward/handler.go
+++ b/transport/forward/handler.go
@@ -213,7 +213,7 @@
 		f.outcome.HeaderError = err.Error()
 	}
 	f.call = call
-	f.span = f.handler.options.Tracer.Request(call.ID, f.request.Header)
+	f.span = f.handler.options.Tracer.StartRequest(call.ID, f.request.Header)
 	f.job.ID = call.ID
 	f.job.Prompt = call.Prompt
 	f.timeout = requestTimeout(call.Remaining, 0)
--- a/transport/upstream/client.go
+++ b/transport/upstream/client.go
@@ -134,7 +134,7 @@
 
 // callTraced makes one call within a span.
 func (c *Client) callTraced(ctx context.Context, call node.CallUpstream) node.UpstreamEnd {
-	span, headers := c.tracer.Upstream(call.Place)
+	span, headers := c.tracer.StartUpstream(call.Place)
 	call.Place.Headers = headers
 	end := c.doCall(ctx, call)
 	span.End(tracing.Result{Status: end.Status, Failed: !end.Complete})
