--- a/daemon/frames.go
+++ b/daemon/frames.go
@@ -93,7 +93,7 @@
 		}
 		d.runner.Input(node.Leaving{Leave: leave, Forwarded: true})
 		return nil
-	case wire.KindTotals:
+	case wire.KindLoadTotals:
 		summary, ok := loadbound.DecodeSummary(frame.Payload)
 		if !ok {
 			return eris.New("load summary of the wrong size")
@@ -128,7 +128,7 @@
 	if err := codec.Unmarshal(frame.Payload, &renewal); err != nil {
 		return eris.Wrap(err, "renewal")
 	}
-	reply := lease.Reply{Verdict: lease.NotLeader, Seq: renewal.Seq}
+	reply := lease.Reply{Outcome: lease.NotLeader, Seq: renewal.Seq}
 	if d.host != nil {
 		reply = d.host.renew(renewal)
 	}
