--- a/loadgen/engines.go
+++ b/loadgen/engines.go
@@ -109,8 +109,9 @@
 	})
 }
 
-// sampleOf subtracts the counters at the start of the phase. The counters of an
-// engine that has restarted since then began at zero, so nothing is subtracted.
+// sampleOf returns a reading with the counters at the start of the phase
+// subtracted. The counters of an engine that has restarted since then began at
+// zero, so nothing is subtracted from them.
 func sampleOf(stats, base engine.Stats) EngineSample {
 	now, before := stats.Counters, base.Counters
 	if now.PromptTokens < before.PromptTokens {
--- a/loadgen/loadgen.go
+++ b/loadgen/loadgen.go
@@ -114,7 +114,7 @@
 		return nil, eris.New("no targets: name the fleet's caller addresses, or engines for a direct run")
 	}
 	if options.Trace.Rate <= 0 || options.Trace.Customers < 1 || len(options.Trace.Models) == 0 {
-		return nil, eris.Errorf("the rate (%g), the customers (%d) and the models (%d) must not be empty", options.Trace.Rate, options.Trace.Customers, len(options.Trace.Models))
+		return nil, eris.Errorf("the rate (%g), the number of customers (%d) and the number of models (%d) must be positive", options.Trace.Rate, options.Trace.Customers, len(options.Trace.Models))
 	}
 	if len(options.Engines) == 0 {
 		options.Engines = options.Direct
--- a/loadgen/trace/trace.go
+++ b/loadgen/trace/trace.go
@@ -57,8 +57,8 @@
 	ReturnShare  float64
 	PauseMin     time.Duration
 	PauseMax     time.Duration
-	// MaxTurns is the number of requests after which a chat ends, and MaxPaused the
-	// number of paused chats from which on no further chat returns.
+	// MaxTurns is the number of requests after which a chat ends. MaxPaused bounds
+	// the number of paused chats; a chat that would exceed it ends instead.
 	MaxTurns    int
 	MaxPaused   int
 	LongShare   float64
@@ -122,7 +122,8 @@
 	paused           pausedChats
 }
 
-// pausedChat is a chat between two of its turns. due is when it returns.
+// pausedChat is a chat between two of its turns. due is the time at which it
+// returns, on the clock of the trace.
 type pausedChat struct {
 	due      time.Duration
 	id       uint64
--- a/tool/tool.go
+++ b/tool/tool.go
@@ -3,9 +3,10 @@
 // and load runs. NewCommand returns its root command. It calls the admin listener
 // of any router and prints tables for people or JSON for programs.
 //
-// Every change carries an ID and the revision that the operator saw. So a change
-// that is sent again, because its response was lost, is applied once, and a
-// change based on an outdated row is refused as a conflict.
+// Every change of the table carries an ID, so that a change that is sent again,
+// because its response was lost, is applied once. Edits of rows also carry the
+// revision that the operator saw, so that one based on an outdated row is refused
+// as a conflict.
 //
 // Exit statuses: 0 done; 1 the fleet refused, and the reason is printed; 2 wrong
 // usage; 3 the router is unreachable; 4 a concurrent change won; 5 the outcome of
