--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,12 +1,21 @@
-// Package daemon puts one endiveplankd process together from its parts and
-// runs it: the node core with its runner, the mesh to the other processes, the
-// listeners for callers, upstreams and operators, and on VMs with a disk the
-// consensus member with the replicated state.
+// Package daemon runs one process of the relay fleet: a router, a voter or a spare. New builds
+// a Daemon from the settings. Its parts are the node core and the runner that drives it, the
+// mesh of connections to the other processes, the membership gossip, the HTTP listeners for
+// callers, upstreams and operators, and, on voters and spares, the consensus replica with the
+// replicated state.
 //
-// Each part has a lifecycle of its own. New provisions them all and returns
-// the first error; Start begins; Stop ends the process as planned: unready
-// first, then ownership handed over, then requests in flight finished, then
-// listeners and connections closed.
+// Start opens the listeners and begins to serve. Stop ends the process as planned: the router
+// first reports that it is unready, then refuses new requests, releases the upstreams that it
+// owns, finishes the requests in flight, and at last closes its listeners and connections.
+//
+// Failures that the package guards against:
+//
+//   - The leader dies. A router that asked one voter after the other would find the next
+//     leader only after its own lease had expired, so it asks all voters at once.
+//   - A router dies while callers of other routers wait for its upstreams. Gossip reports the
+//     loss to those routers long before the lease expires.
+//   - So many voters are lost for good that the others have no quorum. Recover makes one
+//     survivor the only voter; it never creates an empty state at a mistyped path.
 package daemon
 
 import (
@@ -41,41 +50,41 @@
 	"endiveplank/transport/upstream"
 )
 
-// lostAfter is how long a peer may be unreachable before its work is moved.
+// lostAfter is how long a peer may be unreachable before its requests are moved elsewhere.
 const lostAfter = 2 * time.Second
 
-// handOverTime is what a leader that stops as planned needs to pass its office
-// on. Without it the fleet would elect one after an election timeout.
-const handOverTime = 100 * time.Millisecond
+// leadershipTransferWait is how long a stopping leader waits for its leadership transfer to take
+// effect. Without the transfer the fleet would elect a leader only after an election timeout.
+const leadershipTransferWait = 100 * time.Millisecond
 
 // Daemon is one running process.
 type Daemon struct {
-	settings  settings.Settings
-	log       zerolog.Logger
-	epoch     time.Time
-	counters  *counters
-	runner    *runner
-	mesh      *peer.Mesh
-	member    *member
-	gossip    *gossip
-	host      *stateHost
-	replica   *replica.Replica
-	servers   []*http.Server
-	questions *questions
-	tracer    *tracing.Tracer
-	admin     *admin.Handler
-	folder    *disk.OS
-	quit      chan struct{}
+	settings   settings.Settings
+	log        zerolog.Logger
+	startedAt  time.Time
+	counters   *counters
+	runner     *runner
+	mesh       *peer.Mesh
+	member     *member
+	gossip     *gossip
+	host       *stateHost
+	replica    *replica.Replica
+	servers    []*http.Server
+	queries    *queryClient
+	tracer     *tracing.Tracer
+	admin      *admin.Handler
+	dataFolder *disk.OS
+	quit       chan struct{}
 }
 
-// New provisions a process. It opens the data folder and listens nowhere yet.
+// New builds a process from its settings. It opens the data folder, but no listener yet.
 func New(s settings.Settings, log zerolog.Logger) (*Daemon, error) {
 	d := &Daemon{
-		settings: s,
-		log:      log.With().Str("router", string(s.RouterID)).Logger(),
-		epoch:    time.Now(),
-		counters: newCounters(),
-		quit:     make(chan struct{}),
+		settings:  s,
+		log:       log.With().Str("router", string(s.RouterID)).Logger(),
+		startedAt: time.Now(),
+		counters:  newCounters(),
+		quit:      make(chan struct{}),
 	}
 	incarnation := uint64(time.Now().UnixMilli())
 	if err := d.provisionMesh(incarnation); err != nil {
@@ -99,7 +108,7 @@
 }
 
 // now is the monotonic time that all parts share.
-func (d *Daemon) now() time.Duration { return time.Since(d.epoch) }
+func (d *Daemon) now() time.Duration { return time.Since(d.startedAt) }
 
 func (d *Daemon) provisionMesh(incarnation uint64) error {
 	server, client, err := peer.LoadTLS(d.settings.TLS)
@@ -128,14 +137,14 @@
 
 func (d *Daemon) provisionRunner() {
 	d.runner = &runner{
-		epoch:    d.epoch,
-		mesh:     d.mesh,
-		log:      d.log,
-		self:     d.settings.RouterID,
-		counters: d.counters,
-		answers:  map[protocol.RequestID]*callers.Answer{},
-		events:   explain.NewRing(eventRingSize),
-		hops:     hops{tracer: d.tracer, open: map[fleet.Attempt]hop{}},
+		startedAt:  d.startedAt,
+		mesh:       d.mesh,
+		log:        d.log,
+		self:       d.settings.RouterID,
+		counters:   d.counters,
+		answers:    map[protocol.RequestID]*callers.Answer{},
+		events:     explain.NewRing(eventRingSize),
+		ownerSpans: ownerSpans{tracer: d.tracer, open: map[fleet.Attempt]ownerSpan{}},
 		core: node.New(node.Config{
 			Self:        d.settings.RouterID,
 			DataCentre:  d.settings.DataCentre,
@@ -143,15 +152,15 @@
 			ReuseWeight: d.settings.Load.ReuseWeight,
 			Stall:       d.settings.Timing.Stall(),
 			Deadline:    time.Duration(d.settings.Callers.DeadlineMS) * time.Millisecond,
-			Incarnation: uint32(d.epoch.Unix()),
+			Incarnation: uint32(d.startedAt.Unix()),
 			Random:      newRandom(),
 		}),
 	}
 	d.runner.client = upstream.New(d.runner, d.tracer)
-	d.runner.replyIssuer = d.sendEngineReply
+	d.runner.sendEngineReply = d.sendEngineReply
 }
 
-// newRandom returns a random source with a seed of its own.
+// newRandom returns a random source that is seeded from the operating system.
 func newRandom() *randv2.Rand {
 	var seed [16]byte
 	_, _ = rand.Read(seed[:])
@@ -165,38 +174,38 @@
 			Incarnation: incarnation,
 			DataCentre:  d.settings.DataCentre,
 			Address:     d.settings.Listen.Peers,
-			Capacity:    ordinaryCapacity,
+			Capacity:    routerCapacity,
 		},
-		voters: stateKeepers(d.settings),
-		send:   d.mesh.Send,
-		input:  d.runner.Input,
-		learn:  d.mesh.SetAddress,
-		now:    d.now,
-		log:    d.log,
-		quit:   d.quit,
+		voters:     votersAndSpares(d.settings),
+		send:       d.mesh.Send,
+		input:      d.runner.Input,
+		setAddress: d.mesh.SetAddress,
+		now:        d.now,
+		log:        d.log,
+		quit:       d.quit,
 	}
 	d.runner.proposer = d.member
-	d.questions = &questions{
-		open:  map[uint64]chan queryReply{},
-		send:  d.mesh.Send,
-		self:  d.settings.RouterID,
-		local: d.answerQuery,
+	d.queries = &queryClient{
+		pending:     map[uint64]chan queryReply{},
+		send:        d.mesh.Send,
+		self:        d.settings.RouterID,
+		answerLocal: d.answerQuery,
 	}
 }
 
-// provisionState opens the data folder and the consensus member in it.
+// provisionState opens the data folder and the consensus replica that is stored in it.
 func (d *Daemon) provisionState() error {
 	folder, err := disk.Open(d.settings.DataFolder)
 	if err != nil {
 		return eris.Wrap(err, "open data folder")
 	}
-	d.folder = folder
+	d.dataFolder = folder
 	d.host = newStateHost(d.now, d.log, d.sendPush)
 	d.host.self = d.settings.RouterID
-	d.host.sendAsk = d.sendEngineAsk
+	d.host.sendEngineAsk = d.sendEngineAsk
 	d.replica, err = replica.New(replica.Config{
 		Self:          d.settings.RouterID,
-		Peers:         stateKeepers(d.settings),
+		Peers:         votersAndSpares(d.settings),
 		InitialVoters: d.settings.Voters,
 		Disk:          folder,
 		Transport:     consensusTransport{d.mesh},
@@ -205,23 +214,23 @@
 		Now:           d.now,
 		Repair:        repair.Settings{SilentAfter: time.Duration(d.settings.Timing.ReplaceVoterMS) * time.Millisecond},
 		OnFailed: func(err error) {
-			d.log.Error().Err(err).Msg("state: voter stopped")
+			d.log.Error().Err(err).Msg("state: replica failed and stopped")
 		},
 	})
 	if err != nil {
 		return eris.Wrap(err, "open replicated state")
 	}
-	d.host.log = replicaLog{d.replica}
+	d.host.replicatedLog = replicaLog{d.replica}
 	d.member.local = d.host
 	return nil
 }
 
-// stateKeepers lists all processes that may keep state.
-func stateKeepers(s settings.Settings) []protocol.RouterID {
+// votersAndSpares lists all processes that may keep the replicated state.
+func votersAndSpares(s settings.Settings) []protocol.RouterID {
 	return append(append([]protocol.RouterID(nil), s.Voters...), s.Spares...)
 }
 
-// Start listens and begins to serve. On an error the process can't run.
+// Start opens the listeners and begins to serve. If it returns an error, the process can't run.
 func (d *Daemon) Start() error {
 	if err := d.mesh.Listen(d.settings.Listen.Peers); err != nil {
 		return err
@@ -238,10 +247,10 @@
 
 // listenAll opens the HTTP listeners.
 func (d *Daemon) listenAll() error {
-	prefix := string(d.settings.RouterID) + "-" + strconv.FormatInt(d.epoch.UnixMilli(), 36)
+	prefix := string(d.settings.RouterID) + "-" + strconv.FormatInt(d.startedAt.UnixMilli(), 36)
 	callersServer := callers.New(d.runner, d.settings.Callers, prefix, d.tracer).Server()
-	upstreamsServer := &http.Server{Handler: announce.New(d.runner), ReadTimeout: askTimeout * 5}
-	adminServer := &http.Server{Handler: d.admin, ReadTimeout: askTimeout * 30}
+	upstreamsServer := &http.Server{Handler: announce.New(d.runner), ReadTimeout: requestTimeout * 5}
+	adminServer := &http.Server{Handler: d.admin, ReadTimeout: requestTimeout * 30}
 	for _, item := range []struct {
 		address string
 		server  *http.Server
@@ -272,58 +281,59 @@
 	return nil
 }
 
-// Stop ends the process as planned. It returns false when requests in flight
-// were cut because the patience of the settings ran out.
+// Stop ends the process as planned. It returns false if ctx ended while requests were still in
+// flight; these were cut off.
 func (d *Daemon) Stop(ctx context.Context) bool {
 	d.log.Info().Msg("daemon: draining")
 	d.runner.Input(node.Drain{})
-	// The platform's balancer needs a moment to see it and send new callers
-	// elsewhere; until then they are served.
+	// The platform's load balancer needs a moment to see that this router is unready and to send
+	// new callers elsewhere. Until then the router serves them.
 	sleep(ctx, d.settings.Timing.Unready())
 	d.runner.Input(node.Drain{Refuse: true})
 	d.member.leave(ctx)
-	whole := d.awaitIdle(ctx)
+	finished := d.awaitIdle(ctx)
 	d.member.closeSession(ctx)
 	d.gossip.leave()
 	for _, server := range d.servers {
 		_ = server.Close()
 	}
-	d.mesh.Flush(askTimeout)
+	d.mesh.Flush(requestTimeout)
 	close(d.quit)
 	d.member.done.Wait()
 	if d.replica != nil {
 		d.host.stop()
-		handOver, cancel := context.WithTimeout(context.Background(), askTimeout)
-		_ = d.replica.TransferLeadership(handOver)
+		transferCtx, cancel := context.WithTimeout(context.Background(), requestTimeout)
+		_ = d.replica.TransferLeadership(transferCtx)
 		cancel()
-		sleep(context.Background(), handOverTime)
+		sleep(context.Background(), leadershipTransferWait)
 		d.replica.Stop()
-		_ = d.folder.Close()
+		_ = d.dataFolder.Close()
 	}
 	d.mesh.Close()
 	d.closeTracer()
-	d.log.Info().Bool("whole", whole).Msg("daemon: stopped")
-	return whole
+	d.log.Info().Bool("whole", finished).Msg("daemon: stopped")
+	return finished
 }
 
-// closeTracer sends the last spans, also when the stop's own patience is over.
+// closeTracer exports the last spans. It has a timeout of its own, because the context of Stop may
+// have ended by then.
 func (d *Daemon) closeTracer() {
-	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	if err := d.tracer.Close(ctx); err != nil {
-		d.log.Warn().Err(err).Msg("daemon: spans dropped")
+		d.log.Warn().Err(err).Msg("daemon: last spans not exported")
 	}
 }
 
-// sleep waits, at most until the context ends.
-func sleep(ctx context.Context, length time.Duration) {
+// sleep waits for the duration, or until the context ends.
+func sleep(ctx context.Context, duration time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(length):
+	case <-time.After(duration):
 	}
 }
 
-// abort ends the process's parts at once, as a crash would, for tests.
+// abort ends all parts at once, as a crash would. Only tests use it.
 func (d *Daemon) abort() {
 	for _, server := range d.servers {
 		_ = server.Close()
@@ -336,7 +346,7 @@
 	}
 }
 
-// awaitIdle waits until no request is in flight.
+// awaitIdle waits until no request is in flight. It returns false if the context ends first.
 func (d *Daemon) awaitIdle(ctx context.Context) bool {
 	for {
 		entries, relayed := d.runner.inFlight()
@@ -345,7 +355,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			d.log.Error().Int("requests", entries).Int("relayed", relayed).Msg("daemon: requests cut")
+			d.log.Error().Int("requests", entries).Int("relayed", relayed).Msg("daemon: stop timeout reached, requests in flight cut off")
 			return false
 		case <-time.After(node.TickInterval):
 		}
@@ -354,7 +364,7 @@
 
 // HandleFrame implements peer.Handler.
 func (d *Daemon) HandleFrame(from protocol.RouterID, frame wire.Frame) {
-	if err := d.handle(from, frame); err != nil {
+	if err := d.dispatchFrame(from, frame); err != nil {
 		d.log.Warn().Err(err).Str("peer", string(from)).Msg("daemon: frame dropped")
 	}
 }
--- a/daemon/docs_test.go
+++ b/daemon/docs_test.go
@@ -17,6 +17,7 @@
 	"endiveplank/tool"
 )
 
+// page reads a page of the docs folder.
 func page(t *testing.T, name string) string {
 	t.Helper()
 	raw, err := os.ReadFile("../docs/" + name)
@@ -24,7 +25,7 @@
 	return string(raw)
 }
 
-// fieldPaths lists the JSON paths of a settings type as the page writes them.
+// fieldPaths lists the JSON paths of a settings type in the form in which the page writes them.
 func fieldPaths(prefix string, of reflect.Type) []string {
 	switch of.Kind() {
 	case reflect.Slice:
@@ -60,8 +61,8 @@
 }
 
 func TestLogsPageNamesEveryEventReasonAndField(t *testing.T) {
-	// Whoever is on call has nothing but logs. An event or a field without its
-	// line on the page sends them to the source.
+	// The engineer on call has nothing but the logs. For an event or a field that the page doesn't
+	// explain, that engineer would have to read the source.
 	text := page(t, "LOGS.md")
 	sources := []string{"../cmd/endiveplankd", "../daemon/router", "../daemon/diskvm", "../daemon/fabric", "../daemon/lateness", "../transport/forward", "../platform"}
 	events := regexp.MustCompile(`Str\("event", "([a-z-]+)"\)`)
@@ -95,7 +96,7 @@
 	assert.Equal(t, strings.Count(text, "\n| `"), len(codes))
 }
 
-// directMetricsHeading parts the page by kind of fleet.
+// directMetricsHeading separates the page's two kinds of fleets.
 const directMetricsHeading = "## Routers and disk VMs that are run directly"
 
 func TestMetricsPageNamesEveryMetricOfDirectFleets(t *testing.T) {
--- a/daemon/engineorders.go
+++ b/daemon/engineorders.go
@@ -16,87 +16,88 @@
 )
 
 const (
-	// ordersEvery is how often the issuer is stepped.
-	ordersEvery = 200 * time.Millisecond
-	// surveyPatience is how long a new issuer waits for engines to be read
-	// before it plans without those that can't be.
-	surveyPatience = 10 * time.Second
-	// engineRoom is how many models an engine is taken to hold. Engines don't
-	// announce it; one that can't hold a second refuses, and is left alone.
-	engineRoom = 2
+	// engineOrderInterval is how often the issuer's Step runs.
+	engineOrderInterval = 200 * time.Millisecond
+	// surveyTimeout is how long a new issuer waits until the state of all engines is read. Then it
+	// plans without those whose state can't be read.
+	surveyTimeout = 10 * time.Second
+	// modelsPerEngine is how many models the plan assumes that an engine can hold. Engines don't
+	// announce the number; an engine that can't hold a second model refuses the order and gets no
+	// other for a while.
+	modelsPerEngine = 2
 )
 
-// orderOffice is the issuer of orders to engines on the consensus leader.
-type orderOffice struct {
-	issuer *engineorders.Issuer
-	survey *engineorders.Survey
-	office engineorders.Office
-	tookAt time.Duration
-	// scalers follow the demand that meter counts, from the replicas that
-	// each model had when it was first planned.
+// orderIssuer issues orders to engines (load, unload a model) on the consensus leader.
+type orderIssuer struct {
+	issuer    *engineorders.Issuer
+	survey    *engineorders.Survey
+	term      engineorders.Office
+	startedAt time.Duration
+	// scalers compute the wanted replicas of each model from the demand that meter measures. A
+	// scaler starts with the replicas that its model had when it was first planned.
 	scalers    map[protocol.Model]*engineorders.Scaler
 	meter      *engineorders.Meter
-	stepped    time.Duration
+	lastStep   time.Duration
 	committing bool
 }
 
-// orderEngines takes office as issuer and steps it. Its caller holds the
-// leader's lease and the lock. Without a row in the models sheet and without
-// open orders there is nothing to do, and no engine is asked anything.
-func (h *stateHost) orderEngines(now time.Duration) {
+// stepEngineOrders makes this process the issuer if it isn't, and runs the issuer's periodic step.
+// The caller holds the leader's lease and the lock. Without a row in the models sheet and without
+// open orders there is nothing to do, and no engine receives a request.
+func (h *stateHost) stepEngineOrders(now time.Duration) {
 	models := h.machine.Table().Rows(table.Models)
 	if len(models) == 0 && len(h.machine.Engines().Open()) == 0 {
 		return
 	}
-	if h.orders == nil {
-		h.orders = &orderOffice{scalers: map[protocol.Model]*engineorders.Scaler{}, meter: engineorders.NewMeter(), committing: true}
-		h.commitOrders(h.orders, []engineorders.Command{{Take: &engineorders.Take{Router: h.self}}})
+	if h.engineOrders == nil {
+		h.engineOrders = &orderIssuer{scalers: map[protocol.Model]*engineorders.Scaler{}, meter: engineorders.NewMeter(), committing: true}
+		h.commitEngineCommands(h.engineOrders, []engineorders.Command{{Take: &engineorders.Take{Router: h.self}}})
 	}
-	o := h.orders
-	if o.issuer == nil || now-o.stepped < ordersEvery {
+	o := h.engineOrders
+	if o.issuer == nil || now-o.lastStep < engineOrderInterval {
 		return
 	}
-	o.stepped = now
+	o.lastStep = now
 	sends, commands := o.issuer.Step(now, h.machine.Engines(), h.engineOwner)
-	sends = append(sends, o.survey.Step(now, h.restingEngines(), h.engineOwner)...)
+	sends = append(sends, o.survey.Step(now, h.enginesWithoutOrder(), h.engineOwner)...)
 	for _, send := range sends {
-		h.sendAsk(send.To, send.Ask)
+		h.sendEngineAsk(send.To, send.Ask)
 	}
 	if o.committing {
 		return
 	}
 	if len(commands) == 0 {
-		commands = h.planOrders(now, o, models)
+		commands = h.planEngineOrders(now, o, models)
 	}
 	if len(commands) > 0 {
 		o.committing = true
-		h.commitOrders(o, commands)
+		h.commitEngineCommands(o, commands)
 	}
 }
 
-// commitOrders commits the issuer's commands, one batch at a time, so that
-// the next plan sees the effect of this one.
-func (h *stateHost) commitOrders(o *orderOffice, commands []engineorders.Command) {
-	h.task(func(ctx context.Context) {
+// commitEngineCommands commits the issuer's commands. At most one batch is in progress at a time,
+// so that the next plan sees the effect of this one.
+func (h *stateHost) commitEngineCommands(o *orderIssuer, commands []engineorders.Command) {
+	h.runTask(func(ctx context.Context) {
 		for _, command := range commands {
-			encoded, err := h.log.Propose(ctx, fleetstate.Command{Engine: &command}.Encode())
+			encoded, err := h.replicatedLog.Propose(ctx, fleetstate.Command{Engine: &command}.Encode())
 			if err != nil {
 				break
 			}
-			h.orderCommitted(o, command, encoded)
+			h.handleCommitted(o, command, encoded)
 		}
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		o.committing = false
-		if o.issuer == nil && h.orders == o {
-			// The Take failed; the next tick begins anew.
-			h.orders = nil
+		if o.issuer == nil && h.engineOrders == o {
+			// The Take command failed; the next tick proposes it again.
+			h.engineOrders = nil
 		}
 	})
 }
 
-// orderCommitted notes what a committed command means for the office.
-func (h *stateHost) orderCommitted(o *orderOffice, command engineorders.Command, encoded []byte) {
+// handleCommitted updates the issuer after one of its commands was committed.
+func (h *stateHost) handleCommitted(o *orderIssuer, command engineorders.Command, encoded []byte) {
 	result, err := fleetstate.DecodeResult(encoded)
 	if err != nil || result.Engine == nil || result.Engine.Outcome != engineorders.Done {
 		return
@@ -106,28 +107,28 @@
 	now := h.now()
 	switch {
 	case command.Take != nil:
-		o.office = result.Engine.Office
-		o.tookAt = now
-		o.issuer = engineorders.NewIssuer(engineorders.DefaultTiming(), o.office, now)
-		o.survey = engineorders.NewSurvey(o.office)
+		o.term = result.Engine.Office
+		o.startedAt = now
+		o.issuer = engineorders.NewIssuer(engineorders.DefaultTiming(), o.term, now)
+		o.survey = engineorders.NewSurvey(o.term)
 	case command.Confirm != nil:
 		o.survey.Settled(command.Confirm.Upstream)
 	case command.Abandon != nil:
 		o.survey.Settled(command.Abandon.Upstream)
-		h.zlog.Warn().Str("upstream", string(command.Abandon.Upstream)).
-			Str("reason", string(command.Abandon.Ending)).Msg("state: order to engine given up")
+		h.log.Warn().Str("upstream", string(command.Abandon.Upstream)).
+			Str("reason", string(command.Abandon.Ending)).Msg("state: order to engine abandoned")
 	}
 }
 
-// planOrders returns the orders to issue now.
-func (h *stateHost) planOrders(now time.Duration, o *orderOffice, rows []table.Row) []engineorders.Command {
-	engines, whole := h.plannedEngines(now, o)
-	if !whole && now-o.tookAt < surveyPatience {
+// planEngineOrders returns the commands that issue the orders due now.
+func (h *stateHost) planEngineOrders(now time.Duration, o *orderIssuer, rows []table.Row) []engineorders.Command {
+	engines, allRead := h.enginesForPlan(now, o)
+	if !allRead && now-o.startedAt < surveyTimeout {
 		return nil
 	}
 	var models []engineorders.Model
 	for _, row := range rows {
-		models = append(models, h.wanted(now, o, engines, table.ModelOf(row)))
+		models = append(models, h.desiredModel(now, o, engines, table.ModelOf(row)))
 	}
 	limits := engineorders.Limits{
 		Loads:     engineorders.MaxLoads - h.machine.Engines().Loads(),
@@ -135,17 +136,17 @@
 	}
 	var commands []engineorders.Command
 	for _, planned := range engineorders.MakePlan(engines, models, limits) {
-		h.zlog.Info().Str("upstream", string(planned.Upstream)).Str("reason", planned.Why).Msg("state: order to engine")
+		h.log.Info().Str("upstream", string(planned.Upstream)).Str("reason", planned.Why).Msg("state: issuing order to engine")
 		commands = append(commands, engineorders.Command{Issue: &engineorders.Issue{
-			Office: o.office, Upstream: planned.Upstream, Intent: planned.Intent,
+			Office: o.term, Upstream: planned.Upstream, Intent: planned.Intent,
 		}})
 	}
 	return commands
 }
 
-// wanted is what a model should have. While its demand isn't known it keeps
-// what it has, within the bounds of its row.
-func (h *stateHost) wanted(now time.Duration, o *orderOffice, engines []engineorders.Engine, row table.Model) engineorders.Model {
+// desiredModel returns the version and the number of replicas that a model should have. While its
+// demand isn't known, it keeps the replicas that it has, within the bounds of its row.
+func (h *stateHost) desiredModel(now time.Duration, o *orderIssuer, engines []engineorders.Engine, row table.Model) engineorders.Model {
 	serving := h.servingCapacities(engines, row.Name)
 	scaler := o.scalers[row.Name]
 	if scaler == nil {
@@ -160,7 +161,7 @@
 	return engineorders.Model{Name: row.Name, Version: row.Version, Replicas: scaler.Wanted(now, demand, floor)}
 }
 
-// servingCapacities gives the capacity of each engine that serves a model.
+// servingCapacities returns the capacity of each engine that serves a model.
 func (h *stateHost) servingCapacities(engines []engineorders.Engine, model protocol.Model) map[protocol.UpstreamID]float64 {
 	serving := map[protocol.UpstreamID]float64{}
 	for _, engine := range engines {
@@ -172,27 +173,28 @@
 	return serving
 }
 
-// plannedEngines lists the engines for a plan, and says whether all were read.
-func (h *stateHost) plannedEngines(now time.Duration, o *orderOffice) ([]engineorders.Engine, bool) {
+// enginesForPlan lists the engines for a plan and reports whether the state of all of them was
+// read.
+func (h *stateHost) enginesForPlan(now time.Duration, o *orderIssuer) ([]engineorders.Engine, bool) {
 	var engines []engineorders.Engine
-	whole := true
+	allRead := true
 	for _, descriptor := range h.machine.Registry().All() {
 		if descriptor.Kind != upstreamapi.KindEngine {
 			continue
 		}
-		engine, read := h.plannedEngine(now, o, descriptor)
-		whole = whole && read
+		engine, read := h.engineForPlan(now, o, descriptor)
+		allRead = allRead && read
 		engines = append(engines, engine)
 	}
-	return engines, whole
+	return engines, allRead
 }
 
-// plannedEngine is one engine for a plan. One that wasn't read counts with
-// what it announced and gets no order.
-func (h *stateHost) plannedEngine(now time.Duration, o *orderOffice, descriptor registry.Descriptor) (engineorders.Engine, bool) {
+// engineForPlan describes one engine for a plan and reports whether its state was read. An engine
+// whose state wasn't read counts with the models that it announced, and gets no order.
+func (h *stateHost) engineForPlan(now time.Duration, o *orderIssuer, descriptor registry.Descriptor) (engineorders.Engine, bool) {
 	state := h.machine.Engines()
 	order, open := state.OpenOf(descriptor.ID)
-	engine := engineorders.Engine{ID: descriptor.ID, Room: engineRoom, Open: order.Intent}
+	engine := engineorders.Engine{ID: descriptor.ID, Room: modelsPerEngine, Open: order.Intent}
 	held, read := o.survey.Read(descriptor.ID)
 	engine.Models = held.Models
 	if !read {
@@ -200,18 +202,19 @@
 			engine.Models = append(engine.Models, upstreamapi.LoadedModel{Model: model, Ready: true})
 		}
 	}
-	engine.Busy = open || !read || h.drained(descriptor.ID) || !o.issuer.Rested(now, state, descriptor.ID)
+	engine.Busy = open || !read || h.isDraining(descriptor.ID) || !o.issuer.Rested(now, state, descriptor.ID)
 	return engine, read
 }
 
-func (h *stateHost) drained(upstream protocol.UpstreamID) bool {
+// isDraining reports whether an operator drains the upstream.
+func (h *stateHost) isDraining(upstream protocol.UpstreamID) bool {
 	row, found := h.machine.Table().Row(table.Upstreams, string(upstream))
 	return found && table.UpstreamOf(row).Drain
 }
 
-// restingEngines lists the engines without an open order. The others are read
-// with their orders.
-func (h *stateHost) restingEngines() []protocol.UpstreamID {
+// enginesWithoutOrder lists the engines without an open order. The survey reads only these; the
+// issuer reads the others with their orders.
+func (h *stateHost) enginesWithoutOrder() []protocol.UpstreamID {
 	var ids []protocol.UpstreamID
 	for _, descriptor := range h.machine.Registry().All() {
 		if _, open := h.machine.Engines().OpenOf(descriptor.ID); !open && descriptor.Kind == upstreamapi.KindEngine {
@@ -222,7 +225,7 @@
 	return ids
 }
 
-// engineOwner says who owns an engine now.
+// engineOwner returns the owner of an engine, false if it has none or is moving to another.
 func (h *stateHost) engineOwner(upstream protocol.UpstreamID) (engineorders.Owner, bool) {
 	descriptor, known := h.machine.Registry().Get(upstream)
 	assignment, assigned := h.machine.Ownership().Assignment(upstream)
@@ -236,22 +239,23 @@
 	return engineorders.Owner{Router: session.Router, Tenure: assignment.Fence, ChecksFence: descriptor.ChecksFence}, true
 }
 
-// engineReply takes an owner's answer to an ask.
-func (h *stateHost) engineReply(reply engineorders.Reply) {
+// handleEngineReply passes an owner's reply to the survey, the meter and the issuer.
+func (h *stateHost) handleEngineReply(reply engineorders.Reply) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.orders == nil || h.orders.issuer == nil {
+	if h.engineOrders == nil || h.engineOrders.issuer == nil {
 		return
 	}
-	h.orders.survey.Reply(reply)
-	h.orders.meter.Reply(h.now(), reply)
+	h.engineOrders.survey.Reply(reply)
+	h.engineOrders.meter.Reply(h.now(), reply)
 	if order, open := h.machine.Engines().OpenOf(reply.Upstream); open {
-		h.orders.issuer.Reply(h.now(), order, reply)
+		h.engineOrders.issuer.Reply(h.now(), order, reply)
 	}
 }
 
-// sendEngineAsk sends an ask to an owner, which may be this router. It is
-// called under the state host's lock, which the answer needs too.
+// sendEngineAsk sends the issuer's request to an owner, which may be this router. The caller holds
+// the state host's lock, which the reply needs too; a local request therefore runs on a goroutine
+// of its own.
 func (d *Daemon) sendEngineAsk(to protocol.RouterID, ask engineorders.Ask) {
 	if to == d.settings.RouterID {
 		go d.runner.Input(node.PeerEngineAsk{From: to, Ask: ask})
@@ -260,20 +264,20 @@
 	d.mesh.Send(to, wire.KindEngineAsk, wire.Encode(ask), false)
 }
 
-// sendEngineReply sends an owner's answer to the issuer, which may be here. It
-// is called under the runner's lock.
+// sendEngineReply sends an owner's reply to the issuer, which may be in this process. The caller
+// holds the runner's lock, so a local reply runs on a goroutine of its own.
 func (d *Daemon) sendEngineReply(out node.ReplyIssuer) {
 	if out.To != d.settings.RouterID {
 		d.mesh.Send(out.To, wire.KindEngineReply, wire.Encode(out.Reply), false)
 		return
 	}
 	if d.host != nil {
-		go d.host.engineReply(out.Reply)
+		go d.host.handleEngineReply(out.Reply)
 	}
 }
 
-// handleEngineOrder takes an ask as an owner, or an owner's answer as the
-// issuer.
+// handleEngineOrder handles a request that this router receives as an owner, or an owner's reply
+// that it receives as the issuer.
 func (d *Daemon) handleEngineOrder(from protocol.RouterID, frame wire.Frame) error {
 	if frame.Kind == wire.KindEngineAsk {
 		var ask engineorders.Ask
@@ -288,7 +292,7 @@
 		return err
 	}
 	if d.host != nil {
-		d.host.engineReply(reply)
+		d.host.handleEngineReply(reply)
 	}
 	return nil
 }
--- a/daemon/engineorders_test.go
+++ b/daemon/engineorders_test.go
@@ -13,7 +13,7 @@
 	"endiveplank/standin/engine"
 )
 
-// readState asks an engine what it holds.
+// readState fetches the state of an engine.
 func readState(t *testing.T, server *engine.Server) upstreamapi.EngineState {
 	t.Helper()
 	response, err := http.Get("http://" + server.Address() + upstreamapi.StatePath)
@@ -24,7 +24,7 @@
 	return state
 }
 
-// holds says whether an engine serves a version of the model "m1".
+// engineHolds reports whether an engine serves a version of the model "m1".
 func engineHolds(state upstreamapi.EngineState, version string) bool {
 	for _, held := range state.Models {
 		if held.Model == "m1" && held.Version == version && held.Ready {
@@ -34,9 +34,9 @@
 	return false
 }
 
-// An operator writes a new version into the models sheet. Both engines of the
-// model must come to serve it, one after the other, so that callers always
-// find one that serves, and no order may stay open.
+// An operator writes a new version into the models sheet. Both engines of the model must load it
+// one after the other, so that callers always find an engine that serves the model, and no order
+// may stay open.
 func TestVersionInTheTableReachesTheEngines(t *testing.T) {
 	f := newTestFleet(t)
 	quick := func(s *engine.Settings) { s.Model.LoadTime = 300 * time.Millisecond }
--- a/daemon/fleet_test.go
+++ b/daemon/fleet_test.go
@@ -27,11 +27,11 @@
 	"endiveplank/standin/engine"
 )
 
-// patience bounds how long a test waits for something that must happen. It is
-// far beyond what a busy machine needs and decides no verdict by itself.
-const patience = 60 * time.Second
+// testTimeout bounds how long a test waits for something that must happen. It is far beyond what a
+// busy machine needs, so it decides no test by itself.
+const testTimeout = 60 * time.Second
 
-// testFleet is three daemons in this process, on real sockets and disks.
+// testFleet is a fleet of daemons in this process, on real sockets and disks.
 type testFleet struct {
 	t       *testing.T
 	daemons []*Daemon
@@ -44,8 +44,7 @@
 	return newTestFleetWith(t, 0, func(*settings.Settings) {})
 }
 
-// newTestFleetWith starts three voters and some spares, and lets a test change
-// each daemon's settings.
+// newTestFleetWith starts three voters and some spares. change may change each daemon's settings.
 func newTestFleetWith(t *testing.T, spares int, change func(*settings.Settings)) *testFleet {
 	t.Helper()
 	f := &testFleet{t: t}
@@ -98,9 +97,9 @@
 	})
 }
 
-// freeAddress returns an address that nobody uses. It is drawn from the whole
-// loopback range and from ports that the system gives to no connection, so
-// that nobody takes it between this look and the daemon's own listen.
+// freeAddress returns an unused address. It picks one from the whole loopback range and from ports
+// that the system doesn't use for outgoing connections, so that nothing takes the address before
+// the daemon listens on it.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	for {
@@ -121,8 +120,8 @@
 	return d
 }
 
-// stop ends all daemons at once; a fleet that stops as a whole has nobody to
-// hand over to, so it gets little time.
+// stop stops all daemons at once. Nobody is left to take over their upstreams and requests, so
+// they get little time.
 func (f *testFleet) stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer cancel()
@@ -135,7 +134,7 @@
 	stopped.Wait()
 }
 
-// kill ends a daemon without any goodbye: its sockets close and its loops end.
+// kill ends a daemon without a planned stop: its sockets close and its loops end.
 func (f *testFleet) kill(i int) {
 	d := f.daemons[i]
 	f.daemons[i] = nil
@@ -144,12 +143,12 @@
 
 func (f *testFleet) await(what string, holds func() bool) {
 	f.t.Helper()
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		if holds() {
 			return
 		}
 	}
-	f.t.Fatalf("not within %v: %s", patience, what)
+	f.t.Fatalf("condition not met within %v: %s", testTimeout, what)
 }
 
 func (f *testFleet) upstreamAddresses() []string {
@@ -160,7 +159,7 @@
 	return addresses
 }
 
-// engine starts a model engine and waits until every router knows its owner.
+// engine starts a model engine and waits until it has an owner in every router's view.
 func (f *testFleet) engine(id string, change func(*engine.Settings)) *engine.Server {
 	f.t.Helper()
 	s := engine.DefaultSettings(protocol.UpstreamID(id))
@@ -188,7 +187,7 @@
 
 func (f *testFleet) awaitOwner(id string) {
 	f.t.Helper()
-	f.await("upstream "+id+" has an owner on every router's view", func() bool {
+	f.await("upstream "+id+" has an owner in every router's view", func() bool {
 		for _, d := range f.daemons {
 			owned := false
 			for _, upstream := range d.Status(context.Background()).Upstreams {
@@ -205,7 +204,7 @@
 // change edits one row through a router and returns the answer.
 func (f *testFleet) change(d *Daemon, id string, edit table.Edit) table.Answer {
 	f.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	answer, err := d.Change(ctx, table.Change{ID: id, Who: "test", Why: "test", Edits: []table.Edit{edit}})
 	assert.NilError(f.t, err)
@@ -228,7 +227,7 @@
 	for n := 0; n+1 < len(headers); n += 2 {
 		request.Header.Set(headers[n], headers[n+1])
 	}
-	client := &http.Client{Timeout: patience}
+	client := &http.Client{Timeout: testTimeout}
 	response, err := client.Do(request)
 	assert.NilError(f.t, err)
 	defer response.Body.Close()
@@ -239,7 +238,7 @@
 
 const chatBody = `{"model":"m1","stream":true,"max_tokens":6,"messages":[{"role":"user","content":"fuel?"}]}`
 
-// contents joins the data lines of an event stream, without what differs
+// contents joins the content of the data lines of an event stream. It leaves out what differs
 // between requests.
 func contents(body string) string {
 	var text strings.Builder
@@ -254,6 +253,8 @@
 	return text.String()
 }
 
+// A caller sends the same chat through each router. Whichever router owns the engine, the answer
+// must be complete and the same.
 func TestChatThroughEveryRouterGivesTheSameWholeAnswer(t *testing.T) {
 	f := newTestFleet(t)
 	f.setUp()
@@ -271,8 +272,8 @@
 	}
 }
 
-// A key leaks, and the operator switches its customer off. From the moment that
-// the edit is accepted no router may serve it.
+// A key leaks and an operator disables its customer. Once the edit is accepted, no router may
+// serve the customer.
 func TestDisabledCustomerIsForbiddenEverywhere(t *testing.T) {
 	f := newTestFleet(t)
 	f.setUp()
@@ -289,10 +290,9 @@
 	}
 }
 
-// A dispatcher's order is sent, and sent again through another router because
-// the first answer took long to come back. The truck must be sent once, and
-// both callers must get the same answer; the same key with another order is
-// refused.
+// A dispatcher sends an order, and sends it again through other routers because the first answer
+// takes long. The order must run once, and every attempt must get the same answer. The same key
+// with another order is refused.
 func TestOrderSentAgainThroughAnotherRouterRunsOnce(t *testing.T) {
 	f := newTestFleet(t)
 	f.setUp()
@@ -320,9 +320,9 @@
 	assert.Assert(t, strings.Contains(string(audit), `"total":1`), string(audit))
 }
 
-// Two operators edit the same row at the same time, each having read revision
-// 0. One wins; the other must see the winner's row instead of overwriting it,
-// and sending the winner's change again must not count as a third edit.
+// Two operators edit the same row at the same time, after both have read revision 0. One edit
+// wins. The other operator must get the winning row as a conflict and not overwrite it, and a
+// repetition of the winning change must not count as a third edit.
 func TestRacingOperatorsOneWinsAndTheOtherSeesIt(t *testing.T) {
 	f := newTestFleet(t)
 	edit := func(weight string) table.Edit {
@@ -340,9 +340,9 @@
 	}
 }
 
-// A VM that votes is lost for good, and soon after the repair a second one. No
-// operator is awake. A spare must take the first one's place, so that the fleet
-// goes on accepting edits after the second loss as well, and loses none.
+// The VM of a voter is lost for good, and soon after the repair a second one; no operator steps
+// in. A spare must take the first voter's place, so that the fleet accepts edits after the second
+// loss too, and loses none.
 func TestSpareReplacesLostVoterAndASecondLossIsSurvived(t *testing.T) {
 	f := newTestFleetWith(t, 1, func(*settings.Settings) {})
 	f.setUp()
--- a/daemon/frames.go
+++ b/daemon/frames.go
@@ -19,9 +19,9 @@
 	"endiveplank/transport/peer"
 )
 
-// handle hands one frame to the part it is for.
-func (d *Daemon) handle(from protocol.RouterID, frame wire.Frame) error {
-	if input, err := dataPath(from, frame); input != nil || err != nil {
+// dispatchFrame passes a frame to the part of the process that handles its kind.
+func (d *Daemon) dispatchFrame(from protocol.RouterID, frame wire.Frame) error {
+	if input, err := decodeDataPath(from, frame); input != nil || err != nil {
 		if err != nil {
 			return err
 		}
@@ -44,40 +44,39 @@
 		if err := wire.Decode(frame.Payload, &reply); err != nil {
 			return err
 		}
-		d.member.onProposeReply(reply)
+		d.member.handleProposeReply(reply)
 		return nil
 	case wire.KindGossip:
-		d.gossip.receive(from, frame.Payload)
+		d.gossip.handlePacket(from, frame.Payload)
 		return nil
 	case wire.KindEngineAsk, wire.KindEngineReply:
 		return d.handleEngineOrder(from, frame)
 	case wire.KindQuery, wire.KindQueryReply:
 		return d.handleQuery(from, frame)
 	}
-	return d.handleUpstreamNews(from, frame)
+	return d.handleUpstreamUpdate(from, frame)
 }
 
-// handleQuery answers an operator's question from another process, or takes
-// the answer to one.
+// handleQuery answers a query of another process, or handles the reply to a query of this one.
 func (d *Daemon) handleQuery(from protocol.RouterID, frame wire.Frame) error {
 	if frame.Kind == wire.KindQueryReply {
 		var reply queryReply
 		if err := wire.Decode(frame.Payload, &reply); err != nil {
 			return err
 		}
-		d.questions.answered(reply)
+		d.queries.handleReply(reply)
 		return nil
 	}
-	var question query
-	if err := wire.Decode(frame.Payload, &question); err != nil {
+	var q query
+	if err := wire.Decode(frame.Payload, &q); err != nil {
 		return err
 	}
-	d.mesh.Send(from, wire.KindQueryReply, wire.Encode(d.answerQuery(question)), true)
+	d.mesh.Send(from, wire.KindQueryReply, wire.Encode(d.answerQuery(q)), true)
 	return nil
 }
 
-// handleUpstreamNews takes what peers pass on about upstreams and load.
-func (d *Daemon) handleUpstreamNews(from protocol.RouterID, frame wire.Frame) error {
+// handleUpstreamUpdate handles what peers forward about upstreams, their load and quarantines.
+func (d *Daemon) handleUpstreamUpdate(from protocol.RouterID, frame wire.Frame) error {
 	switch frame.Kind {
 	case wire.KindAnnounce:
 		var announcement upstreamapi.Announcement
@@ -96,7 +95,7 @@
 	case wire.KindLoadTotals:
 		summary, ok := loadbound.DecodeSummary(frame.Payload)
 		if !ok {
-			return eris.New("load summary of the wrong size")
+			return eris.Errorf("load summary has an invalid size of %d bytes", len(frame.Payload))
 		}
 		d.runner.Input(node.PeerTotals{From: from, Summary: summary})
 		return nil
@@ -108,12 +107,12 @@
 		d.runner.Input(node.PeerNotice{Notice: notice})
 		return nil
 	}
-	return eris.Errorf("frame of kind %d is unknown", frame.Kind)
+	return eris.Errorf("frame of unknown kind %d", frame.Kind)
 }
 
 func (d *Daemon) handleConsensus(frame wire.Frame) error {
 	if d.replica == nil {
-		return eris.New("consensus message to a process that keeps no state")
+		return eris.New("received a consensus message, but this process keeps no state")
 	}
 	var message consensus.Message
 	if err := wire.Decode(frame.Payload, &message); err != nil {
@@ -130,7 +129,7 @@
 	}
 	reply := lease.Reply{Outcome: lease.NotLeader, Seq: renewal.Seq}
 	if d.host != nil {
-		reply = d.host.renew(renewal)
+		reply = d.host.handleRenewal(renewal)
 	}
 	d.mesh.Send(from, wire.KindRenewReply, encodeArrays(reply), false)
 	return nil
@@ -141,7 +140,7 @@
 	if err := codec.Unmarshal(frame.Payload, &reply); err != nil {
 		return eris.Wrap(err, "renewal reply")
 	}
-	d.member.onReply(from, reply)
+	d.member.handleRenewReply(from, reply)
 	return nil
 }
 
@@ -150,22 +149,23 @@
 	if err := codec.Unmarshal(frame.Payload, &push); err != nil {
 		return eris.Wrap(err, "push")
 	}
-	d.member.onPush(push)
+	d.member.handlePush(push)
 	return nil
 }
 
-// sendPush sends changes to a router, which may be this one. It is called
-// under the state host's lock, which the local router's answer needs too.
+// sendPush sends changes to a router, which may be this one. The caller holds the state host's
+// lock, which the local router's acknowledgement needs too; a local push therefore runs on a
+// goroutine of its own.
 func (d *Daemon) sendPush(to protocol.RouterID, push lease.Push) {
 	if to == d.settings.RouterID {
-		go d.member.onPush(push)
+		go d.member.handlePush(push)
 		return
 	}
 	d.mesh.Send(to, wire.KindPush, encodeArrays(push), false)
 }
 
-// inForcePatience bounds how long a proposal may wait to be in force.
-const inForcePatience = 8 * time.Second
+// inForceTimeout bounds a proposal of another process, with its wait to be in force.
+const inForceTimeout = 8 * time.Second
 
 func (d *Daemon) handlePropose(from protocol.RouterID, frame wire.Frame) error {
 	var request fleet.Propose
@@ -173,23 +173,23 @@
 		return err
 	}
 	if d.host == nil {
-		d.reply(from, fleet.ProposeReply{ID: request.ID, Verdict: fleet.VerdictNotLeader})
+		d.sendProposeReply(from, fleet.ProposeReply{ID: request.ID, Verdict: fleet.VerdictNotLeader})
 		return nil
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), inForcePatience)
+		ctx, cancel := context.WithTimeout(context.Background(), inForceTimeout)
 		defer cancel()
-		d.reply(from, d.host.propose(ctx, request))
+		d.sendProposeReply(from, d.host.propose(ctx, request))
 	}()
 	return nil
 }
 
-func (d *Daemon) reply(to protocol.RouterID, reply fleet.ProposeReply) {
+func (d *Daemon) sendProposeReply(to protocol.RouterID, reply fleet.ProposeReply) {
 	d.mesh.Send(to, wire.KindProposeReply, wire.Encode(reply), true)
 }
 
-// consensusTransport sends consensus messages over the mesh. They may be
-// lost; consensus sends again what matters.
+// consensusTransport sends consensus messages over the mesh. They may be lost; consensus repeats
+// those that matter.
 type consensusTransport struct{ mesh *peer.Mesh }
 
 // Send implements replica.Transport.
--- a/daemon/gossip.go
+++ b/daemon/gossip.go
@@ -15,48 +15,48 @@
 	"endiveplank/transport/peer"
 )
 
-// Kinds of broadcast items. Numbers are never used again for something else.
+// Kinds of broadcast items. A number is never reused for another kind.
 const (
-	// itemCrash tells of a crash and is keyed by it.
+	// itemCrash reports a crash. The crash is its key.
 	itemCrash uint8 = 1
-	// itemVerdict condemns or lifts a digest and is keyed by it, so that the
-	// later of the two replaces the other.
-	itemVerdict uint8 = 2
+	// itemQuarantine quarantines a digest or lifts its quarantine. The digest is its key, so that the
+	// later of the two replaces the earlier.
+	itemQuarantine uint8 = 2
 )
 
-// packets carries membership packets, which may be lost. The mesh does it
-// today; a datagram socket could.
-type packets interface {
+// packetSender sends membership packets, which may be lost. The mesh implements it; a datagram
+// socket could.
+type packetSender interface {
 	Send(packet membership.Packet)
 }
 
-// meshPackets sends packets as frames that are not resent. A member has few
-// partners, so their connections stay open.
-type meshPackets struct{ mesh *peer.Mesh }
+// meshSender sends packets over the mesh as frames that are not resent. A member has few partners,
+// so the connections to them stay open.
+type meshSender struct{ mesh *peer.Mesh }
 
-// Send implements packets. A packet to an address without an ID can't go: the
-// mesh proves who a peer is.
-func (m meshPackets) Send(packet membership.Packet) {
+// Send implements packetSender. It drops a packet to an address whose router ID isn't known: the
+// mesh only connects to a peer whose ID it can verify.
+func (m meshSender) Send(packet membership.Packet) {
 	if packet.To != "" {
 		m.mesh.Send(packet.To, wire.KindGossip, packet.Data, false)
 	}
 }
 
-// gossip drives the membership core: it passes time and packets to it and
-// carries out what it wants. Its lock is never held while others are called.
+// gossip drives the membership core: it passes ticks and packets to it and carries out its
+// outputs. It never holds its lock while it calls other parts.
 type gossip struct {
-	packets packets
-	input   func(node.Input)
-	explain func(node.Event)
-	learn   func(protocol.RouterID, string)
-	now     func() time.Duration
-	log     zerolog.Logger
+	sender      packetSender
+	input       func(node.Input)
+	recordEvent func(node.Event)
+	setAddress  func(protocol.RouterID, string)
+	now         func() time.Duration
+	log         zerolog.Logger
 
 	mu   sync.Mutex
 	core *membership.Core
 }
 
-// run passes time until quit is closed.
+// run sends ticks to the core until quit is closed.
 func (g *gossip) run(quit <-chan struct{}) {
 	ticker := time.NewTicker(membership.TickInterval)
 	defer ticker.Stop()
@@ -70,19 +70,20 @@
 	}
 }
 
-// receive takes a packet from a peer.
-func (g *gossip) receive(from protocol.RouterID, data []byte) {
+// handlePacket handles a packet from a peer.
+func (g *gossip) handlePacket(from protocol.RouterID, data []byte) {
 	g.step(func(c *membership.Core) membership.Output { return c.ReceiveFrom(g.now(), from, data) })
 }
 
-// leave says goodbye at a planned stop.
+// leave tells the other members that this one leaves in a planned stop.
 func (g *gossip) leave() {
 	g.step(func(c *membership.Core) membership.Output { return c.Leave(g.now()) })
 }
 
-// broadcast spreads a quarantine notice. It returns false for one too large.
+// broadcast queues a quarantine notice for all members. It returns false if the notice is too
+// large.
 func (g *gossip) broadcast(notice quarantine.Notice) bool {
-	kind, key := itemVerdict, uint64(notice.Digest)
+	kind, key := itemQuarantine, uint64(notice.Digest)
 	if notice.Kind == quarantine.CrashNotice {
 		kind, key = itemCrash, uint64(notice.Crash)
 	}
@@ -91,8 +92,8 @@
 	return g.core.Broadcast(kind, key, codec.MarshalArrays(notice))
 }
 
-// step runs one step of the core and then acts on a copy of its output, since
-// another step may begin once the lock is free.
+// step runs one step of the core and carries out a copy of its output, because another step may
+// begin once the lock is released.
 func (g *gossip) step(run func(*membership.Core) membership.Output) {
 	g.mu.Lock()
 	out := run(g.core)
@@ -101,37 +102,37 @@
 	items := append([]membership.Item(nil), out.Items...)
 	g.mu.Unlock()
 	for _, packet := range sending {
-		g.packets.Send(packet)
+		g.sender.Send(packet)
 	}
 	for _, event := range events {
-		g.act(event)
+		g.handleEvent(event)
 	}
 	for _, item := range items {
-		g.hear(item)
+		g.handleItem(item)
 	}
 }
 
-// act tells the core of a lost peer long before its lease ends, so that
-// callers whose owner died are served by another. A wrong verdict costs a
-// resumed answer, as a broken connection does; who owns what is not touched.
-func (g *gossip) act(event membership.Event) {
-	g.explain(node.Event{Router: event.Member.ID, What: string(event.Kind), Detail: string(event.Why)})
+// handleEvent tells the node core that a peer is lost long before the peer's lease expires, so
+// that callers whose owner died are served by another router. A wrong death report costs resumed
+// answers, as a broken connection does. It doesn't change who owns what.
+func (g *gossip) handleEvent(event membership.Event) {
+	g.recordEvent(node.Event{Router: event.Member.ID, What: string(event.Kind), Detail: string(event.Why)})
 	switch event.Kind {
 	case membership.Died, membership.Departed:
 		g.log.Warn().Str("peer", string(event.Member.ID)).Str("why", string(event.Why)).Msg("membership: " + string(event.Kind))
 		g.input(node.PeerLost{Peer: event.Member.ID})
 	case membership.Reborn:
-		g.learn(event.Member.ID, event.Member.Address)
+		g.setAddress(event.Member.ID, event.Member.Address)
 		g.input(node.PeerLost{Peer: event.Member.ID})
 	case membership.Joined:
-		g.learn(event.Member.ID, event.Member.Address)
+		g.setAddress(event.Member.ID, event.Member.Address)
 	}
 }
 
-// hear takes a broadcast item. One that doesn't decode, or of a kind that a
-// later version sends, changes nothing.
-func (g *gossip) hear(item membership.Item) {
-	if item.Kind != itemCrash && item.Kind != itemVerdict {
+// handleItem passes a broadcast item to the node core. It ignores an item that doesn't decode and
+// one of a kind that only a later version knows.
+func (g *gossip) handleItem(item membership.Item) {
+	if item.Kind != itemCrash && item.Kind != itemQuarantine {
 		return
 	}
 	var notice quarantine.Notice
@@ -142,15 +143,15 @@
 	g.input(node.PeerNotice{Notice: notice})
 }
 
-// living returns the routers believed to live, this one included.
-func (g *gossip) living() []membership.Member {
+// liveMembers returns the routers that this member considers alive, itself included.
+func (g *gossip) liveMembers() []membership.Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.core.Members()
 }
 
-// measure sets the membership's gauges.
-func (g *gossip) measure(c *counters) {
+// updateGauges sets the gauges of the membership.
+func (g *gossip) updateGauges(c *counters) {
 	g.mu.Lock()
 	counts, living, queued := g.core.Counts(), g.core.Living(), g.core.Queued()
 	g.mu.Unlock()
@@ -165,7 +166,7 @@
 	}
 }
 
-// provisionGossip makes the membership core from the settings.
+// provisionGossip builds the membership core from the settings.
 func (d *Daemon) provisionGossip(incarnation uint64) {
 	config := membership.DefaultConfig()
 	config.Self, config.Address = d.settings.RouterID, d.settings.Listen.Peers
@@ -176,25 +177,25 @@
 		config.Seeds = append(config.Seeds, membership.Seed{ID: known.RouterID, Address: known.Address})
 	}
 	d.gossip = &gossip{
-		packets: meshPackets{d.mesh},
-		input:   d.runner.Input,
-		explain: d.runner.explainApart,
-		learn:   d.mesh.SetAddress,
-		now:     d.now,
-		log:     d.log,
-		core:    membership.New(config, d.now(), newRandom()),
+		sender:      meshSender{d.mesh},
+		input:       d.runner.Input,
+		recordEvent: d.runner.recordEventWithoutRequest,
+		setAddress:  d.mesh.SetAddress,
+		now:         d.now,
+		log:         d.log,
+		core:        membership.New(config, d.now(), newRandom()),
 	}
-	d.runner.spread = d.spread
+	d.runner.broadcast = d.broadcastNotice
 }
 
-// spread tells every router of a crash or quarantine. A notice too large for
-// a broadcast, of a crash with very many requests in flight, goes to each.
-func (d *Daemon) spread(notice quarantine.Notice) {
+// broadcastNotice sends a notice of a crash or a quarantine to all routers. A notice of a crash
+// with very many requests in flight is too large for a broadcast and goes to each router directly.
+func (d *Daemon) broadcastNotice(notice quarantine.Notice) {
 	if d.gossip.broadcast(notice) {
 		return
 	}
 	encoded := wire.Encode(notice)
-	for _, member := range d.gossip.living() {
+	for _, member := range d.gossip.liveMembers() {
 		if member.ID != d.settings.RouterID {
 			d.mesh.Send(member.ID, wire.KindQuarantine, encoded, true)
 		}
--- a/daemon/gossip_test.go
+++ b/daemon/gossip_test.go
@@ -14,30 +14,30 @@
 	"endiveplank/protocol"
 )
 
-// holds says whether a daemon believes that exactly these routers live.
-func holds(d *Daemon, ids ...protocol.RouterID) bool {
+// seesLive reports whether a daemon considers exactly these routers alive.
+func seesLive(d *Daemon, ids ...protocol.RouterID) bool {
 	var living []protocol.RouterID
-	for _, m := range d.gossip.living() {
+	for _, m := range d.gossip.liveMembers() {
 		living = append(living, m.ID)
 	}
 	return slices.Equal(living, ids)
 }
 
-// A router's VM loses power. No goodbye is said and no request is on the way
-// to it, so nothing else would notice before its lease ends. The others must
-// find out by themselves, say why, and take it back when it restarts.
-func TestKilledRouterIsFoundAndTakenBack(t *testing.T) {
+// A router's VM loses power. It sends no leave message, and no request is in flight to it, so
+// without gossip nothing would notice before its lease expires. The other routers must detect the
+// loss and record an event that says why.
+func TestKilledRouterIsDetectedAndReported(t *testing.T) {
 	f := newTestFleet(t)
 	f.await("all routers know each other", func() bool {
-		return holds(f.daemons[0], "r1", "r2", "r3") && holds(f.daemons[1], "r1", "r2", "r3") && holds(f.daemons[2], "r1", "r2", "r3")
+		return seesLive(f.daemons[0], "r1", "r2", "r3") && seesLive(f.daemons[1], "r1", "r2", "r3") && seesLive(f.daemons[2], "r1", "r2", "r3")
 	})
 	killed := f.daemons[2]
 	f.daemons[2] = nil
 	killed.mesh.Close()
-	f.await("the others hold the killed router for dead", func() bool {
-		return holds(f.daemons[0], "r1", "r2") && holds(f.daemons[1], "r1", "r2")
+	f.await("the others consider the killed router dead", func() bool {
+		return seesLive(f.daemons[0], "r1", "r2") && seesLive(f.daemons[1], "r1", "r2")
 	})
-	events := f.daemons[0].runner.find(explain.Query{What: string(membership.Died), Limit: explain.MaxLimit})
+	events := f.daemons[0].runner.findEvents(explain.Query{What: string(membership.Died), Limit: explain.MaxLimit})
 	assert.Assert(t, slices.ContainsFunc(events, func(e explain.Event) bool {
 		return e.What == string(membership.Died) && e.Peer == "r3" && e.Detail != ""
 	}))
@@ -46,15 +46,15 @@
 	f.daemons = nil
 }
 
-// A request crashes an engine. Its digest is condemned on one router, and the
-// caller sends it again through another, which must know of it by then.
+// A request crashes an engine. One router quarantines its digest, and the caller sends the request
+// again through another router, which must know of the quarantine by then.
 func TestQuarantineNoticeReachesEveryRouter(t *testing.T) {
 	f := newTestFleet(t)
-	f.await("all routers know each other", func() bool { return holds(f.daemons[0], "r1", "r2", "r3") })
+	f.await("all routers know each other", func() bool { return seesLive(f.daemons[0], "r1", "r2", "r3") })
 	f.setUp()
 	f.engine("e1", nil)
 	digest := quarantine.DigestOf("a", []byte(chatBody))
-	f.daemons[0].spread(quarantine.Notice{Kind: quarantine.CondemnNotice, Crash: 7, Digest: digest, Strikes: 1, Seconds: 600})
+	f.daemons[0].broadcastNotice(quarantine.Notice{Kind: quarantine.CondemnNotice, Crash: 7, Digest: digest, Strikes: 1, Seconds: 600})
 	for i := 1; i < 3; i++ {
 		f.await("another router refuses the request", func() bool {
 			_, _, body := f.call(i, "/v1/chat/completions", chatBody)
--- a/daemon/logging.go
+++ b/daemon/logging.go
@@ -9,8 +9,8 @@
 	"endiveplank/settings"
 )
 
-// NewLogger returns a logger with the level and form of the settings. Log
-// lines are short sentences that start with the part they come from.
+// NewLogger returns a logger with the level and format of the settings. Each log message starts
+// with the part of the process that it comes from.
 func NewLogger(s settings.Log, w io.Writer) zerolog.Logger {
 	SetLogLevel(s)
 	zerolog.TimeFieldFormat = time.RFC3339Nano
@@ -20,11 +20,11 @@
 	return zerolog.New(w).With().Timestamp().Logger()
 }
 
-// SetLogLevel sets the level of all the process's loggers.
+// SetLogLevel sets the level of all loggers of the process.
 func SetLogLevel(s settings.Log) {
 	level, err := zerolog.ParseLevel(s.Level)
 	if err != nil {
-		panic("daemon: settings with a log level that was not checked: " + s.Level)
+		panic("daemon: the log level is not valid, the settings were not checked: " + s.Level)
 	}
 	zerolog.SetGlobalLevel(level)
 }
--- a/daemon/member.go
+++ b/daemon/member.go
@@ -19,73 +19,74 @@
 )
 
 const (
-	// memberTick is how often the member looks whether a renewal is due.
-	memberTick = 100 * time.Millisecond
-	// askTimeout bounds one question to one voter. A voter that takes longer
-	// is frozen or gone, and another may lead.
-	askTimeout = time.Second
-	// replyPatience is how long a renewal may go unanswered before the router
-	// looks for the leader among all voters. A reply takes milliseconds, and
-	// the lease leaves little more than a second for the search.
-	replyPatience = 300 * time.Millisecond
-	// askPause keeps a router without a leader from spinning.
-	askPause = 100 * time.Millisecond
-	// registerTimeout bounds a registration; the next announcement repeats it.
+	// memberTickInterval is how often the member checks whether a renewal is due.
+	memberTickInterval = 100 * time.Millisecond
+	// requestTimeout bounds one request to one voter. A voter that takes longer is frozen or
+	// dead, and another one may lead by then.
+	requestTimeout = time.Second
+	// replyTimeout is how long a renewal may go unanswered before the router looks for the leader
+	// among all voters. A reply takes milliseconds, and the lease leaves little more than a second
+	// for the search.
+	replyTimeout = 300 * time.Millisecond
+	// retryPause is the wait between attempts, so that a router without a leader doesn't spin.
+	retryPause = 100 * time.Millisecond
+	// registerTimeout bounds one attempt to open a session, to change the registry or to release
+	// upstreams. The next tick repeats the first, and the upstream's next announcement a
+	// registration.
 	registerTimeout = 2 * time.Second
-	// journalTimeout bounds a journal command. An order waits for a new
-	// leader that long.
+	// journalTimeout bounds a journal command. It is how long an order waits for a new leader.
 	journalTimeout = 10 * time.Second
-	// ordinaryCapacity is a router's share of upstreams.
-	ordinaryCapacity = 100
+	// routerCapacity is a router's share of the upstreams, relative to other routers.
+	routerCapacity = 100
 )
 
-// member is a router's side of the replicated state: it keeps the session and
-// its lease, follows the configuration, and proposes commands to whichever
-// voter leads.
+// member is a router's client of the replicated state: it keeps the session and its lease, follows
+// the changes of the state, and proposes commands to the leader.
 type member struct {
 	identity ownership.Open
-	voters   []protocol.RouterID
-	// local is the state host of this process, or nil.
+	// voters lists the voters and the spares: any of them may lead now or later.
+	voters []protocol.RouterID
+	// local is the state host of this process, nil on a process that keeps no state.
 	local *stateHost
 	send  func(to protocol.RouterID, kind wire.Kind, payload []byte, reliable bool) bool
 	input func(node.Input)
-	// learn tells where a router listens.
-	learn func(protocol.RouterID, string)
-	now   func() time.Duration
-	log   zerolog.Logger
-	quit  chan struct{}
-	done  sync.WaitGroup
-
-	mu      sync.Mutex
-	holder  *lease.Holder
-	leader  protocol.RouterID
-	opening bool
-	// awaiting is when the oldest unanswered renewal was sent, 0 for none, and
-	// searched when all voters were last asked.
-	awaiting time.Duration
-	searched time.Duration
-	asked    uint64
-	asking   map[uint64]chan fleet.ProposeReply
-	shown    uint64
-	granted  node.LeaseChanged
-	stopping bool
-
-	// registering holds the upstreams whose registration is under way. Its
-	// lock is its own, because the node core asks for registrations while the
-	// member may be passing it a view.
-	registeringMu sync.Mutex
-	registering   map[protocol.UpstreamID]bool
+	// setAddress sets the address at which the mesh reaches a router.
+	setAddress func(protocol.RouterID, string)
+	now        func() time.Duration
+	log        zerolog.Logger
+	quit       chan struct{}
+	done       sync.WaitGroup
+
+	mu             sync.Mutex
+	holder         *lease.Holder
+	leader         protocol.RouterID
+	openingSession bool
+	// unansweredSince is when the oldest unanswered renewal was sent, 0 if none is unanswered.
+	// lastSearch is when all voters were last asked.
+	unansweredSince  time.Duration
+	lastSearch       time.Duration
+	lastProposalID   uint64
+	pendingProposals map[uint64]chan fleet.ProposeReply
+	lastRevision     uint64
+	lastLease        node.LeaseChanged
+	stopping         bool
+
+	// changing holds the upstreams whose registration or removal is in progress. It has a lock of
+	// its own, because the node core asks for registrations while the member may be passing it a
+	// view under mu.
+	changingMu sync.Mutex
+	changing   map[protocol.UpstreamID]bool
 }
 
 func (m *member) start() {
 	m.holder = lease.NewHolder(lease.DefaultTiming(), fleetstate.NewView())
-	m.asking = map[uint64]chan fleet.ProposeReply{}
-	m.registering = map[protocol.UpstreamID]bool{}
+	m.pendingProposals = map[uint64]chan fleet.ProposeReply{}
+	m.changing = map[protocol.UpstreamID]bool{}
 	m.leader = m.voters[0]
 	m.done.Add(1)
 	go func() {
 		defer m.done.Done()
-		ticker := time.NewTicker(memberTick)
+		ticker := time.NewTicker(memberTickInterval)
 		defer ticker.Stop()
 		for {
 			select {
@@ -98,8 +99,8 @@
 	}()
 }
 
-// tick opens a session, renews it, and looks for another leader when the
-// present one is silent.
+// tick opens a session if there is none, renews it when due, and looks for another leader when
+// the present one doesn't answer.
 func (m *member) tick() {
 	m.mu.Lock()
 	now := m.now()
@@ -108,53 +109,53 @@
 		m.mu.Unlock()
 		return
 	}
-	if m.leaderIsSilent(now) {
-		m.search(now)
+	if m.searchDue(now) {
+		m.renewWithAllVoters(now)
 		return
 	}
 	if !m.holder.RenewalDue(now) {
 		m.mu.Unlock()
 		return
 	}
-	renewal := m.renewal(now)
+	renewal := m.newRenewal(now)
 	leader := m.leader
 	m.mu.Unlock()
-	m.renew(leader, renewal)
+	m.sendRenewal(leader, renewal)
 }
 
-// renewal makes the next renewal and notes that an answer is awaited. The lock
-// is held.
-func (m *member) renewal(now time.Duration) lease.Renewal {
-	if m.awaiting == 0 {
-		m.awaiting = now
+// newRenewal returns the next renewal and records that its reply is awaited. The caller holds the
+// lock.
+func (m *member) newRenewal(now time.Duration) lease.Renewal {
+	if m.unansweredSince == 0 {
+		m.unansweredSince = now
 	}
 	return m.holder.NewRenewal(now)
 }
 
-// leaderIsSilent says whether it is time to ask all voters. The lock is held.
-func (m *member) leaderIsSilent(now time.Duration) bool {
-	return m.awaiting > 0 && now-m.awaiting > replyPatience && now-m.searched > replyPatience
+// searchDue reports whether it is time to ask all voters. The caller holds the lock.
+func (m *member) searchDue(now time.Duration) bool {
+	return m.unansweredSince > 0 && now-m.unansweredSince > replyTimeout && now-m.lastSearch > replyTimeout
 }
 
-// search sends each voter a renewal of its own; the leader grants one. The
-// lock is held and let go.
+// renewWithAllVoters sends each voter a renewal of its own; the leader grants one of them. The
+// caller holds the lock, and renewWithAllVoters unlocks it.
 //
-// Failure guarded: the leader dies, and a router that asks one voter after the
-// other finds the new one only after its lease has run out.
-func (m *member) search(now time.Duration) {
-	m.searched = now
+// It guards against the death of the leader: a router that asked one voter after the other would
+// find the new leader only after its lease had expired.
+func (m *member) renewWithAllVoters(now time.Duration) {
+	m.lastSearch = now
 	renewals := make([]lease.Renewal, 0, len(m.voters))
 	for range m.voters {
-		renewals = append(renewals, m.renewal(now))
+		renewals = append(renewals, m.newRenewal(now))
 	}
 	m.mu.Unlock()
 	for i, voter := range m.voters {
-		m.renew(voter, renewals[i])
+		m.sendRenewal(voter, renewals[i])
 	}
 }
 
-// nextVoter turns to another voter. The lock is held.
-func (m *member) nextVoter() {
+// selectNextVoter takes the next voter of the list for the leader. The caller holds the lock.
+func (m *member) selectNextVoter() {
 	for i, voter := range m.voters {
 		if voter == m.leader {
 			m.leader = m.voters[(i+1)%len(m.voters)]
@@ -164,23 +165,23 @@
 	m.leader = m.voters[0]
 }
 
-// renew sends one renewal, to this process itself without a connection.
-func (m *member) renew(leader protocol.RouterID, renewal lease.Renewal) {
+// sendRenewal sends one renewal. A renewal to this process itself needs no connection.
+func (m *member) sendRenewal(leader protocol.RouterID, renewal lease.Renewal) {
 	if leader == m.identity.Router {
 		if m.local != nil {
-			m.onReply(leader, m.local.renew(renewal))
+			m.handleRenewReply(leader, m.local.handleRenewal(renewal))
 		}
 		return
 	}
 	m.send(leader, wire.KindRenew, encodeArrays(renewal), false)
 }
 
-// openSession proposes a session. The lock is held.
+// openSession proposes a session. The caller holds the lock.
 func (m *member) openSession() {
-	if m.opening || m.stopping {
+	if m.openingSession || m.stopping {
 		return
 	}
-	m.opening = true
+	m.openingSession = true
 	command := fleetstate.Command{Open: &m.identity}
 	m.done.Add(1)
 	go func() {
@@ -190,57 +191,57 @@
 		result, err := m.propose(ctx, command, false)
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.opening = false
+		m.openingSession = false
 		if err != nil || result.Ownership == nil || result.Ownership.Outcome != ownership.Done {
 			return
 		}
 		m.holder.StartSession(m.now(), result.Ownership.Session)
-		m.log.Info().Uint64("session", uint64(result.Ownership.Session)).Msg("state: session open")
+		m.log.Info().Uint64("session", uint64(result.Ownership.Session)).Msg("state: session opened")
 		go m.tick()
 	}()
 }
 
-// onReply takes the answer to a renewal.
-func (m *member) onReply(from protocol.RouterID, reply lease.Reply) {
+// handleRenewReply handles the reply to a renewal.
+func (m *member) handleRenewReply(from protocol.RouterID, reply lease.Reply) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if reply.Outcome == lease.Granted {
 		m.leader = from
-		m.awaiting = 0
+		m.unansweredSince = 0
 	}
 	switch m.holder.HandleReply(m.now(), reply) {
 	case lease.OpenSession:
-		m.awaiting = 0
-		m.log.Warn().Msg("state: session was closed, opening another")
+		m.unansweredSince = 0
+		m.log.Warn().Msg("state: leader has closed this router's session, opening another")
 	}
-	m.showLocked()
+	m.updateCoreLocked()
 	due := m.holder.RenewalDue(m.now())
 	if due {
-		// The reply brought changes; the next renewal acknowledges them.
+		// The reply carried changes, which the next renewal acknowledges.
 		go m.tick()
 	}
 }
 
-// onPush takes changes that a leader sent unasked.
-func (m *member) onPush(push lease.Push) {
+// handlePush applies changes that the leader pushed between two renewals.
+func (m *member) handlePush(push lease.Push) {
 	m.mu.Lock()
 	if push.Session == m.holder.Session() {
 		m.holder.HandleDelta(m.now(), push.Delta)
 	}
-	m.showLocked()
+	m.updateCoreLocked()
 	m.mu.Unlock()
-	// The renewal that this makes due is the acknowledgement that an operator
-	// waits for.
+	// Changes make a renewal due. It acknowledges them, and the operator whose edit they carry
+	// waits for that acknowledgement.
 	m.tick()
 }
 
-// showLocked passes view and lease on to the node core, the view first: the
-// core must not serve under a lease that covers a newer revision.
-func (m *member) showLocked() {
+// updateCoreLocked passes the view and the lease to the node core, the view first: the core must
+// not serve with an older view than the revision that the lease covers.
+func (m *member) updateCoreLocked() {
 	view := m.holder.View()
-	if view.Revision() > m.shown {
-		m.shown = view.Revision()
-		m.learnRouters(view)
+	if view.Revision() > m.lastRevision {
+		m.lastRevision = view.Revision()
+		m.setRouterAddresses(view)
 		m.input(node.ViewChanged{View: buildView(view, m.holder.Session())})
 		m.releaseMoving(view)
 	}
@@ -248,38 +249,40 @@
 	if m.holder.Session() != ownership.NoSession && view.Revision() >= uint64(m.holder.Session()) {
 		granted.Until = m.holder.ExpiresAt()
 	}
-	if granted != m.granted {
-		m.granted = granted
+	if granted != m.lastLease {
+		m.lastLease = granted
 		m.input(granted)
 	}
 }
 
-// releaseMoving gives up what the leader asked for. The core has stopped
-// admitting to it by now, because it has the view that says so.
+// releaseMoving releases the upstreams that the leader wants to move to other routers. The core
+// has already stopped admitting requests to them, because it has the view that marks them as
+// moving.
 func (m *member) releaseMoving(view *fleetstate.View) {
 	session := m.holder.Session()
 	held := heldBy(view, session, func(assignment ownership.Assignment) bool { return assignment.Moving })
 	if len(held) > 0 {
-		m.release(session, held)
+		m.proposeRelease(session, held)
 	}
 }
 
-// heldBy lists what a session owns, as a release names it.
-func heldBy(view *fleetstate.View, session ownership.SessionID, wanted func(ownership.Assignment) bool) []ownership.Held {
+// heldBy lists the upstreams that a session owns and the filter accepts, in the form in which a
+// release names them.
+func heldBy(view *fleetstate.View, session ownership.SessionID, filter func(ownership.Assignment) bool) []ownership.Held {
 	var held []ownership.Held
 	view.Assignments(func(assignment ownership.Assignment) {
-		if assignment.Owner == session && wanted(assignment) {
+		if assignment.Owner == session && filter(assignment) {
 			held = append(held, ownership.Held{Upstream: assignment.Upstream, Fence: assignment.Fence})
 		}
 	})
 	return held
 }
 
-// learnRouters tells the mesh where the fleet's routers listen.
-func (m *member) learnRouters(view *fleetstate.View) {
+// setRouterAddresses passes the addresses of the fleet's routers to the mesh.
+func (m *member) setRouterAddresses(view *fleetstate.View) {
 	view.Sessions(func(session ownership.Session) {
 		if session.Router != m.identity.Router {
-			m.learn(session.Router, session.Address)
+			m.setAddress(session.Router, session.Address)
 		}
 	})
 }
@@ -302,25 +305,25 @@
 	}()
 }
 
-// RegisterUpstream implements Proposer. Announcements repeat twice a second,
-// so one registration of an upstream is under way at a time.
+// RegisterUpstream implements Proposer. Announcements repeat twice a second, so at most one
+// registration or removal of an upstream is in progress at a time.
 func (m *member) RegisterUpstream(out node.RegisterUpstream) {
 	descriptor := registry.FromAnnouncement(out.Announcement)
-	m.registryChange(descriptor.ID, fleetstate.Command{Register: &registry.Register{Descriptor: descriptor}})
+	m.changeRegistry(descriptor.ID, fleetstate.Command{Register: &registry.Register{Descriptor: descriptor}})
 }
 
 // RemoveUpstream implements Proposer.
 func (m *member) RemoveUpstream(out node.RemoveUpstream) {
-	m.registryChange(out.Upstream, fleetstate.Command{Remove: &registry.Remove{
+	m.changeRegistry(out.Upstream, fleetstate.Command{Remove: &registry.Remove{
 		ID: out.Upstream, Incarnation: out.Incarnation, Why: string(out.Reason),
 	}})
 }
 
-func (m *member) registryChange(id protocol.UpstreamID, command fleetstate.Command) {
-	m.registeringMu.Lock()
-	busy := m.registering[id]
-	m.registering[id] = true
-	m.registeringMu.Unlock()
+func (m *member) changeRegistry(id protocol.UpstreamID, command fleetstate.Command) {
+	m.changingMu.Lock()
+	busy := m.changing[id]
+	m.changing[id] = true
+	m.changingMu.Unlock()
 	if busy {
 		return
 	}
@@ -330,14 +333,14 @@
 		ctx, cancel := context.WithTimeout(context.Background(), registerTimeout)
 		defer cancel()
 		_, _ = m.propose(ctx, command, false)
-		m.registeringMu.Lock()
-		defer m.registeringMu.Unlock()
-		delete(m.registering, id)
+		m.changingMu.Lock()
+		defer m.changingMu.Unlock()
+		delete(m.changing, id)
 	}()
 }
 
-// release proposes to give up upstreams that this router was asked for.
-func (m *member) release(session ownership.SessionID, held []ownership.Held) {
+// proposeRelease proposes to release upstreams that the leader wants to move to other routers.
+func (m *member) proposeRelease(session ownership.SessionID, held []ownership.Held) {
 	m.done.Add(1)
 	go func() {
 		defer m.done.Done()
@@ -347,8 +350,8 @@
 	}()
 }
 
-// leave begins a planned stop: the session gets no more upstreams and gives
-// up those it has, so that their next owners needn't wait for a lease.
+// leave begins a planned stop: the session gets no more upstreams and releases those that it has,
+// so that their next owners don't have to wait until the lease expires.
 func (m *member) leave(ctx context.Context) {
 	m.mu.Lock()
 	m.stopping = true
@@ -364,7 +367,7 @@
 	_, _ = m.propose(ctx, fleetstate.Command{Release: &ownership.Release{Session: session, Held: owned}}, false)
 }
 
-// closeSession ends the session, after which nobody waits for its lease.
+// closeSession closes the session, so that nobody waits for its lease to expire.
 func (m *member) closeSession(ctx context.Context) {
 	m.mu.Lock()
 	session := m.holder.Session()
@@ -377,26 +380,26 @@
 	_, _ = m.propose(ctx, fleetstate.Command{Close: &ownership.Close{Session: session}}, false)
 }
 
-// currentLeader returns the voter that is believed to lead.
+// currentLeader returns the voter that this process considers the leader.
 func (m *member) currentLeader() protocol.RouterID {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.leader
 }
 
-// turnFrom looks for another leader than the one that did not answer.
-func (m *member) turnFrom(asked protocol.RouterID) {
-	m.afterRefusal(asked, fleet.ProposeReply{}, false)
+// tryOtherVoter selects another voter in place of the one that did not answer or doesn't lead.
+func (m *member) tryOtherVoter(asked protocol.RouterID) {
+	m.updateLeader(asked, fleet.ProposeReply{}, false)
 }
 
-// read runs f on this router's view.
+// read calls f with this router's view, under the lock.
 func (m *member) read(f func(*fleetstate.View)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	f(m.holder.View())
 }
 
-// routers lists the routers with an open session, this one included.
+// routers lists this router and all routers with an open session.
 func (m *member) routers() []protocol.RouterID {
 	found := []protocol.RouterID{m.identity.Router}
 	m.read(func(view *fleetstate.View) {
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -23,31 +23,31 @@
 	}
 }
 
-// refused counts a refusal by its reason.
-func (c *counters) refused(why reason.Code) {
+// countRefusal counts a refused request by its reason.
+func (c *counters) countRefusal(why reason.Code) {
 	metrics.GetOrRegisterCounter("refused_total."+string(why), c.registry).Inc(1)
 }
 
-// decision counts an explained decision by its kind.
-func (c *counters) decision(what string) {
+// countDecision counts a decision by its kind.
+func (c *counters) countDecision(what string) {
 	metrics.GetOrRegisterCounter("decisions_total."+what, c.registry).Inc(1)
 }
 
-// set puts a gauge to a value.
+// set sets a gauge.
 func (c *counters) set(name string, value float64) {
 	metrics.GetOrRegisterGaugeFloat64(name, c.registry).Update(value)
 }
 
-// labelOf names the label that the part of a metric's name after the dot
-// becomes. The registry has no labels of its own.
-var labelOf = map[string]string{
+// labelNames maps a metric to its label. The registry has no labels, so the part of a metric's
+// name after the dot becomes the label's value.
+var labelNames = map[string]string{
 	"refused_total":          "reason",
 	"decisions_total":        "kind",
 	"peer_bytes_total":       "message",
 	"membership_bytes_total": "packet",
 }
 
-// writeText writes the metrics in the Prometheus text form, sorted by name.
+// writeText writes the metrics in the Prometheus text format, sorted by name.
 func (c *counters) writeText(w io.Writer) error {
-	return metricstext.Write(w, c.registry, labelOf)
+	return metricstext.Write(w, c.registry, labelNames)
 }
--- a/daemon/operators.go
+++ b/daemon/operators.go
@@ -41,7 +41,7 @@
 		return table.Answer{}, err
 	}
 	if result.Change == nil {
-		return table.Answer{}, eris.New("the replicated state didn't understand the change")
+		return table.Answer{}, eris.Errorf("the replicated state returned no result for the change %q", change.ID)
 	}
 	return *result.Change, nil
 }
@@ -82,7 +82,7 @@
 		return orders.Result{}, err
 	}
 	if result.Order == nil {
-		return orders.Result{}, eris.New("the replicated state didn't understand the order")
+		return orders.Result{}, eris.Errorf("the replicated state returned no result for the order %q of customer %q", settle.Key, settle.Customer)
 	}
 	return *result.Order, nil
 }
@@ -93,7 +93,7 @@
 	return d.counters.writeText(w)
 }
 
-// updateGauges reads the values that are not counted as they happen.
+// updateGauges sets the gauges that are only read when the metrics are scraped.
 func (d *Daemon) updateGauges() {
 	entries, relayed := d.runner.inFlight()
 	d.counters.set("requests_in_flight", float64(entries))
@@ -103,7 +103,7 @@
 		ready = 1
 	}
 	d.counters.set("ready", ready)
-	d.gossip.measure(d.counters)
+	d.gossip.updateGauges(d.counters)
 	counts := d.mesh.Counts()
 	for kind, bytes := range counts.BytesSent {
 		d.counters.set("peer_bytes_total."+kind.String(), float64(bytes))
@@ -130,8 +130,8 @@
 	return status
 }
 
-// voters describes the members of the replicated log as this one knows them; a
-// router without a disk knows none.
+// voters lists the voters and learners of the replicated log as this replica knows them; nil on a
+// process that keeps no state.
 func (d *Daemon) voters() []admin.VoterStatus {
 	if d.replica == nil {
 		return nil
@@ -147,7 +147,7 @@
 	return list
 }
 
-// fillStatus describes routers and upstreams from a view.
+// fillStatus adds the routers and the upstreams of a view to the status.
 func fillStatus(status *admin.Status, view *fleetstate.View) {
 	status.Revision = view.Revision()
 	owners := map[ownership.SessionID]protocol.RouterID{}
@@ -193,7 +193,7 @@
 	return strings.Join(names, " ")
 }
 
-// problemsOf says what is wrong, worst first.
+// problemsOf lists what is wrong, worst first.
 func problemsOf(status admin.Status) []string {
 	problems := []string{}
 	if !status.Ready {
@@ -210,8 +210,8 @@
 	return problems
 }
 
-// sortEvents puts the events of several routers in order of their clocks,
-// which may differ by a little between VMs.
+// sortEvents orders the events of several routers by the routers' clocks, which may differ a
+// little between VMs.
 func sortEvents(events []explain.Event) {
 	slices.SortStableFunc(events, func(a, b explain.Event) int {
 		return cmp.Or(cmp.Compare(a.UnixMS, b.UnixMS), cmp.Compare(a.Router, b.Router), cmp.Compare(a.Sequence, b.Sequence))
--- a/daemon/proposals.go
+++ b/daemon/proposals.go
@@ -13,32 +13,34 @@
 	"endiveplank/protocol/wire"
 )
 
-// propose commits a command through whichever voter leads, and asks again
-// until the context ends. Commands are idempotent, so asking again after an
-// unknown outcome is safe.
+// propose commits a command through the leader. It retries until the context ends. Commands are
+// idempotent, so a retry after an unknown outcome is safe. With inForce it also waits until the
+// change is in force, that is until every open session has acknowledged it.
 func (m *member) propose(ctx context.Context, command fleetstate.Command, inForce bool) (fleetstate.Result, error) {
 	encoded := command.Encode()
 	for {
 		m.mu.Lock()
 		leader := m.leader
 		m.mu.Unlock()
-		reply, answered := m.ask(ctx, leader, encoded, inForce)
+		reply, answered := m.proposeTo(ctx, leader, encoded, inForce)
 		if answered && reply.Verdict == fleet.VerdictCommitted {
 			return fleetstate.DecodeResult(reply.Result)
 		}
-		m.afterRefusal(leader, reply, answered)
+		m.updateLeader(leader, reply, answered)
 		select {
 		case <-ctx.Done():
 			return fleetstate.Result{}, eris.Wrap(ctx.Err(), "the replicated state did not answer in time")
 		case <-m.quit:
 			return fleetstate.Result{}, eris.New("this process is stopping")
-		case <-time.After(askPause):
+		case <-time.After(retryPause):
 		}
 	}
 }
 
-// afterRefusal turns to the voter that is said to lead, or to the next one.
-func (m *member) afterRefusal(asked protocol.RouterID, reply fleet.ProposeReply, answered bool) {
+// updateLeader takes the voter that the reply names as the leader, or the next voter if the reply
+// names none or did not come. It keeps a leader that is only busy, and one that was selected after
+// the request was sent.
+func (m *member) updateLeader(asked protocol.RouterID, reply fleet.ProposeReply, answered bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.leader != asked || (answered && reply.Verdict == fleet.VerdictBusy) {
@@ -48,17 +50,18 @@
 		m.leader = reply.Leader
 		return
 	}
-	m.nextVoter()
+	m.selectNextVoter()
 }
 
-// ask sends one proposal to one voter and waits for its reply.
-func (m *member) ask(ctx context.Context, leader protocol.RouterID, command []byte, inForce bool) (fleet.ProposeReply, bool) {
-	patience := askTimeout
+// proposeTo sends one proposal to one voter and waits for its reply. It returns false if none
+// comes in time.
+func (m *member) proposeTo(ctx context.Context, leader protocol.RouterID, command []byte, inForce bool) (fleet.ProposeReply, bool) {
+	timeout := requestTimeout
 	if inForce {
-		// A change waits for the lease of a lost router to run out.
-		patience += lease.DefaultTiming().ExpireAfter + askTimeout
+		// A change is in force only when the lease of a lost router has expired.
+		timeout += lease.DefaultTiming().ExpireAfter + requestTimeout
 	}
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	if leader == m.identity.Router {
 		if m.local == nil {
@@ -66,8 +69,8 @@
 		}
 		return m.local.propose(ctx, fleet.Propose{Command: command, InForce: inForce}), true
 	}
-	id, replies := m.expect()
-	defer m.forget(id)
+	id, replies := m.addPending()
+	defer m.removePending(id)
 	m.send(leader, wire.KindPropose, wire.Encode(fleet.Propose{ID: id, Command: command, InForce: inForce}), true)
 	select {
 	case reply := <-replies:
@@ -77,26 +80,27 @@
 	}
 }
 
-func (m *member) expect() (uint64, chan fleet.ProposeReply) {
+// addPending returns the ID for a new proposal and the channel that receives its reply.
+func (m *member) addPending() (uint64, chan fleet.ProposeReply) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.asked++
+	m.lastProposalID++
 	replies := make(chan fleet.ProposeReply, 1)
-	m.asking[m.asked] = replies
-	return m.asked, replies
+	m.pendingProposals[m.lastProposalID] = replies
+	return m.lastProposalID, replies
 }
 
-func (m *member) forget(id uint64) {
+func (m *member) removePending(id uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delete(m.asking, id)
+	delete(m.pendingProposals, id)
 }
 
-// onProposeReply hands a reply to whoever asked.
-func (m *member) onProposeReply(reply fleet.ProposeReply) {
+// handleProposeReply passes a reply to the goroutine that waits for it, if any still does.
+func (m *member) handleProposeReply(reply fleet.ProposeReply) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if replies := m.asking[reply.ID]; replies != nil {
+	if replies := m.pendingProposals[reply.ID]; replies != nil {
 		select {
 		case replies <- reply:
 		default:
--- a/daemon/queries.go
+++ b/daemon/queries.go
@@ -16,7 +16,8 @@
 	"endiveplank/transport/admin"
 )
 
-// query is a question to another process. One field is set.
+// query is a query of an operator that one process sends to another. Exactly one of its pointers
+// is set.
 type query struct {
 	ID      uint64              `msgpack:"i"`
 	Events  *explain.Query      `msgpack:"e,omitempty"`
@@ -25,11 +26,10 @@
 	Order   *orders.Key         `msgpack:"o,omitempty"`
 }
 
-// queryReply answers a query.
+// queryReply is the reply to a query.
 type queryReply struct {
 	ID uint64 `msgpack:"i"`
-	// NotLeader means that the question is for the leader, which this process
-	// isn't.
+	// NotLeader means that only the leader can answer the query and that this process doesn't lead.
 	NotLeader bool                 `msgpack:"n,omitempty"`
 	Events    []explain.Event      `msgpack:"e,omitempty"`
 	History   []table.HistoryEntry `msgpack:"h,omitempty"`
@@ -38,33 +38,34 @@
 	Problem   string               `msgpack:"p,omitempty"`
 }
 
-// questions pairs replies with their queries.
-type questions struct {
-	mu    sync.Mutex
-	last  uint64
-	open  map[uint64]chan queryReply
-	send  func(to protocol.RouterID, kind wire.Kind, payload []byte, reliable bool) bool
-	self  protocol.RouterID
-	local func(query) queryReply
+// queryClient sends queries to other processes and matches the replies with them.
+type queryClient struct {
+	mu          sync.Mutex
+	lastID      uint64
+	pending     map[uint64]chan queryReply
+	send        func(to protocol.RouterID, kind wire.Kind, payload []byte, reliable bool) bool
+	self        protocol.RouterID
+	answerLocal func(query) queryReply
 }
 
-// ask puts a question to one process.
-func (q *questions) ask(ctx context.Context, to protocol.RouterID, question query) (queryReply, bool) {
-	if to == q.self {
-		return q.local(question), true
+// do sends a query to one process and waits for the reply. It returns false if the context ends
+// first.
+func (c *queryClient) do(ctx context.Context, to protocol.RouterID, q query) (queryReply, bool) {
+	if to == c.self {
+		return c.answerLocal(q), true
 	}
 	replies := make(chan queryReply, 1)
-	q.mu.Lock()
-	q.last++
-	question.ID = q.last
-	q.open[question.ID] = replies
-	q.mu.Unlock()
+	c.mu.Lock()
+	c.lastID++
+	q.ID = c.lastID
+	c.pending[q.ID] = replies
+	c.mu.Unlock()
 	defer func() {
-		q.mu.Lock()
-		delete(q.open, question.ID)
-		q.mu.Unlock()
+		c.mu.Lock()
+		delete(c.pending, q.ID)
+		c.mu.Unlock()
 	}()
-	q.send(to, wire.KindQuery, wire.Encode(question), true)
+	c.send(to, wire.KindQuery, wire.Encode(q), true)
 	select {
 	case reply := <-replies:
 		return reply, true
@@ -73,11 +74,11 @@
 	}
 }
 
-// answered hands a reply to whoever asked.
-func (q *questions) answered(reply queryReply) {
-	q.mu.Lock()
-	defer q.mu.Unlock()
-	if replies := q.open[reply.ID]; replies != nil {
+// handleReply passes a reply to the goroutine that waits for it, if any still does.
+func (c *queryClient) handleReply(reply queryReply) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if replies := c.pending[reply.ID]; replies != nil {
 		select {
 		case replies <- reply:
 		default:
@@ -85,62 +86,62 @@
 	}
 }
 
-// answerQuery answers a question from what this process knows.
-func (d *Daemon) answerQuery(question query) queryReply {
-	reply := queryReply{ID: question.ID}
-	if question.Events != nil {
-		reply.Events = d.runner.find(*question.Events)
+// answerQuery answers a query from the events and the state of this process.
+func (d *Daemon) answerQuery(q query) queryReply {
+	reply := queryReply{ID: q.ID}
+	if q.Events != nil {
+		reply.Events = d.runner.findEvents(*q.Events)
 		return reply
 	}
 	if d.host == nil {
 		reply.NotLeader = true
 		return reply
 	}
-	return d.host.answer(question)
+	return d.host.answerQuery(q)
 }
 
-// answer answers a question about the replicated state. Only the leader does,
-// after it has read: another process may be behind.
-func (h *stateHost) answer(question query) queryReply {
-	reply := queryReply{ID: question.ID}
+// answerQuery answers a query about the replicated state. It checks after the read that this
+// process still leads; any other process may be behind.
+func (h *stateHost) answerQuery(q query) queryReply {
+	reply := queryReply{ID: q.ID}
 	h.read(func(machine *fleetstate.Machine) {
 		switch {
-		case question.History != nil:
-			reply.History = machine.Table().History(question.History.Sheet, question.History.Key, question.History.Limit)
-		case question.Undo != nil:
-			edits, err := machine.Table().UndoOf(*question.Undo)
+		case q.History != nil:
+			reply.History = machine.Table().History(q.History.Sheet, q.History.Key, q.History.Limit)
+		case q.Undo != nil:
+			edits, err := machine.Table().UndoOf(*q.Undo)
 			reply.Edits = edits
 			if err != nil {
 				reply.Problem = err.Error()
 			}
-		case question.Order != nil:
-			if record, found := machine.Orders().Lookup(*question.Order); found {
+		case q.Order != nil:
+			if record, found := machine.Orders().Lookup(*q.Order); found {
 				reply.Order = &record
 			}
 		}
 	})
-	reply.NotLeader = !h.log.HoldsLease(h.now())
+	reply.NotLeader = !h.replicatedLog.HoldsLease(h.now())
 	return reply
 }
 
-// askLeader puts a question to whichever voter leads.
-func (d *Daemon) askLeader(ctx context.Context, question query) (queryReply, error) {
+// queryLeader sends a query to the leader and retries with other voters until the context ends.
+func (d *Daemon) queryLeader(ctx context.Context, q query) (queryReply, error) {
 	for {
 		leader := d.member.currentLeader()
-		reply, answered := d.questions.ask(ctx, leader, question)
+		reply, answered := d.queries.do(ctx, leader, q)
 		if answered && !reply.NotLeader {
 			return reply, nil
 		}
-		d.member.turnFrom(leader)
+		d.member.tryOtherVoter(leader)
 		select {
 		case <-ctx.Done():
-			return queryReply{}, eris.New("no leader answered in time")
-		case <-time.After(askPause):
+			return queryReply{}, eris.Errorf("no leader answered in time; the last voter asked was %q", leader)
+		case <-time.After(retryPause):
 		}
 	}
 }
 
-// Events implements admin.Fleet: it asks all routers at once.
+// Events implements admin.Fleet. It queries all routers at once.
 func (d *Daemon) Events(ctx context.Context, wanted explain.Query) admin.EventsAnswer {
 	routers := d.member.routers()
 	type part struct {
@@ -151,7 +152,7 @@
 	parts := make(chan part, len(routers))
 	for _, router := range routers {
 		go func() {
-			reply, ok := d.questions.ask(ctx, router, query{Events: &wanted})
+			reply, ok := d.queries.do(ctx, router, query{Events: &wanted})
 			parts <- part{router, reply, ok}
 		}()
 	}
@@ -170,13 +171,13 @@
 
 // History implements admin.Fleet.
 func (d *Daemon) History(ctx context.Context, wanted admin.HistoryQuery) ([]table.HistoryEntry, error) {
-	reply, err := d.askLeader(ctx, query{History: &wanted})
+	reply, err := d.queryLeader(ctx, query{History: &wanted})
 	return reply.History, err
 }
 
 // Undo implements admin.Fleet.
 func (d *Daemon) Undo(ctx context.Context, changeID string) ([]table.Edit, error) {
-	reply, err := d.askLeader(ctx, query{Undo: &changeID})
+	reply, err := d.queryLeader(ctx, query{Undo: &changeID})
 	if err == nil && reply.Problem != "" {
 		return nil, eris.New(reply.Problem)
 	}
@@ -185,7 +186,7 @@
 
 // Order implements admin.Fleet.
 func (d *Daemon) Order(ctx context.Context, key orders.Key) (orders.Record, bool, error) {
-	reply, err := d.askLeader(ctx, query{Order: &key})
+	reply, err := d.queryLeader(ctx, query{Order: &key})
 	if err != nil || reply.Order == nil {
 		return orders.Record{}, false, err
 	}
--- a/daemon/recover.go
+++ b/daemon/recover.go
@@ -11,10 +11,9 @@
 	"endiveplank/state/replica"
 )
 
-// Recover lets a stopped voter's data folder go on as the only voter after
-// the quorum is lost for good. lost must name exactly the other voters. A dry
-// run checks and reports and changes nothing in the log. The folder must
-// exist: a mistyped path must not become a new, empty state.
+// Recover makes a stopped voter the only voter, from its data folder, after the quorum is lost for
+// good. lost must name exactly the other voters. A dry run checks and reports, and doesn't change
+// the log. The folder must exist, so that a mistyped path doesn't become a new, empty state.
 func Recover(s settings.Settings, lost []protocol.RouterID, dryRun bool) (replica.RecoveryReport, error) {
 	if !s.KeepsState() {
 		return replica.RecoveryReport{}, eris.Errorf("the role %s keeps no state to recover", s.Role)
@@ -24,7 +23,7 @@
 	}
 	folder, err := disk.Open(s.DataFolder)
 	if err != nil {
-		return replica.RecoveryReport{}, eris.Wrap(err, "open the data folder; is the process stopped?")
+		return replica.RecoveryReport{}, eris.Wrapf(err, "open the data folder %q; is the process stopped?", s.DataFolder)
 	}
 	defer func() { _ = folder.Close() }()
 	return replica.Recover(replica.RecoveryRequest{Self: s.RouterID, Disk: folder, Lost: lost, DryRun: dryRun}, newRandom())
--- a/daemon/recover_test.go
+++ b/daemon/recover_test.go
@@ -11,10 +11,10 @@
 	"endiveplank/settings"
 )
 
-// Two of three voters burn down together. The third has the rows but can't
-// commit or give a lease alone, and stays unready for good. The operator says
-// that the others are lost, and the fleet goes on from the third's disk.
-func TestSurvivorGoesOnAloneOnceTheOthersAreSaidLost(t *testing.T) {
+// Two of three voters are lost for good. The third has the rows, but alone it can't commit or
+// grant a lease, so it would stay unready forever. The operator names the others as lost, and the
+// fleet continues from the third voter's disk.
+func TestRecoveredSurvivorServesAsTheOnlyVoter(t *testing.T) {
 	t.Parallel()
 	f := newTestFleet(t)
 	f.setUp()
@@ -43,7 +43,9 @@
 	assert.Equal(t, f.change(survivor, "after", edit).Outcome, table.Committed)
 }
 
-func TestRecoverMakesNoNewState(t *testing.T) {
+// An operator mistypes the data folder, names an empty one, or runs the command on a router
+// without state. Recover must fail and create no state.
+func TestRecoverCreatesNoState(t *testing.T) {
 	s := settings.Defaults()
 	s.RouterID, s.Role = "r1", settings.RoleVoter
 	s.DataFolder = filepath.Join(t.TempDir(), "mistyped")
--- a/daemon/reload_test.go
+++ b/daemon/reload_test.go
@@ -11,8 +11,8 @@
 	"endiveplank/settings"
 )
 
-// An operator leaves the team. Its key must stop working on a running router,
-// and its successor's begin to, without a restart that callers would feel.
+// An operator leaves the team. That operator's key must stop working on a running router, and the
+// successor's key must work, without a restart, which callers would notice.
 func TestReloadPutsOperatorsInForce(t *testing.T) {
 	f := newTestFleet(t)
 	operators := func(key string) []settings.Operator {
--- a/daemon/replicalog.go
+++ b/daemon/replicalog.go
@@ -6,8 +6,8 @@
 	"endiveplank/state/replica"
 )
 
-// replicaLog adapts a replica to Log.
+// replicaLog adapts a replica to ReplicatedLog.
 type replicaLog struct{ *replica.Replica }
 
-// HoldsLease implements Log.
+// HoldsLease implements ReplicatedLog.
 func (l replicaLog) HoldsLease(now time.Duration) bool { return l.IsLeaderWithLease(now) }
--- a/daemon/runner.go
+++ b/daemon/runner.go
@@ -19,62 +19,62 @@
 	"endiveplank/transport/upstream"
 )
 
-// eventRingSize is how many explained events of each sort a router keeps:
-// about 2 MB.
+// eventRingSize is how many events of each kind a router keeps for operators' queries, about 2 MB.
 const eventRingSize = 8192
 
-// Proposer carries the node core's wishes to the replicated state.
+// Proposer proposes commands of the node core to the replicated state.
 type Proposer interface {
-	// Journal proposes an order command; its result comes back as an input.
+	// Journal proposes an order command. Its result returns to the core as an input.
 	Journal(node.Journal)
 	// RegisterUpstream and RemoveUpstream propose changes of the registry.
 	RegisterUpstream(node.RegisterUpstream)
 	RemoveUpstream(node.RemoveUpstream)
 }
 
-// runner drives the node core: it serializes inputs, passes time, and carries
-// out outputs. Nothing it calls under its lock blocks.
+// runner drives the node core: it passes inputs to it one at a time, sends it ticks, and carries
+// out its outputs. Nothing that it calls under its lock blocks.
 type runner struct {
-	epoch    time.Time
-	mesh     *peer.Mesh
-	client   *upstream.Client
-	proposer Proposer
-	// spread tells all routers of a crash or quarantine.
-	spread   func(quarantine.Notice)
-	log      zerolog.Logger
-	self     protocol.RouterID
-	counters *counters
-	// replyIssuer carries an owner's answer to the issuer without blocking.
-	replyIssuer func(node.ReplyIssuer)
+	startedAt time.Time
+	mesh      *peer.Mesh
+	client    *upstream.Client
+	proposer  Proposer
+	// broadcast sends a notice of a crash or a quarantine to all routers.
+	broadcast func(quarantine.Notice)
+	log       zerolog.Logger
+	self      protocol.RouterID
+	counters  *counters
+	// sendEngineReply sends an owner's reply to the issuer of engine orders, without blocking.
+	sendEngineReply func(node.ReplyIssuer)
 
-	mu      sync.Mutex
-	core    *node.Node
-	answers map[protocol.RequestID]*callers.Answer
-	hops    hops
-	// after holds inputs that came up while outputs were carried out.
-	after []node.Input
+	mu         sync.Mutex
+	core       *node.Node
+	answers    map[protocol.RequestID]*callers.Answer
+	ownerSpans ownerSpans
+	// pendingInputs holds inputs that arose while outputs were carried out.
+	pendingInputs []node.Input
 
 	eventsMu sync.Mutex
 	events   *explain.Ring
 }
 
-// now is the monotonic time since the process's epoch.
-func (r *runner) now() time.Duration { return time.Since(r.epoch) }
+// now returns the monotonic time since the process started.
+func (r *runner) now() time.Duration { return time.Since(r.startedAt) }
 
-// Input steps the core and carries out what it wants.
+// Input passes an input to the core and carries out the outputs, then does the same with the
+// inputs that arose meanwhile.
 func (r *runner) Input(in node.Input) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.step(in)
-	for len(r.after) > 0 {
-		next := r.after[0]
-		r.after = r.after[1:]
+	for len(r.pendingInputs) > 0 {
+		next := r.pendingInputs[0]
+		r.pendingInputs = r.pendingInputs[1:]
 		r.step(next)
 	}
 }
 
 func (r *runner) step(in node.Input) {
-	for _, out := range r.core.Step(r.now(), r.hops.input(in)) {
+	for _, out := range r.core.Step(r.now(), r.ownerSpans.handleInput(in)) {
 		r.perform(out)
 	}
 }
@@ -83,10 +83,10 @@
 func (r *runner) perform(out node.Output) {
 	switch out := out.(type) {
 	case node.Send:
-		r.hops.sent(out.Payload)
+		r.ownerSpans.handleSend(out.Payload)
 		r.mesh.Send(out.To, out.Kind, encodePayload(out.Payload), out.Reliable)
 	case node.Spread:
-		r.spread(out.Notice)
+		r.broadcast(out.Notice)
 	case node.CallUpstream:
 		r.client.Call(out)
 	case node.ProbeUpstream:
@@ -94,14 +94,14 @@
 	case node.CancelUpstream:
 		r.client.Cancel(out.Attempt)
 	case node.AnswerHead:
-		r.answer(out.Request, out, false)
+		r.sendToCaller(out.Request, out, false)
 	case node.AnswerChunk:
-		r.answer(out.Request, out, false)
+		r.sendToCaller(out.Request, out, false)
 	case node.AnswerEnd:
-		r.answer(out.Request, out, true)
+		r.sendToCaller(out.Request, out, true)
 	case node.AnswerError:
-		r.counters.refused(out.Reason)
-		r.answer(out.Request, out, true)
+		r.counters.countRefusal(out.Reason)
+		r.sendToCaller(out.Request, out, true)
 	case node.Journal:
 		r.proposer.Journal(out)
 	case node.RegisterUpstream:
@@ -113,16 +113,16 @@
 	case node.MoveCache:
 		r.client.Move(out)
 	case node.ReplyIssuer:
-		r.replyIssuer(out)
+		r.sendEngineReply(out)
 	case node.Event:
-		r.explain(out, r.traceOf(out))
+		r.recordEvent(out, r.traceOf(out))
 	default:
-		panic("daemon: output of a type that the runner doesn't know")
+		panic("daemon: the node core returned an output of an unknown type")
 	}
 }
 
-// encodePayload puts a message of the core into its wire form. Load summaries
-// go out several times a second and have a compact one of their own.
+// encodePayload encodes a message of the core. Load summaries are sent several times a second and
+// have a compact encoding of their own.
 func encodePayload(payload any) []byte {
 	if summary, ok := payload.(loadbound.Summary); ok {
 		return summary.AppendBinary(nil)
@@ -130,9 +130,9 @@
 	return wire.Encode(payload)
 }
 
-// answer passes a piece to its caller. A caller that can't take it is given
-// up once the current step is done.
-func (r *runner) answer(id protocol.RequestID, piece node.Output, last bool) {
+// sendToCaller passes a part of an answer to its caller. If the caller can't take it, the core
+// receives CallerGone after the current step.
+func (r *runner) sendToCaller(id protocol.RequestID, piece node.Output, last bool) {
 	answer := r.answers[id]
 	if answer == nil {
 		return
@@ -142,11 +142,11 @@
 	}
 	if !answer.Put(piece) && !last {
 		delete(r.answers, id)
-		r.after = append(r.after, node.CallerGone{ID: id})
+		r.pendingInputs = append(r.pendingInputs, node.CallerGone{ID: id})
 	}
 }
 
-// Submit hands a caller's request to the core.
+// Submit passes a caller's request to the core. The parts of the answer go to answer.
 func (r *runner) Submit(request node.CallerRequest, answer *callers.Answer) {
 	r.counters.requests.Inc(1)
 	r.mu.Lock()
@@ -155,7 +155,7 @@
 	r.Input(request)
 }
 
-// CallerGone tells the core that a caller went away.
+// CallerGone tells the core that a caller has closed its connection.
 func (r *runner) CallerGone(id protocol.RequestID) {
 	r.mu.Lock()
 	delete(r.answers, id)
@@ -163,8 +163,8 @@
 	r.Input(node.CallerGone{ID: id})
 }
 
-// quarantined lists the requests that are refused for crashes, with the time
-// that is left.
+// quarantined lists the requests that are refused because they crashed upstreams, and returns the
+// time against which their expiry counts.
 func (r *runner) quarantined() ([]quarantine.Entry, time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -172,25 +172,26 @@
 	return r.core.Quarantined(now), now
 }
 
-// Ready says whether callers should come here.
+// Ready reports whether callers should send requests to this router.
 func (r *runner) Ready() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.core.Ready(r.now())
 }
 
-// inFlight returns the requests kept and the attempts relayed.
+// inFlight returns the number of callers' requests and the number of attempts that this router
+// relays as an owner.
 func (r *runner) inFlight() (entries, relayed int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.core.InFlight()
 }
 
-// explain keeps an event and logs the notable ones.
-func (r *runner) explain(event node.Event, trace string) {
+// recordEvent counts an event, keeps it for operators' queries, and logs it at debug level.
+func (r *runner) recordEvent(event node.Event, trace string) {
 	r.eventsMu.Lock()
 	defer r.eventsMu.Unlock()
-	r.counters.decision(event.What)
+	r.counters.countDecision(event.What)
 	r.events.Add(explain.Event{
 		UnixMS:   time.Now().UnixMilli(),
 		Router:   r.self,
@@ -208,18 +209,18 @@
 		Str("reason", string(event.Reason)).Msg("node: " + event.What)
 }
 
-// explainApart keeps an event that no request caused. Other parts call it from
-// their own goroutines, so it must not look at the core's requests.
-func (r *runner) explainApart(event node.Event) { r.explain(event, "") }
+// recordEventWithoutRequest records an event that no request caused. Other parts call it from
+// their own goroutines, so it must not read the core's requests.
+func (r *runner) recordEventWithoutRequest(event node.Event) { r.recordEvent(event, "") }
 
-// find answers an operator's query from this router's events.
-func (r *runner) find(query explain.Query) []explain.Event {
+// findEvents returns the events of this router that match an operator's query.
+func (r *runner) findEvents(query explain.Query) []explain.Event {
 	r.eventsMu.Lock()
 	defer r.eventsMu.Unlock()
 	return r.events.Find(query)
 }
 
-// tick passes time to the core until quit is closed.
+// tick sends ticks to the core until quit is closed.
 func (r *runner) tick(quit <-chan struct{}) {
 	ticker := time.NewTicker(node.TickInterval)
 	defer ticker.Stop()
@@ -233,37 +234,37 @@
 	}
 }
 
-// dataPath decodes a data path frame into an input. It returns nil for a
-// frame of another kind.
-func dataPath(from protocol.RouterID, frame wire.Frame) (node.Input, error) {
+// decodeDataPath decodes a frame of the data path into an input. It returns nil for a frame of
+// another kind.
+func decodeDataPath(from protocol.RouterID, frame wire.Frame) (node.Input, error) {
 	switch frame.Kind {
 	case wire.KindPlace:
-		return decoded[fleet.Place](from, frame)
+		return decodeInput[fleet.Place](from, frame)
 	case wire.KindPlaceReply:
-		return decoded[fleet.PlaceReply](from, frame)
+		return decodeInput[fleet.PlaceReply](from, frame)
 	case wire.KindChunk:
-		return decoded[fleet.Chunk](from, frame)
+		return decodeInput[fleet.Chunk](from, frame)
 	case wire.KindEnd:
-		return decoded[fleet.End](from, frame)
+		return decodeInput[fleet.End](from, frame)
 	case wire.KindCancel:
-		return decoded[fleet.Cancel](from, frame)
+		return decodeInput[fleet.Cancel](from, frame)
 	case wire.KindAttemptCheck:
-		return decoded[fleet.AttemptCheck](from, frame)
+		return decodeInput[fleet.AttemptCheck](from, frame)
 	case wire.KindAttemptAlive:
-		return decoded[fleet.AttemptAlive](from, frame)
+		return decodeInput[fleet.AttemptAlive](from, frame)
 	case wire.KindLimitAsk:
-		return decoded[limits.Ask](from, frame)
+		return decodeInput[limits.Ask](from, frame)
 	case wire.KindLimitAnswer:
-		return decoded[limits.Answer](from, frame)
+		return decodeInput[limits.Answer](from, frame)
 	case wire.KindChatMoved:
-		return decoded[fleet.ChatMoved](from, frame)
+		return decodeInput[fleet.ChatMoved](from, frame)
 	case wire.KindOrderReport:
-		return decoded[node.OrderReport](from, frame)
+		return decodeInput[node.OrderReport](from, frame)
 	}
 	return nil, nil
 }
 
-func decoded[T any](from protocol.RouterID, frame wire.Frame) (node.Input, error) {
+func decodeInput[T any](from protocol.RouterID, frame wire.Frame) (node.Input, error) {
 	var message T
 	if err := wire.Decode(frame.Payload, &message); err != nil {
 		return nil, err
--- a/daemon/silent_test.go
+++ b/daemon/silent_test.go
@@ -17,9 +17,9 @@
 	"endiveplank/standin/relay"
 )
 
-// behindRelays puts a relay before each daemon's peer listener, under whose
-// address the others know it.
-func behindRelays(t *testing.T) (*testFleet, []*relay.Relay) {
+// newTestFleetBehindRelays starts three voters with a relay in front of each one's peer listener.
+// The others know a daemon by the address of its relay.
+func newTestFleetBehindRelays(t *testing.T) (*testFleet, []*relay.Relay) {
 	t.Helper()
 	f := &testFleet{t: t}
 	var relays []*relay.Relay
@@ -28,11 +28,11 @@
 	for i := range 3 {
 		s := f.settingsOf(i)
 		listening = append(listening, s.Listen.Peers)
-		between, err := relay.Start("127.0.0.1:0", s.Listen.Peers)
+		peerRelay, err := relay.Start("127.0.0.1:0", s.Listen.Peers)
 		assert.NilError(t, err)
-		t.Cleanup(between.Close)
-		relays = append(relays, between)
-		s.Listen.Peers = between.Address()
+		t.Cleanup(peerRelay.Close)
+		relays = append(relays, peerRelay)
+		s.Listen.Peers = peerRelay.Address()
 		peers = append(peers, settings.Peer{RouterID: s.RouterID, Address: s.Listen.Peers})
 		f.configs = append(f.configs, s)
 	}
@@ -49,15 +49,14 @@
 	return f, relays
 }
 
-// A firewall between the data centres restarts and forgets every connection.
-// None is closed and no error comes; new ones work. Answers that were on their
-// way must still reach their callers whole, orders must run once, and an
-// operator's change must take hold.
-func TestFleetWhoseConnectionsAllGoSilentServesOn(t *testing.T) {
+// A firewall between the data centres restarts and loses the state of all connections. It closes
+// none of them and reports no error; new connections work. Answers in flight must still reach
+// their callers complete, an order must run once, and an operator's change must take effect.
+func TestFleetSurvivesSilentConnections(t *testing.T) {
 	t.Parallel()
-	f, relays := behindRelays(t)
+	f, relays := newTestFleetBehindRelays(t)
 	f.setUp()
-	// A token takes 20 ms, so that an answer is on its way for a second.
+	// A token takes 20 ms, so that an answer is in flight for a second.
 	f.engine("e1", func(s *engine.Settings) { s.Model.IterationBase = 20 * time.Millisecond })
 	f.desk()
 	body := strings.Replace(chatBody, `"max_tokens":6`, `"max_tokens":50`, 1)
@@ -68,8 +67,8 @@
 		calls.Go(func() { _, _, bodies[i] = f.call(i, upstreamapi.CompletionsPath, body) })
 	}
 	time.Sleep(300 * time.Millisecond)
-	for _, between := range relays {
-		between.Forget(relay.Both)
+	for _, peerRelay := range relays {
+		peerRelay.Forget(relay.Both)
 	}
 	calls.Wait()
 	for i, got := range bodies {
@@ -79,8 +78,8 @@
 	f.awaitReady()
 	for i := range f.daemons {
 		f.await("the order is answered", func() bool {
-			// A router whose lease ran out meanwhile says that the order was not
-			// run, and the caller sends it again.
+			// A router whose lease expired meanwhile answers that the order was not run, and the
+			// caller sends it again.
 			status, headers, answer := f.call(i, "/svc/orders/orders", `{"gallons":900}`, protocol.IdempotencyKeyHeader, "o-1")
 			assert.Assert(t, status == 200 || headers.Get(protocol.RunOutcomeHeader) == "not-run", answer)
 			return status == 200
--- a/daemon/statehost.go
+++ b/daemon/statehost.go
@@ -19,60 +19,65 @@
 )
 
 const (
-	// hostTick is how often a leader looks at sessions, pushes and the plan.
-	hostTick = 50 * time.Millisecond
-	// planEvery is how often a leader compares owners with upstreams. An
-	// upstream that joins or lost its owner waits that long at most.
-	planEvery = 200 * time.Millisecond
-	// proposeTimeout bounds one proposal of the leader's own.
+	// hostTickInterval is how often a leader checks sessions, pushes and the plan.
+	hostTickInterval = 50 * time.Millisecond
+	// planInterval is how often a leader compares the owners with the upstreams. An upstream that
+	// joins or has lost its owner waits at most that long for a plan.
+	planInterval = 200 * time.Millisecond
+	// proposeTimeout bounds one task of the leader with its proposals, and the proposals of a planned
+	// stop.
 	proposeTimeout = 3 * time.Second
 )
 
-// Log is the consensus member as the state host needs it.
-type Log interface {
+// ReplicatedLog is what the state host needs of the consensus replica.
+type ReplicatedLog interface {
 	Propose(ctx context.Context, command []byte) ([]byte, error)
-	// Barrier returns when everything accepted anywhere before is applied.
+	// Barrier returns when all commands are applied that any leader accepted before the call.
 	Barrier(ctx context.Context) error
 	HoldsLease(now time.Duration) bool
 	Leader() protocol.RouterID
 }
 
-// stateHost is the part of a voter that applies the replicated state and, on
-// the leader, grants leases, pushes changes, and plans ownership. Its lock is
-// held while the state is applied or read.
+// stateHost is the part of a voter or spare that applies the replicated state and, on the leader,
+// grants leases, pushes changes, plans ownership and issues orders to engines. Its lock is held
+// while the state is applied or read.
 type stateHost struct {
-	log   Log
-	now   func() time.Duration
-	zlog  zerolog.Logger
-	push  func(to protocol.RouterID, push lease.Push)
-	quit  chan struct{}
-	done  sync.WaitGroup
-	tasks sync.WaitGroup
+	replicatedLog ReplicatedLog
+	now           func() time.Duration
+	log           zerolog.Logger
+	push          func(to protocol.RouterID, push lease.Push)
+	quit          chan struct{}
+	done          sync.WaitGroup
+	tasks         sync.WaitGroup
 
 	mu      sync.Mutex
 	machine *fleetstate.Machine
 	leader  *lease.Leader
-	// inOffice says that the leader's side has started for this term.
-	inOffice bool
-	// entering says that a barrier for taking office is under way.
-	entering bool
-	closing  map[ownership.SessionID]bool
-	planning bool
-	planned  time.Duration
-	waiters  map[lease.Waiter]chan struct{}
-	waiter   lease.Waiter
-	// orders is the issuer of orders to engines while in office; sendAsk
-	// carries its asks to owners without blocking.
-	orders  *orderOffice
-	self    protocol.RouterID
-	sendAsk func(to protocol.RouterID, ask engineorders.Ask)
+	// termStarted reports that this process leads and has started its duties for the term.
+	termStarted bool
+	// startingTerm reports that the barrier before the start of the term is in progress.
+	startingTerm bool
+	// closing holds the sessions whose end is being committed.
+	closing map[ownership.SessionID]bool
+	// planning reports that a plan is in progress. lastPlanned is when the last one was made.
+	planning    bool
+	lastPlanned time.Duration
+	// waiters holds the callers that wait for their revision to be in force; lastWaiter is the number
+	// of the latest.
+	waiters    map[lease.Waiter]chan struct{}
+	lastWaiter lease.Waiter
+	// engineOrders issues orders to engines while this process leads, nil otherwise. sendEngineAsk
+	// sends its requests to the owners without blocking.
+	engineOrders  *orderIssuer
+	self          protocol.RouterID
+	sendEngineAsk func(to protocol.RouterID, ask engineorders.Ask)
 }
 
-func newStateHost(now func() time.Duration, zlog zerolog.Logger, push func(protocol.RouterID, lease.Push)) *stateHost {
+func newStateHost(now func() time.Duration, log zerolog.Logger, push func(protocol.RouterID, lease.Push)) *stateHost {
 	machine := fleetstate.New(fleetstate.DefaultSettings())
 	return &stateHost{
 		now:     now,
-		zlog:    zlog,
+		log:     log,
 		push:    push,
 		quit:    make(chan struct{}),
 		machine: machine,
@@ -87,7 +92,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	result := h.machine.Apply(index, command)
-	if h.inOffice {
+	if h.termStarted {
 		h.leader.HandleApplied(h.now())
 	}
 	return result
@@ -107,12 +112,12 @@
 	return h.machine.Restore(data)
 }
 
-// start begins the leader's work; log must be set.
+// start begins the periodic work of a leader. replicatedLog must be set.
 func (h *stateHost) start() {
 	h.done.Add(1)
 	go func() {
 		defer h.done.Done()
-		ticker := time.NewTicker(hostTick)
+		ticker := time.NewTicker(hostTickInterval)
 		defer ticker.Stop()
 		for {
 			select {
@@ -131,65 +136,65 @@
 	h.tasks.Wait()
 }
 
-// tick does the leader's work, or leaves office.
+// tick does the periodic work of the leader, or ends the term on a process that lost the leader's
+// lease.
 func (h *stateHost) tick() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.now()
-	if !h.log.HoldsLease(now) {
-		h.leaveOffice()
+	if !h.replicatedLog.HoldsLease(now) {
+		h.endTerm()
 		return
 	}
-	if !h.inOffice {
-		h.enterOffice()
+	if !h.termStarted {
+		h.startTerm()
 		return
 	}
 	h.pushChanges(now)
 	for _, session := range h.leader.Tick(now) {
 		h.closeSession(session)
 	}
-	h.tellInForce()
-	h.plan(now)
-	h.orderEngines(now)
+	h.notifyInForce()
+	h.planOwnership(now)
+	h.stepEngineOrders(now)
 }
 
-// leaveOffice ends the leader's side. Whoever waits for a revision to be in
-// force is left to its own time-out, and asks the next leader.
-func (h *stateHost) leaveOffice() {
-	if !h.inOffice {
+// endTerm stops the duties of the leader. A caller that waits for a revision to be in force gets
+// no reply: it times out and asks the next leader.
+func (h *stateHost) endTerm() {
+	if !h.termStarted {
 		return
 	}
-	h.inOffice = false
-	h.orders = nil
+	h.termStarted = false
+	h.engineOrders = nil
 	h.closing = map[ownership.SessionID]bool{}
 	h.waiters = map[lease.Waiter]chan struct{}{}
-	h.zlog.Info().Msg("state: left office")
+	h.log.Info().Msg("state: leader lease lost, term ended")
 }
 
-// enterOffice starts the leader's side once all commands of former leaders
-// are applied.
-func (h *stateHost) enterOffice() {
-	if h.entering {
+// startTerm starts the duties of the leader once all commands of earlier leaders are applied.
+func (h *stateHost) startTerm() {
+	if h.startingTerm {
 		return
 	}
-	h.entering = true
-	h.task(func(ctx context.Context) {
-		err := h.log.Barrier(ctx)
+	h.startingTerm = true
+	h.runTask(func(ctx context.Context) {
+		err := h.replicatedLog.Barrier(ctx)
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		h.entering = false
+		h.startingTerm = false
 		now := h.now()
-		if err != nil || !h.log.HoldsLease(now) {
+		if err != nil || !h.replicatedLog.HoldsLease(now) {
 			return
 		}
-		h.inOffice = true
+		h.termStarted = true
 		h.leader.StartTerm(now)
-		h.zlog.Info().Msg("state: took office")
+		h.log.Info().Msg("state: leader lease held, term started")
 	})
 }
 
-// task runs f on its own goroutine with a bounded time.
-func (h *stateHost) task(f func(ctx context.Context)) {
+// runTask runs f on a goroutine of its own, for at most proposeTimeout.
+func (h *stateHost) runTask(f func(ctx context.Context)) {
 	h.tasks.Add(1)
 	go func() {
 		defer h.tasks.Done()
@@ -199,7 +204,7 @@
 	}()
 }
 
-// pushChanges sends new changes to the routers.
+// pushChanges sends the pushes that are due to the routers.
 func (h *stateHost) pushChanges(now time.Duration) {
 	for _, push := range h.leader.Pushes(now) {
 		if session, open := h.machine.Ownership().Session(push.Session); open {
@@ -208,24 +213,24 @@
 	}
 }
 
-// closeSession commits the end of a session whose lease ran out.
+// closeSession commits the end of a session whose lease has expired.
 func (h *stateHost) closeSession(session ownership.SessionID) {
 	if h.closing[session] {
 		return
 	}
 	h.closing[session] = true
-	h.zlog.Warn().Uint64("session", uint64(session)).Msg("state: lease ran out, closing session")
+	h.log.Warn().Uint64("session", uint64(session)).Msg("state: lease expired, closing session")
 	command := fleetstate.Command{Close: &ownership.Close{Session: session}}
-	h.task(func(ctx context.Context) {
-		_, _ = h.log.Propose(ctx, command.Encode())
+	h.runTask(func(ctx context.Context) {
+		_, _ = h.replicatedLog.Propose(ctx, command.Encode())
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		delete(h.closing, session)
 	})
 }
 
-// tellInForce answers those whose revision came into force.
-func (h *stateHost) tellInForce() {
+// notifyInForce wakes the callers whose revision is in force by now.
+func (h *stateHost) notifyInForce() {
 	for _, waiter := range h.leader.TakeInForce() {
 		if done := h.waiters[waiter]; done != nil {
 			close(done)
@@ -234,22 +239,22 @@
 	}
 }
 
-// plan proposes what ownership lacks. One plan is under way at a time, so
-// that the next one sees its effect.
-func (h *stateHost) plan(now time.Duration) {
-	if h.planning || now-h.planned < planEvery {
+// planOwnership proposes the changes of ownership that are missing. At most one plan is in
+// progress at a time, so that the next one sees its effect.
+func (h *stateHost) planOwnership(now time.Duration) {
+	if h.planning || now-h.lastPlanned < planInterval {
 		return
 	}
-	h.planned = now
+	h.lastPlanned = now
 	state := h.machine.Ownership()
-	plan := ownership.MakePlan(state.Sessions(), h.liveUpstreams(), state.Assignments())
+	plan := ownership.MakePlan(state.Sessions(), h.registeredUpstreams(), state.Assignments())
 	if plan.Empty() {
 		return
 	}
 	h.planning = true
-	h.task(func(ctx context.Context) {
+	h.runTask(func(ctx context.Context) {
 		for _, command := range planCommands(plan) {
-			if _, err := h.log.Propose(ctx, command.Encode()); err != nil {
+			if _, err := h.replicatedLog.Propose(ctx, command.Encode()); err != nil {
 				break
 			}
 		}
@@ -259,13 +264,13 @@
 	})
 }
 
-func (h *stateHost) liveUpstreams() []ownership.Upstream {
+func (h *stateHost) registeredUpstreams() []ownership.Upstream {
 	descriptors := h.machine.Registry().All()
-	live := make([]ownership.Upstream, 0, len(descriptors))
+	upstreams := make([]ownership.Upstream, 0, len(descriptors))
 	for _, descriptor := range descriptors {
-		live = append(live, ownership.Upstream{ID: descriptor.ID, DataCentre: descriptor.DataCentre, Capacity: descriptor.Capacity})
+		upstreams = append(upstreams, ownership.Upstream{ID: descriptor.ID, DataCentre: descriptor.DataCentre, Capacity: descriptor.Capacity})
 	}
-	return live
+	return upstreams
 }
 
 // planCommands lists the commands of a plan, the urgent ones first.
@@ -283,21 +288,20 @@
 	return commands
 }
 
-// renew answers a router's renewal.
-func (h *stateHost) renew(renewal lease.Renewal) lease.Reply {
+// handleRenewal returns the reply to a router's renewal.
+func (h *stateHost) handleRenewal(renewal lease.Renewal) lease.Reply {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.now()
-	reply := h.leader.HandleRenewal(now, h.inOffice && h.log.HoldsLease(now), renewal)
-	h.tellInForce()
+	reply := h.leader.HandleRenewal(now, h.termStarted && h.replicatedLog.HoldsLease(now), renewal)
+	h.notifyInForce()
 	return reply
 }
 
-// propose commits a command and, if asked, waits until its revision is in
-// force.
+// propose commits a command and, if the request says so, waits until its revision is in force.
 func (h *stateHost) propose(ctx context.Context, request fleet.Propose) fleet.ProposeReply {
 	reply := fleet.ProposeReply{ID: request.ID}
-	result, err := h.log.Propose(ctx, request.Command)
+	result, err := h.replicatedLog.Propose(ctx, request.Command)
 	if err != nil {
 		reply.Verdict, reply.Leader = h.verdictOf(err)
 		return reply
@@ -311,36 +315,39 @@
 	return reply
 }
 
-// verdictOf maps the log's errors: only some say that nothing was done.
+// verdictOf maps an error of the log to a verdict. Only two errors mean that the command was
+// certainly not committed; after any other the outcome is unknown.
 func (h *stateHost) verdictOf(err error) (fleet.Verdict, protocol.RouterID) {
 	var notLeader replica.ErrNotLeader
 	var busy replica.ErrBusy
 	switch {
 	case errors.As(err, &notLeader):
-		return fleet.VerdictNotLeader, h.log.Leader()
+		return fleet.VerdictNotLeader, h.replicatedLog.Leader()
 	case errors.As(err, &busy):
 		return fleet.VerdictBusy, ""
 	}
 	return fleet.VerdictUnknown, ""
 }
 
-// awaitInForce waits until a committed change is in force everywhere.
+// awaitInForce waits until a committed change is in force, that is until every open session has
+// acknowledged it. It returns false if the context ends first, if this process doesn't lead, or
+// if it stops.
 func (h *stateHost) awaitInForce(ctx context.Context, result []byte) bool {
 	decoded, err := fleetstate.DecodeResult(result)
 	if err != nil || decoded.Change == nil || decoded.Change.Revision == 0 {
 		return true
 	}
 	h.mu.Lock()
-	if !h.inOffice {
+	if !h.termStarted {
 		h.mu.Unlock()
 		return false
 	}
-	h.waiter++
-	waiter := h.waiter
+	h.lastWaiter++
+	waiter := h.lastWaiter
 	done := make(chan struct{})
 	h.waiters[waiter] = done
 	h.leader.Await(decoded.Change.Revision, waiter)
-	h.tellInForce()
+	h.notifyInForce()
 	h.mu.Unlock()
 	select {
 	case <-done:
@@ -352,12 +359,13 @@
 	}
 }
 
-// read runs f on the state.
+// read calls f with the state, under the lock.
 func (h *stateHost) read(f func(*fleetstate.Machine)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	f(h.machine)
 }
 
-// encodeArrays is the compact form of the messages that go out each second.
+// encodeArrays encodes the lease messages, which are sent every second, in a compact form: without
+// the names of the fields.
 func encodeArrays(message any) []byte { return codec.MarshalArrays(message) }
--- a/daemon/tls_test.go
+++ b/daemon/tls_test.go
@@ -14,7 +14,7 @@
 	"endiveplank/transport/certs"
 )
 
-// tlsFiles issues a router's certificate into a folder of its own.
+// tlsFiles issues a router's certificate and writes it to a folder of the router's own.
 func tlsFiles(t *testing.T, authority certs.Pair, s *settings.Settings) {
 	t.Helper()
 	pair, err := certs.Issue(authority, s.RouterID, time.Now(), time.Hour)
@@ -30,6 +30,8 @@
 	assert.NilError(t, os.WriteFile(s.TLS.AuthorityFile, authority.Certificate, 0o600))
 }
 
+// The routers' connections use mutual TLS. A chat through any router must still be answered
+// completely.
 func TestFleetOverMutualTLSServesAChat(t *testing.T) {
 	authority, err := certs.NewAuthority(time.Now(), time.Hour)
 	assert.NilError(t, err)
--- a/daemon/trace_test.go
+++ b/daemon/trace_test.go
@@ -17,13 +17,14 @@
 	"endiveplank/settings"
 )
 
-// writtenSpan is the part of an exported span that the test reads.
+// writtenSpan holds the fields of an exported span that the test reads.
 type writtenSpan struct {
 	Name        string
 	SpanContext struct{ TraceID, SpanID string }
 	Parent      struct{ SpanID string }
 }
 
+// spansIn reads the spans that a daemon exported to a file.
 func spansIn(t *testing.T, path string) []writtenSpan {
 	t.Helper()
 	file, err := os.Open(path)
@@ -41,6 +42,8 @@
 	}
 }
 
+// A caller sends requests with a trace context. Each router on a request's path must export its
+// span, as a child of the previous hop's, and the recorded events must name the trace.
 func TestTraceOfARequestHasASpanForEachHop(t *testing.T) {
 	const trace, parent = "0af7651916cd43dd8448eb211c80319c", "b7ad6b7169203331"
 	folder := t.TempDir()
--- a/daemon/view.go
+++ b/daemon/view.go
@@ -15,7 +15,7 @@
 	"endiveplank/protocol/upstreamapi"
 )
 
-// buildView indexes a router's copy of the replicated state for the core.
+// buildView builds the node core's view from a router's copy of the replicated state.
 func buildView(view *fleetstate.View, session ownership.SessionID) *node.View {
 	built := &node.View{
 		Revision:  view.Revision(),
@@ -62,8 +62,7 @@
 	})
 }
 
-// buildUpstream joins what an upstream announced, what operators set for it,
-// and who owns it.
+// buildUpstream combines what an upstream announced, what operators set for it, and who owns it.
 func buildUpstream(view *fleetstate.View, descriptor registry.Descriptor, session ownership.SessionID) *node.Upstream {
 	upstream := &node.Upstream{
 		ID:            descriptor.ID,
@@ -94,10 +93,10 @@
 	return upstream
 }
 
-// percent is the whole of a weight given in per cent.
+// percent is the weight that leaves an upstream's capacity as announced.
 const percent = 100
 
-// applySettings lays an operator's row over an announcement.
+// applySettings applies an operator's row to an announced upstream.
 func applySettings(upstream *node.Upstream, row table.Upstream) {
 	upstream.Drain = row.Drain
 	if row.WeightPercent > 0 {
@@ -108,7 +107,7 @@
 	}
 }
 
-// indexUpstreams numbers the upstreams and lists them by model and service.
+// indexUpstreams numbers the upstreams by ID and lists them by model and by service.
 func indexUpstreams(built *node.View) {
 	sorted := make([]*node.Upstream, 0, len(built.Upstreams))
 	for _, upstream := range built.Upstreams {
