--- a/daemon/router/announcements.go
+++ b/daemon/router/announcements.go
@@ -7,8 +7,9 @@
 	"endiveplank/coordination/roster"
 )
 
-// announcementTimeout is how long an upstream waits for a disk VM to acknowledge its
-// announcement. An upstream that has no answer after a second announces itself elsewhere.
+// announcementTimeout is how long the router waits for a disk VM to acknowledge an upstream's
+// announcement. It is less than the second after which an upstream without an answer
+// announces itself elsewhere.
 const announcementTimeout = 800 * time.Millisecond
 
 // pendingAnnouncements are the messages with announcements that this router has sent to a
--- a/daemon/router/fleet.go
+++ b/daemon/router/fleet.go
@@ -17,8 +17,9 @@
 // Table implements forward.Fleet.
 func (r *Router) Table() *routing.Index { return r.table.Load() }
 
-// warmUpPeriod is how long after its start a router may still be about to learn what
-// it lacks: an election of the disk VMs and two announcements of the upstreams fit into it.
+// warmUpPeriod is how long after its start a router that lacks the table or upstreams may
+// still learn them at any moment: an election of the disk VMs and two announcements of the
+// upstreams fit into it.
 const warmUpPeriod = 4 * time.Second
 
 // WarmingUp implements forward.Fleet.
@@ -83,16 +84,17 @@
 	return answertime.Kind{Route: job.Route.Name, Cold: prompt && choice.Reason != balance.ReasonCacheHolder && choice.CopyFrom == ""}
 }
 
-// OverdueAfter implements forward.Fleet. It returns most, the longest time, for an upstream that
-// hasn't lost requests lately. Otherwise each of a hundred answers that merely take six times
-// as long as usual would be requested a second time, and its prompt processed twice.
-func (r *Router) OverdueAfter(job forward.Job, choice balance.Choice, most time.Duration) time.Duration {
+// OverdueAfter implements forward.Fleet. It returns maxSilence for an upstream that hasn't
+// lost requests lately. If such an upstream merely takes six times as long as usual for a
+// hundred answers, a shorter time would request each of them again, and each prompt would be
+// processed twice.
+func (r *Router) OverdueAfter(job forward.Job, choice balance.Choice, maxSilence time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.balancer.IsOutlier(r.now(), choice.ID) {
-		return most
+		return maxSilence
 	}
-	return r.times.Timeout(answerKind(job, choice), most)
+	return r.times.Timeout(answerKind(job, choice), maxSilence)
 }
 
 // AnswerOverdue implements forward.Fleet.
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -94,7 +94,7 @@
 	reportSentAt     time.Duration
 	fullReportSentAt time.Duration
 	sweptAt          time.Duration
-	// noDiskVMAt is when no disk VM was alive last.
+	// noDiskVMAt is the last time at which no disk VM was alive.
 	noDiskVMAt time.Duration
 	// initialized is set once the router has known a table and most of the upstreams. It
 	// is never cleared.
--- a/daemon/router/router_test.go
+++ b/daemon/router/router_test.go
@@ -73,12 +73,12 @@
 
 // Receive implements fabric.Receiver.
 func (vm *diskVM) Receive(from protocol.RouterID, body any) {
-	if announced, is := body.(control.Announcements); is {
+	if announced, ok := body.(control.Announcements); ok {
 		vm.handleAnnouncements(from, announced)
 		return
 	}
-	watch, is := body.(control.Watch)
-	if !is {
+	watch, ok := body.(control.Watch)
+	if !ok {
 		return
 	}
 	vm.mu.Lock()
@@ -330,15 +330,15 @@
 		r.router.AnswerTimed(job, balance.Choice{Load: 10}, true)
 		r.router.AnswerTimed(job, balance.Choice{Load: 40}, false)
 	}
-	made := r.router.Choose(t.Context(), job)
-	assert.Equal(t, made.ID, protocol.UpstreamID("u1"))
+	choice := r.router.Choose(t.Context(), job)
+	assert.Equal(t, choice.ID, protocol.UpstreamID("u1"))
 	for range 100 {
-		if made = r.router.Choose(t.Context(), job); made.ID == "" {
+		if choice = r.router.Choose(t.Context(), job); choice.ID == "" {
 			break
 		}
 	}
-	assert.Equal(t, made.Reason, balance.ReasonNoCapacity)
-	assert.Assert(t, made.Limit > 10 && made.Limit <= 40, "%d", made.Limit)
+	assert.Equal(t, choice.Reason, balance.ReasonNoCapacity)
+	assert.Assert(t, choice.Limit > 10 && choice.Limit <= 40, "%d", choice.Limit)
 	job.Tried = []protocol.UpstreamID{"u0"}
 	assert.Equal(t, r.router.Choose(t.Context(), job).ID, protocol.UpstreamID("u1"))
 	assert.Assert(t, r.router.Stop())
