--- a/daemon/diskvm/diskvm_test.go
+++ b/daemon/diskvm/diskvm_test.go
@@ -308,8 +308,8 @@
 	known := func(i int) bool {
 		f.vms[i].mu.Lock()
 		defer f.vms[i].mu.Unlock()
-		found, is := f.vms[i].roster.Entry("u1")
-		return is && found.State == roster.Ready
+		found, ok := f.vms[i].roster.Entry("u1")
+		return ok && found.State == roster.Ready
 	}
 	for i := 1; i <= 3; i++ {
 		f.eventually("all know the upstream", func() bool { return known(i) })
--- a/daemon/diskvm/member.go
+++ b/daemon/diskvm/member.go
@@ -41,9 +41,9 @@
 	// restartDelay is how long a member waits after its disk failed before it
 	// opens the folder again.
 	restartDelay = 300 * time.Millisecond
-	// handOverTimeout is how long a stopping leader waits for its successor: two round
+	// transferTimeout is how long a stopping leader waits for its successor: two round
 	// trips to the voters and a slow sync.
-	handOverTimeout = 300 * time.Millisecond
+	transferTimeout = 300 * time.Millisecond
 )
 
 // superviseMember runs the consensus member, and starts it again after its disk has failed.
@@ -152,14 +152,14 @@
 	}
 }
 
-// handOver transfers leadership before a planned stop, so that operators wait milliseconds
+// transferLeadership hands leadership to another member before a planned stop, so that operators wait milliseconds
 // for the next leader and not an election timeout.
-func (vm *VM) handOver() {
+func (vm *VM) transferLeadership() {
 	member := vm.member.Load()
 	if member == nil || member.Status().Role != consensus.Leader {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), transferTimeout)
 	defer cancel()
 	if err := member.TransferLeadership(ctx); err != nil {
 		vm.log.Warn().Str("event", "not-handed-over").Err(err).Send()
--- a/daemon/diskvm/table.go
+++ b/daemon/diskvm/table.go
@@ -144,7 +144,7 @@
 			sleep(ctx, retryDelay)
 			continue
 		}
-		if found, held := vm.awaitVersion(ctx, version); held {
+		if found, applied := vm.awaitVersion(ctx, version); applied {
 			vm.log.Info().Str("event", "table-read").Uint64("version", version).Str("leader", string(vm.currentLeader())).Send()
 			return found, nil
 		}
@@ -207,8 +207,9 @@
 	vm.fabric.Send(from, control.ReadReply{Call: read.Call, Known: known, Version: version})
 }
 
-// awaitVersion waits until this VM has applied a version or a higher one. For version 0,
-// which means that no table was ever accepted, it returns nil.
+// awaitVersion waits until this VM has applied a version or a higher one, and returns the
+// table. For version 0, which means that no table was ever accepted, it returns nil. False
+// means that the context ended first.
 func (vm *VM) awaitVersion(ctx context.Context, version uint64) (*document.Document, bool) {
 	for {
 		inForce, changed := vm.machine.InForce()
--- a/daemon/diskvm/upstreams.go
+++ b/daemon/diskvm/upstreams.go
@@ -19,13 +19,13 @@
 	return vm.publisher.AnnounceAt(now, e)
 }
 
-// Leave notes that an upstream has left. born and sequence are 0 if the upstream doesn't
+// Leave notes that an upstream has left. startedAt and sequence are 0 if the upstream doesn't
 // send them.
-func (vm *VM) Leave(id protocol.UpstreamID, born int64, sequence uint64) {
+func (vm *VM) Leave(id protocol.UpstreamID, startedAt int64, sequence uint64) {
 	vm.mu.Lock()
 	defer vm.mu.Unlock()
 	now := vm.now()
-	if !vm.roster.Leave(now, id, born, sequence) {
+	if !vm.roster.Leave(now, id, startedAt, sequence) {
 		return
 	}
 	vm.logUpstream(id)
--- a/daemon/diskvm/vm.go
+++ b/daemon/diskvm/vm.go
@@ -276,9 +276,9 @@
 	vm.log.Info().Str("event", "settings-reloaded").Strs("seeds", changed.Seeds).Send()
 }
 
-// Stop hands leadership over, ends all goroutines and closes the data folder.
+// Stop transfers leadership to another member, ends all goroutines and closes the data folder.
 func (vm *VM) Stop() {
-	vm.handOver()
+	vm.transferLeadership()
 	close(vm.quit)
 	vm.done.Wait()
 	vm.fabric.Close()
