--- a/daemon/fabric/fabric.go
+++ b/daemon/fabric/fabric.go
@@ -99,7 +99,7 @@
 // encode returns the bytes of a message. Load reports go to every router several times a
 // second, so they are encoded without field names.
 func encode(body any) []byte {
-	if report, often := body.(balance.LoadReport); often {
+	if report, ok := body.(balance.LoadReport); ok {
 		return codec.MarshalArrays(report)
 	}
 	return wire.Encode(body)
