--- a/daemon/loglines/loglines.go
+++ b/daemon/loglines/loglines.go
@@ -37,7 +37,9 @@
 	queue     chan []byte
 	done      chan struct{}
 
-	mu     sync.Mutex
+	mu sync.Mutex
+	// second is the Unix time of the second whose budget is used, and written the number
+	// of lines counted against it.
 	second int64
 	// reportedSecond is the second in which dropped lines were last reported.
 	reportedSecond int64
@@ -67,14 +69,14 @@
 type perRequest struct{ w *Writer }
 
 // Write implements io.Writer.
-func (o perRequest) Write(line []byte) (int, error) { return o.w.Write(line) }
+func (p perRequest) Write(line []byte) (int, error) { return p.w.Write(line) }
 
 // WriteLevel implements zerolog.LevelWriter.
-func (o perRequest) WriteLevel(level zerolog.Level, line []byte) (int, error) {
+func (p perRequest) WriteLevel(level zerolog.Level, line []byte) (int, error) {
 	if level < zerolog.WarnLevel {
-		return o.w.write(line, (o.w.perSecond+1)/2)
+		return p.w.write(line, (p.w.perSecond+1)/2)
 	}
-	return o.w.Write(line)
+	return p.w.Write(line)
 }
 
 // write queues a line if fewer lines than budget were written in this second.
--- a/daemon/loglines/loglines_test.go
+++ b/daemon/loglines/loglines_test.go
@@ -84,14 +84,14 @@
 	count := map[string]int{}
 	dropped := 0
 	for _, line := range s.lines() {
-		var note struct {
+		var report struct {
 			Count      int
 			Node, Time string
 		}
-		if json.Unmarshal([]byte(line), &note) == nil {
-			assert.Equal(t, note.Node, "r1", "a reader of several logs must know whose lines are missing")
-			assert.Assert(t, note.Time != "")
-			dropped += note.Count
+		if json.Unmarshal([]byte(line), &report) == nil {
+			assert.Equal(t, report.Node, "r1", "a reader of several logs must know whose lines are missing")
+			assert.Assert(t, report.Time != "")
+			dropped += report.Count
 			line = "dropped"
 		}
 		count[line]++
