--- a/daemon/lateness/lateness_test.go
+++ b/daemon/lateness/lateness_test.go
@@ -24,7 +24,7 @@
 			line: `"late_ms":950,"suspended_ms":0`},
 		"suspended": {ran: 50 * time.Millisecond, passed: 2050 * time.Millisecond,
 			line: `"late_ms":0,"suspended_ms":2000`},
-		"no clock of the VM's time": {ran: time.Second, passed: 0,
+		"no boot-time clock": {ran: time.Second, passed: 0,
 			line: `"late_ms":950,"suspended_ms":0`},
 	}
 	for name, test := range tests {
