--- a/transport/forward/handler.go
+++ b/transport/forward/handler.go
@@ -160,7 +160,7 @@
 	h.active.Add(1)
 	defer h.active.Add(-1)
 	f := &forwarding{handler: h, writer: w, request: r, arrived: time.Now()}
-	f.control = http.NewResponseController(w)
+	f.controller = http.NewResponseController(w)
 	defer f.report()
 	if !f.admit() {
 		return
@@ -176,11 +176,11 @@
 
 // forwarding is the state of one request while the Handler serves it.
 type forwarding struct {
-	handler *Handler
-	writer  http.ResponseWriter
-	control *http.ResponseController
-	request *http.Request
-	arrived time.Time
+	handler    *Handler
+	writer     http.ResponseWriter
+	controller *http.ResponseController
+	request    *http.Request
+	arrived    time.Time
 
 	call      dialect.Call
 	job       Job
@@ -263,14 +263,14 @@
 
 // requestTimeout returns how long a request may take: the shorter of the time that
 // the caller will wait and the route's timeout.
-func requestTimeout(left, timeout time.Duration) time.Duration {
-	if left <= 0 {
-		left = defaultTimeout
+func requestTimeout(remaining, timeout time.Duration) time.Duration {
+	if remaining <= 0 {
+		remaining = defaultTimeout
 	}
 	if timeout <= 0 {
 		timeout = defaultTimeout
 	}
-	return min(left, timeout)
+	return min(remaining, timeout)
 }
 
 // readBody reads the complete body into memory, because a retry sends it again.
--- a/transport/forward/harness_test.go
+++ b/transport/forward/harness_test.go
@@ -77,11 +77,11 @@
 	f.deferred = append(f.deferred, result)
 }
 
-func (f *fakeFleet) OverdueAfter(_ Job, _ balance.Choice, most time.Duration) time.Duration {
+func (f *fakeFleet) OverdueAfter(_ Job, _ balance.Choice, maxSilence time.Duration) time.Duration {
 	if f.overdueAfter > 0 {
-		return min(f.overdueAfter, most)
+		return min(f.overdueAfter, maxSilence)
 	}
-	return most
+	return maxSilence
 }
 
 func (f *fakeFleet) AnswerOverdue(Job, balance.Choice, time.Duration) {
--- a/transport/forward/outcome.go
+++ b/transport/forward/outcome.go
@@ -105,11 +105,11 @@
 
 // logSent logs an attempt before it is sent. If the router dies, this line is the
 // only record of which upstream had the request.
-func (f *forwarding) logSent(choice balance.Choice, left time.Duration) {
+func (f *forwarding) logSent(choice balance.Choice, remaining time.Duration) {
 	f.handler.options.Log.Info().Str("event", "sent").Str("request", string(f.call.ID)).
 		Str("route", f.outcome.Route).Uint64("table", f.outcome.TableVersion).Int("attempt", len(f.outcome.Attempts)+1).
 		Str("upstream", string(choice.ID)).Str("why", string(choice.Reason)).Int("load", choice.Load).Float64("mean", choice.Mean).
-		Int64("left_ms", left.Milliseconds()).Send()
+		Int64("left_ms", remaining.Milliseconds()).Send()
 }
 
 // report logs the request and reports its outcome to the metrics and the trace. It
--- a/transport/forward/plain.go
+++ b/transport/forward/plain.go
@@ -68,8 +68,8 @@
 	if err != nil && !complete {
 		return f.answerBroken(err, choice, outcome)
 	}
-	if next, final := f.checkStatus(answer, outcome); !final {
-		return next
+	if v, final := f.checkStatus(answer, outcome); !final {
+		return v
 	}
 	f.copyHeader(answer)
 	if complete && f.request.Method != http.MethodHead {
--- a/transport/forward/plain_test.go
+++ b/transport/forward/plain_test.go
@@ -150,7 +150,7 @@
 	assert.Equal(t, drawn["c"], 0)
 }
 
-func TestAnErrorOfTheRequestsOwnIsNotHeldAgainstItsUpstreams(t *testing.T) {
+func TestAnErrorFromTwoUpstreamsCountsAgainstNeither(t *testing.T) {
 	// A service answers some requests with an error on every upstream. If each such
 	// error counted as a failure of its upstream, outlier detection couldn't tell an
 	// upstream that loses answers from the others, and it would go on losing orders.
@@ -162,7 +162,7 @@
 	assert.DeepEqual(t, both.deferred, []balance.Result{balance.Served})
 }
 
-func TestAnErrorThatAnotherUpstreamDoesNotMakeIsTheUpstreamsOwn(t *testing.T) {
+func TestAnErrorFromOneUpstreamOnlyCountsAgainstIt(t *testing.T) {
 	// One upstream answers with an error, and another one serves the same request. Then the
 	// first upstream is at fault, and outlier detection must count its error.
 	one := newTestRouter(t, refuses(http.StatusInternalServerError, false), serves("done"))
--- a/transport/forward/refuse.go
+++ b/transport/forward/refuse.go
@@ -71,10 +71,11 @@
 
 // refuseNoUpstream answers a request for which Choose found no upstream.
 //
-// Load: for ten seconds, callers send twice the work that the engines can do. Without
-// a Retry-After, refused callers retry at once and are refused again, or retry so
-// late that they can't be answered in time. A request that is retried after half of
-// the route's objective, and finds capacity then, is still answered in time.
+// It guards against this failure: for ten seconds, callers send twice the work that the
+// engines can do. Without a Retry-After, refused callers retry at once and are refused
+// again, or retry so late that they can't be answered in time. A request that is retried
+// after half of the route's objective, and finds capacity then, is still answered in
+// time.
 func (f *forwarding) refuseNoUpstream(choice balance.Choice) {
 	if choice.Reason == balance.ReasonNoCapacity {
 		f.outcome.Limit, f.outcome.Mean = choice.Limit, choice.Mean
--- a/transport/forward/run.go
+++ b/transport/forward/run.go
@@ -47,11 +47,11 @@
 			f.refuseNoUpstream(choice)
 			return
 		}
-		next := f.tryUpstream(choice)
-		if next == answered || f.isOver() {
+		last := f.tryUpstream(choice)
+		if last == answered || f.isOver() {
 			return
 		}
-		if !f.mayRetry(next, f.outcome.Attempts[len(f.outcome.Attempts)-1]) {
+		if !f.mayRetry(last, f.outcome.Attempts[len(f.outcome.Attempts)-1]) {
 			return
 		}
 	}
@@ -80,12 +80,13 @@
 
 // resultToReport returns the result of an attempt that is reported for the upstream.
 //
-// Load: a service answers one request in seven with an error on whichever upstream,
-// and four of five of those with an error again. If these errors, one outcome in ten,
-// counted against the upstreams, outlier detection couldn't tell an upstream that
-// loses answers from the others. So an error that is followed by a retry is reported
-// only once another upstream has been tried: if both answer with an error, the request
-// is the cause.
+// It guards against this failure: a service answers one request in seven with an error,
+// on whichever upstream, and four of five of those requests get an error again when they
+// are retried on another upstream. So errors that the request causes are about one
+// outcome in ten. If they counted against the upstreams, outlier detection couldn't tell
+// an upstream that loses answers from the others. An error that is followed by a retry is
+// therefore reported only once another upstream has been tried: if both answer with an
+// error, the request is the cause.
 func (f *forwarding) resultToReport(choice balance.Choice, outcome AttemptOutcome) balance.Result {
 	if outcome.ServerError && f.retryTaken {
 		f.job.ErrorFrom = choice.ID
@@ -125,10 +126,10 @@
 // mayRetry decides whether another attempt follows one that brought no answer. If
 // not, it answers the caller.
 //
-// Load: an upstream fails, and all its requests on all routers fail at once. Without
-// these limits, a request that may run only once could run twice, and a storm of
-// retries could overload the remaining upstreams. An attempt that was never sent put
-// no load on an upstream, so it takes nothing from the retry budget.
+// It guards against this failure: an upstream fails, and all its requests on all routers
+// fail at once. Without these limits, a request that may run only once could run twice,
+// and a storm of retries could overload the remaining upstreams. An attempt that was
+// never sent put no load on an upstream, so it takes nothing from the retry budget.
 func (f *forwarding) mayRetry(last verdict, outcome AttemptOutcome) bool {
 	if last == unknown {
 		f.mayHaveRun = true
@@ -227,9 +228,9 @@
 // whether the watchdog cancelled the attempt. If it did, it has already taken the retry
 // for the next attempt from the budget.
 func (f *forwarding) stopWatchdog(outcome *AttemptOutcome) {
-	fired, late := f.watchdog.stop()
+	cancelled, late := f.watchdog.stop()
 	outcome.Late = late
-	if fired {
+	if cancelled {
 		f.retryTaken = true
 		outcome.Cause = "silent for too long: " + outcome.Cause
 	}
--- a/transport/forward/stream.go
+++ b/transport/forward/stream.go
@@ -81,11 +81,11 @@
 // streamBroken records a stream that broke off. If the caller has part of it and the
 // route allows no other attempt, it ends the caller's connection.
 func (f *forwarding) streamBroken(err error, choice balance.Choice, outcome *AttemptOutcome) verdict {
-	next := f.answerBroken(err, choice, outcome)
+	v := f.answerBroken(err, choice, outcome)
 	if f.stream.started && !f.job.Route.MayRepeat() && f.context.Err() == nil {
 		f.abort("stream-broke-off")
 	}
-	return next
+	return v
 }
 
 // checkOrder returns an error if an event's id isn't greater than that of the event
@@ -97,7 +97,7 @@
 	last, lastErr := strconv.ParseUint(f.stream.lastID, 10, 64)
 	id, idErr := strconv.ParseUint(e.id, 10, 64)
 	if lastErr == nil && idErr == nil && id <= last {
-		return errEventOrder
+		return fmt.Errorf("%w: %d after %d", errEventOrder, id, last)
 	}
 	return nil
 }
@@ -124,7 +124,7 @@
 
 // flush sends the buffered bytes. A failure means that the caller has disconnected.
 func (f *forwarding) flush() {
-	if err := f.control.Flush(); err != nil {
+	if err := f.controller.Flush(); err != nil {
 		f.outcome.CallerGone = true
 		f.abort("caller-gone")
 	}
--- a/transport/forward/timing.go
+++ b/transport/forward/timing.go
@@ -7,8 +7,9 @@
 )
 
 // inTimeShare is the share of a route's objective within which an answer has to begin
-// to count as in time. The rest is a margin for the load that is added before other
-// routers learn of this router's requests.
+// to count as in time. An answer that hasn't waited at the upstream begins within it. The
+// rest is a margin for the load that is added before other routers learn of this router's
+// requests.
 const inTimeShare = 0.5
 
 // timing reports to the fleet once per attempt whether its answer began in time, as
@@ -32,8 +33,8 @@
 // began records that the answer begins.
 func (t *timing) began() { t.reportOnce(time.Since(t.sent) <= t.inTimeLimit) }
 
-// refused records that the upstream refused the request for lack of capacity: whatever
-// waits there counts as late.
+// refused records that the upstream refused the request for lack of capacity. That counts
+// as late, because requests that wait there are answered late.
 func (t *timing) refused() { t.reportOnce(false) }
 
 // ended records the end of the attempt. An attempt without an answer counts as late if
--- a/transport/forward/warmup.go
+++ b/transport/forward/warmup.go
@@ -22,12 +22,12 @@
 // waitForWarmUp waits a short time until known returns true. Callers pass a known that
 // returns true at once unless the router has just started.
 //
-// Load: all VMs of a fleet lost power and are running again, and callers send
-// requests before the first router has received the table or learned of more than a
-// few upstreams. Without the wait, every caller would be refused, and most callers
-// retry only once; or all requests of all routers would go to the few upstreams that
-// are known first. A request that couldn't be served later either is still refused at
-// once.
+// It guards against this failure: all VMs of a fleet lost power and are running again,
+// and callers send requests before the first router has received the table or learned of
+// more than a few upstreams. Without the wait, every caller would be refused, and most
+// callers retry only once; or all requests of all routers would go to the few upstreams
+// that are known first. A request that couldn't be served later either is still refused
+// at once.
 func (f *forwarding) waitForWarmUp(known func() bool) {
 	until := f.arrived.Add(min(maxWarmUpWait, time.Duration(warmUpWaitShare*float64(f.timeout))))
 	for !known() && time.Now().Before(until) {
--- a/transport/forward/watchdog.go
+++ b/transport/forward/watchdog.go
@@ -11,10 +11,11 @@
 
 // Silence after which an attempt is cancelled if another attempt may follow it.
 //
-// Load: an upstream hangs, or disappears without closing its connections, with
-// requests in flight. Without this limit, the caller would disconnect before the
-// router tries another upstream. Callers of streams wait at least two seconds without
-// an event before they disconnect, callers of plain services until the route's timeout.
+// The limit guards against this failure: an upstream hangs, or disappears without closing
+// its connections, with requests in flight. Without this limit, the caller would
+// disconnect before the router tries another upstream. Callers of streams wait at least
+// two seconds without an event before they disconnect, callers of plain services until
+// the route's timeout.
 const (
 	// minStreamSilence is the shortest allowed silence of a stream.
 	minStreamSilence = 1200 * time.Millisecond
@@ -52,7 +53,9 @@
 	takeRetry func() bool
 	cancel    context.CancelFunc
 
-	begun, late, ended, fired bool
+	// begun means that the answer has begun, late that it was overdue, ended that the
+	// attempt needs no watchdog any more, and cancelled that the watchdog cancelled it.
+	begun, late, ended, cancelled bool
 }
 
 // start starts the watchdog over an attempt whose answer is overdue after this time.
@@ -65,6 +68,7 @@
 	return w
 }
 
+// fire is called when the timer fires.
 func (w *watchdog) fire() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -80,7 +84,7 @@
 	case !w.takeRetry():
 		w.timer.Reset(w.maxSilence)
 	default:
-		w.fired = true
+		w.cancelled = true
 		w.ended = true
 		w.cancel()
 	}
@@ -102,12 +106,12 @@
 
 // stop stops the watchdog. It reports whether the watchdog has cancelled the attempt,
 // and whether the answer was overdue.
-func (w *watchdog) stop() (fired, late bool) {
+func (w *watchdog) stop() (cancelled, late bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.ended = true
 	w.timer.Stop()
-	return w.fired, w.late
+	return w.cancelled, w.late
 }
 
 // isLate reports whether the answer is overdue.
--- a/transport/forward/watchdog_test.go
+++ b/transport/forward/watchdog_test.go
@@ -63,7 +63,7 @@
 	assert.DeepEqual(t, r.results, []balance.Result{balance.Served})
 }
 
-func TestAnOverdueAnswerIsWaitedForWhereNoRepeatIsLeft(t *testing.T) {
+func TestAnOverdueAnswerIsWaitedForWhenTheRetryBudgetIsSpent(t *testing.T) {
 	// The answer is overdue, but the retry budget is spent. If the watchdog cancelled the
 	// attempt all the same, the caller would get no answer at all.
 	r := newTestRouter(t, after(200*time.Millisecond, serves("done")), serves("second"))
