--- a/transport/exchange/dial.go
+++ b/transport/exchange/dial.go
@@ -39,14 +39,14 @@
 
 // setUserTimeout bounds how long sent bytes may stay unacknowledged.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
-	var failed error
+	var optionErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
+		optionErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return optionErr
 }
 
 // isUsable reports whether an idle connection is open and has no unread bytes.
@@ -62,8 +62,8 @@
 	usable := false
 	err = raw.Read(func(fd uintptr) bool {
 		var one [1]byte
-		_, _, received := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		usable = received == syscall.EAGAIN
+		_, _, recvErr := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		usable = recvErr == syscall.EAGAIN
 		return true
 	})
 	return err == nil && usable
--- a/transport/exchange/exchange_test.go
+++ b/transport/exchange/exchange_test.go
@@ -195,7 +195,7 @@
 	}
 }
 
-func TestAnEarlyAnswerLeavesNoOtherBytesForTheRestOfTheBody(t *testing.T) {
+func TestTheNextRequestIsNotReadAsTheRestOfABody(t *testing.T) {
 	// An upstream answers before it has read a long body, keeps the connection
 	// open and goes on reading. If the next request were sent on this connection
 	// before the rest of the body, the upstream would take it for the body.
