--- a/transport/upstream/client.go
+++ b/transport/upstream/client.go
@@ -224,7 +224,7 @@
 		if string(data) == chat.DoneMarker {
 			return true
 		}
-		a.noteUsage(data)
+		a.recordUsage(data)
 		a.sendChunk(bytes.Clone(data))
 	}
 	return false
@@ -251,7 +251,8 @@
 // parsing the other events.
 var usageMarker = []byte(`"usage":{`)
 
-func (a *answerRelay) noteUsage(data []byte) {
+// recordUsage keeps the number of cached tokens if the data carries usage.
+func (a *answerRelay) recordUsage(data []byte) {
 	if !bytes.Contains(data, usageMarker) {
 		return
 	}
@@ -267,11 +268,11 @@
 // where its length or encoding says.
 func (a *answerRelay) relayBody() bool {
 	for {
-		piece := make([]byte, bodyChunkBytes)
-		n, err := io.ReadFull(a.response.Body, piece)
+		buffer := make([]byte, bodyChunkBytes)
+		n, err := io.ReadFull(a.response.Body, buffer)
 		if n > 0 || (err == io.EOF && !a.headSent) {
-			a.noteUsage(piece[:n])
-			a.sendChunk(piece[:n])
+			a.recordUsage(buffer[:n])
+			a.sendChunk(buffer[:n])
 		}
 		if err == io.EOF || err == io.ErrUnexpectedEOF {
 			return a.isBodyComplete(err)
@@ -297,12 +298,12 @@
 // sendChunk passes one chunk to the sink. The first chunk carries the answer's status
 // and headers.
 func (a *answerRelay) sendChunk(data []byte) {
-	piece := fleet.Chunk{Attempt: a.call.Attempt, Index: a.index, Data: data}
+	chunk := fleet.Chunk{Attempt: a.call.Attempt, Index: a.index, Data: data}
 	if !a.headSent {
 		a.headSent = true
-		piece.Status = a.response.StatusCode
-		piece.Headers = answerHeaders(a.response.Header)
+		chunk.Status = a.response.StatusCode
+		chunk.Headers = answerHeaders(a.response.Header)
 	}
 	a.index++
-	a.sink.Input(node.UpstreamChunk{Chunk: piece})
+	a.sink.Input(node.UpstreamChunk{Chunk: chunk})
 }
--- a/transport/upstream/client_test.go
+++ b/transport/upstream/client_test.go
@@ -135,14 +135,14 @@
 	const ok, events = "HTTP/1.1 200 OK\r\n", "Content-Type: text/event-stream\r\n\r\n"
 	long := strings.Repeat("x", bodyChunkBytes)
 	for name, tc := range map[string]struct {
-		raw   string
-		whole bool
-		body  int
+		raw      string
+		complete bool
+		body     int
 	}{
 		"length kept":              {ok + "Content-Length: 4\r\n\r\nfuel", true, 4},
 		"empty":                    {ok + "Content-Length: 0\r\n\r\n", true, 0},
 		"length not reached":       {ok + "Content-Length: 9\r\n\r\nfuel", false, 4},
-		"torn at a piece's end":    {ok + "Content-Length: 65537\r\n\r\n" + long, false, bodyChunkBytes},
+		"torn after a full buffer": {ok + "Content-Length: 65537\r\n\r\n" + long, false, bodyChunkBytes},
 		"nothing of the body":      {ok + "Content-Length: 9\r\n\r\n", false, 0},
 		"chunked":                  {ok + "Transfer-Encoding: chunked\r\n\r\n4\r\nfuel\r\n0\r\n\r\n", true, 4},
 		"chunked, torn":            {ok + "Transfer-Encoding: chunked\r\n\r\n4\r\nfuel\r\n", false, 4},
@@ -158,7 +158,7 @@
 		t.Run(name, func(t *testing.T) {
 			address, requests := serveRaw(t, text(tc.raw))
 			end, sink := call(t, address)
-			assert.Equal(t, end.Complete, tc.whole)
+			assert.Equal(t, end.Complete, tc.complete)
 			assert.Assert(t, end.Sent)
 			assert.Equal(t, requests.Load(), int32(1))
 			bytes := 0
