--- a/transport/peer/accept.go
+++ b/transport/peer/accept.go
@@ -40,7 +40,8 @@
 }
 
 // recordNew records a frame's number and returns false if the frame was
-// received before. Frames without a number always count as new.
+// received before. Frames without a number always count as new. The caller holds
+// r.mu.
 func (r *sequenceState) recordNew(number uint64) bool {
 	if number == 0 {
 		return true
@@ -95,7 +96,7 @@
 	defer m.dropInbound(connection)
 	hello, err := m.acceptHello(connection)
 	if err != nil {
-		m.recordRefused(err)
+		m.recordRefused(eris.Wrapf(err, "connection from %s", connection.RemoteAddr()))
 		return
 	}
 	m.mu.Lock()
@@ -112,6 +113,8 @@
 	}
 	reader := bufio.NewReaderSize(connection, m.readBufferSize())
 	for {
+		// The dialer closes a connection that it hasn't used for IdleClose. If no frame
+		// arrives for twice that time, the connection has gone silent.
 		_ = connection.SetReadDeadline(time.Now().Add(2 * IdleClose))
 		frame, err := wire.Read(reader, wire.MaxFrame)
 		if err != nil {
--- a/transport/peer/inbound.go
+++ b/transport/peer/inbound.go
@@ -12,7 +12,7 @@
 const (
 	// maxPendingBytes bounds the bytes queued for a peer that reads slowly. Beyond
 	// it the connection takes no more frames, which is allowed because only
-	// unreliable frames are sent here. A whole routing table is a tenth of it.
+	// unreliable frames are sent here. A routing table takes about a tenth of it.
 	maxPendingBytes = 512 << 10
 	// largeReadBuffer and smallReadBuffer are the sizes of an inbound connection's
 	// read buffer. A process with Options.Duplex exchanges small frames with a
--- a/transport/peer/link.go
+++ b/transport/peer/link.go
@@ -24,9 +24,10 @@
 	quit  chan struct{}
 
 	mu sync.Mutex
-	// unacked holds the reliable frames that were sent on this connection and not
-	// acknowledged yet, oldest first. After a connection ends, requeueUnacked moves
-	// them back to the queue.
+	// unacked holds the reliable frames that were sent on the current connection,
+	// or on the last one if there is none, and were not acknowledged yet, oldest
+	// first. When the next connection is made, requeueUnacked moves them back to
+	// the queue.
 	unacked []wire.Frame
 	// oldestSentAt is when the first of unacked was sent, or when the last
 	// acknowledgement arrived if that is later.
--- a/transport/peer/peer.go
+++ b/transport/peer/peer.go
@@ -22,7 +22,7 @@
 //     sender.
 //   - A peer is gone. When no connection could be made and kept for
 //     Options.LostAfter, the link drops its queued frames and reports the peer
-//     lost, so that the node core can move the work elsewhere.
+//     lost to the Handler, which can then move the peer's work elsewhere.
 //   - Many processes send requests to a few. If each reply went over a connection
 //     that the replying process dials, it would dial hundreds of connections at
 //     once when all start; on a fifth of a core that takes longer than the
@@ -72,8 +72,8 @@
 	maxQueued = 64 << 20
 )
 
-// Handler receives frames and lost peers. The mesh calls its methods from its own
-// goroutines; they must not block for long.
+// Handler receives frames and reports of lost peers. The mesh calls its methods from
+// its own goroutines; they must not block for long.
 type Handler interface {
 	// HandleFrame is called for each received frame, in order for each sender.
 	HandleFrame(from protocol.RouterID, frame wire.Frame)
--- a/transport/peer/peer_test.go
+++ b/transport/peer/peer_test.go
@@ -223,8 +223,8 @@
 		}
 		assert.Assert(t, at-up <= 100*time.Millisecond, "peer up after %s, next attempt only after %s", up, at)
 	}
-	assert.Equal(t, connectTimeout(20, false), dialTimeout, "slow ways need the whole time")
-	assert.Equal(t, connectTimeout(10, true), dialTimeout, "slow ways need the whole time")
+	assert.Equal(t, connectTimeout(20, false), dialTimeout, "slow network paths need the full timeout")
+	assert.Equal(t, connectTimeout(10, true), dialTimeout, "slow network paths need the full timeout")
 }
 
 // Guards against routers that spend their CPU on dialling when half of the fleet
@@ -237,8 +237,8 @@
 	assert.Assert(t, attempts <= 5, "%d attempts in three seconds", attempts)
 }
 
-// A router crashes while it handles requests. Its peers must get it reported as
-// lost instead of waiting for answers that can't come. Once the router is back,
+// A router crashes while it handles requests. The meshes of its peers must report it
+// lost, so that nobody waits for answers that can't come. Once the router is back,
 // frames must arrive again.
 func TestDeadPeerIsReportedLost(t *testing.T) {
 	a, b, between := startRelayed(t)
@@ -332,8 +332,8 @@
 		send    []byte
 		refused bool
 	}{
-		{"in clear", nil, "", hello(all), true},
-		{"random bytes in clear", nil, "", []byte("\x16\x03\x01\xff\xff\x00\x91\x07\x00"), true},
+		{"without TLS", nil, "", hello(all), true},
+		{"random bytes without TLS", nil, "", []byte("\x16\x03\x01\xff\xff\x00\x91\x07\x00"), true},
 		{"another authority", &foreign, "c", hello(all), true},
 		{"another router's certificate", &ours, "d", hello(all), true},
 		{"torn hello", &ours, "c", hello(9), true},
@@ -399,8 +399,8 @@
 		c.push("b", 2, 2, true)
 		return len(b.received()) > 1
 	})
-	stranger := startNode(t, "d", before.write(t.TempDir(), "d"))
-	stranger.SetAddress("b", b.listenAddress())
-	stranger.push("b", 9, 9, true)
-	await(t, "a peer with an old key is refused", func() bool { return stranger.losses() > 0 })
+	outdated := startNode(t, "d", before.write(t.TempDir(), "d"))
+	outdated.SetAddress("b", b.listenAddress())
+	outdated.push("b", 9, 9, true)
+	await(t, "a peer with an old key is refused", func() bool { return outdated.losses() > 0 })
 }
