--- a/transport/callers/callers.go
+++ b/transport/callers/callers.go
@@ -1,6 +1,6 @@
 // Package callers serves callers over HTTP. Handler reads a complete request,
-// submits it to the node core, and writes the answer to the caller as the core
-// produces it. Answer is the queue between the two.
+// submits it to the router's decision code (package node, called the node core
+// here), and writes the answer to the caller as the core produces it. Answer is the queue between the two.
 //
 // The package guards against these failures:
 //
@@ -228,7 +228,7 @@
 		writeError(a.response, output.Status, string(output.Reason), output.Detail, output.Outcome, output.RetryAfter)
 		return true, nil
 	}
-	panic("callers: output is not a part of an answer")
+	panic(fmt.Sprintf("callers: output %T is not a part of an answer", output))
 }
 
 func (a *answerWriter) writeHead(head node.AnswerHead) {
--- a/transport/callers/callers_test.go
+++ b/transport/callers/callers_test.go
@@ -191,7 +191,7 @@
 		}
 		assert.Assert(t, err != nil, "the client must notice that the answer broke off")
 	})
-	t.Run("plain, to a client that knows no chunks", func(t *testing.T) {
+	t.Run("plain, to an HTTP/1.0 client", func(t *testing.T) {
 		core, address := start(t)
 		begun := make(chan struct{})
 		core.script = func(_ node.CallerRequest, answer *Answer) {
@@ -221,7 +221,7 @@
 		assert.Assert(t, strings.Contains(string(raw), `"upstream_lost"`), string(raw))
 		assert.Assert(t, !strings.Contains(string(raw), chat.DoneMarker), string(raw))
 	})
-	t.Run("whole events", func(t *testing.T) {
+	t.Run("complete event stream", func(t *testing.T) {
 		_, address := start(t, eventStream(node.AnswerHead{}), chunk, node.AnswerEnd{})
 		raw, err := io.ReadAll(post(t, address, "").Body)
 		assert.NilError(t, err)
