--- a/transport/admin/admin.go
+++ b/transport/admin/admin.go
@@ -1,5 +1,6 @@
 // Package admin serves the operators' HTTP API on a separate listener: the table,
-// the fleet's status, explained events, orders, quarantined requests and metrics.
+// the fleet's status, the routers' recorded decisions (package explain), orders,
+// quarantined requests and metrics.
 // Handler serves the calls and Fleet does their work. The tool `endiveplank` is the
 // client; docs/ADMIN.md lists the calls.
 //
@@ -54,7 +55,7 @@
 	History(ctx context.Context, query HistoryQuery) ([]table.HistoryEntry, error)
 	// Undo returns the edits that reverse a change.
 	Undo(ctx context.Context, changeID string) ([]table.Edit, error)
-	// Events collects explained events from every router.
+	// Events collects the recorded decisions of every router.
 	Events(ctx context.Context, query explain.Query) EventsAnswer
 	// Order returns an order's record.
 	Order(ctx context.Context, key orders.Key) (orders.Record, bool, error)
@@ -93,7 +94,7 @@
 	Upstreams  int                 `json:"upstreams"`
 }
 
-// VoterStatus is one member of the replicated log.
+// VoterStatus is one member of the consensus cluster. Its Role is voter or learner.
 type VoterStatus struct {
 	Router protocol.RouterID `json:"router"`
 	Role   string            `json:"role"`
@@ -105,10 +106,11 @@
 	Kind       string              `json:"kind"`
 	Address    string              `json:"address"`
 	DataCentre protocol.DataCentre `json:"data_centre"`
-	Serves     string              `json:"serves"`
-	Owner      protocol.RouterID   `json:"owner"`
-	Fence      uint64              `json:"fence"`
-	Drain      bool                `json:"drain"`
+	// Serves is the service's name, or an engine's models separated by spaces.
+	Serves string            `json:"serves"`
+	Owner  protocol.RouterID `json:"owner"`
+	Fence  uint64            `json:"fence"`
+	Drain  bool              `json:"drain"`
 }
 
 // HistoryQuery selects past changes. An empty sheet or key matches all.
--- a/transport/tracing/direct.go
+++ b/transport/tracing/direct.go
@@ -37,7 +37,7 @@
 	return span
 }
 
-// startSpan starts a span.
+// startSpan starts a span whose parent is the span in the context parent, if any.
 func (t *Tracer) startSpan(parent context.Context, name string, kind trace.SpanKind, attributes ...attribute.KeyValue) Span {
 	_, span := t.tracer.Start(parent, name, trace.WithSpanKind(kind), trace.WithAttributes(attributes...))
 	return Span{span}
