--- a/protocol/codec/check.go
+++ b/protocol/codec/check.go
@@ -12,7 +12,7 @@
 const maxDepth = 32
 
 // ErrMalformed means that the input is not exactly one complete msgpack value.
-var ErrMalformed = eris.New("codec: not one whole msgpack value")
+var ErrMalformed = eris.New("codec: not exactly one complete msgpack value")
 
 // Check returns ErrMalformed unless the input is exactly one msgpack value and no
 // list in it is longer than the bytes that follow.
--- a/protocol/codec/codec.go
+++ b/protocol/codec/codec.go
@@ -42,7 +42,7 @@
 	encoder.UseCompactInts(true)
 	encoder.UseArrayEncodedStructs(arrays)
 	if err := encoder.Encode(value); err != nil {
-		panic("codec: a typed message must encode: " + err.Error())
+		panic("codec: message that can't be encoded: " + err.Error())
 	}
 	return buffer.Bytes()
 }
--- a/protocol/wire/wire.go
+++ b/protocol/wire/wire.go
@@ -200,7 +200,7 @@
 
 // Error names the versions that both processes support.
 func (e *VersionError) Error() string {
-	return fmt.Sprintf("wire: peer talks versions %d to %d, this process %d to %d", e.PeerMinVersion, e.PeerVersion, MinVersion, Version)
+	return fmt.Sprintf("wire: peer supports versions %d to %d, this process %d to %d", e.PeerMinVersion, e.PeerVersion, MinVersion, Version)
 }
 
 // Check returns a VersionError if the sender of the Hello and this process
