--- a/settings/check.go
+++ b/settings/check.go
@@ -83,7 +83,7 @@
 			c.Add(item, member, "named once in the list")
 		}
 		if path == "spares" && slices.Contains(s.Voters, member) {
-			c.Add(item, member, "no voter")
+			c.Add(item, member, "a router ID that is not in voters")
 		}
 	}
 }
--- a/settings/strict/checker.go
+++ b/settings/strict/checker.go
@@ -37,7 +37,8 @@
 	}
 }
 
-// Between checks that a value is in a range that includes both ends. NaN is not.
+// Between checks that a value is in a range that includes both ends. NaN is in no
+// range.
 func (c *Checker) Between(path string, value, low, high float64) {
 	if !(value >= low && value <= high) {
 		c.Add(path, value, fmt.Sprintf("from %g to %g", low, high))
--- a/settings/strict/strict.go
+++ b/settings/strict/strict.go
@@ -114,7 +114,7 @@
 		}
 		return singleProblem(path, tree, "true or false")
 	}
-	panic("settings: checkShape does not support fields of type " + want.String())
+	panic("strict: checkShape does not support fields of type " + want.String())
 }
 
 func checkObject(path string, tree any, want reflect.Type) Problems {
