--- a/cmd/endiveplankd/direct.go
+++ b/cmd/endiveplankd/direct.go
@@ -149,8 +149,8 @@
 	return zerolog.New(lines).Level(level).With().Timestamp().Str("node", settings.Name).Logger()
 }
 
-// newRandom returns a source of random numbers with a random seed, so that VMs that start at
-// the same moment do not make the same choices.
+// newRandom returns a source of random numbers with a random seed, so that VMs that
+// start at the same moment do not make the same choices.
 func newRandom() *rand.Rand {
 	var seed [16]byte
 	if _, err := crand.Read(seed[:]); err != nil {
--- a/cmd/endiveplankd/main.go
+++ b/cmd/endiveplankd/main.go
@@ -20,14 +20,15 @@
 
 // Exit statuses.
 const (
-	exitFailed   = 1
+	exitFailed = 1
+	// exitSettings means that the settings file has mistakes.
 	exitSettings = 2
 	// exitRequestsCut means that a planned stop cut off requests in flight.
 	exitRequestsCut = 3
 )
 
 // errRequestsCut means that a planned stop cut off requests in flight.
-var errRequestsCut = errors.New("the drain timeout expired and requests in flight were cut off")
+var errRequestsCut = errors.New("requests in flight were cut off, because the drain timeout expired or a second stop signal came")
 
 func main() {
 	os.Exit(run())
