--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -1,4 +1,4 @@
-// Package layers checks that each layer imports only the packages that it may use.
+// Package layers checks that no layer imports a package that is forbidden to it.
 package layers
 
 import (
--- a/internal/proofs/main.go
+++ b/internal/proofs/main.go
@@ -23,7 +23,8 @@
 	Output  string
 }
 
-// results holds the outcome and output of each test, by package and test name.
+// results holds the outcome and output of each test. The keys are the package and the
+// test name with a space between them; the test name is empty for the package itself.
 type results struct {
 	outcome map[string]string
 	output  map[string][]string
@@ -41,10 +42,10 @@
 		fmt.Fprintln(os.Stderr, "proofs:", err)
 		os.Exit(2)
 	}
-	known := strings.Split(*red, "|")
-	problems := found.failures(known)
+	knownRed := strings.Split(*red, "|")
+	problems := found.failures(knownRed)
 	for _, page := range flag.Args() {
-		problems = append(problems, found.check(page, known)...)
+		problems = append(problems, found.check(page, knownRed)...)
 	}
 	fmt.Printf("%d passed, %d failed, %d skipped\n", found.passed, found.failed, found.skipped)
 	for _, problem := range problems {
