--- a/coordination/admission/bench_test.go
+++ b/coordination/admission/bench_test.go
@@ -8,8 +8,8 @@
 	"endiveplank/protocol"
 )
 
-// BenchmarkSubmitNext measures one arrival and one start with a standing queue of
-// the given length, spread over customers and classes.
+// BenchmarkSubmitNext measures one Submit and one Next on a queue that holds
+// the given number of waiting requests, spread over customers and classes.
 func BenchmarkSubmitNext(b *testing.B) {
 	for _, size := range []struct{ waiting, customers int }{{100, 10}, {4000, 10}, {4000, 2400}} {
 		b.Run(fmt.Sprintf("waiting=%d/customers=%d", size.waiting, size.customers), func(b *testing.B) {
--- a/coordination/admission/config.go
+++ b/coordination/admission/config.go
@@ -4,45 +4,52 @@
 
 // Config holds the settings of one Queue.
 type Config struct {
-	// MaxQueued bounds the whole queue, in requests. It bounds memory; the
-	// deadline estimate is what normally bounds the wait.
+	// MaxQueued bounds the whole queue, in requests. It limits memory use;
+	// normally the refusal of requests that would miss their deadlines keeps
+	// the queue shorter than this.
 	MaxQueued int
-	// MaxCustomerQueued bounds one customer's part, in requests, so that
-	// a surge cannot take the whole queue's room from others.
+	// MaxCustomerQueued bounds the waiting requests of one customer, so that
+	// one customer's surge can't fill the whole queue.
 	MaxCustomerQueued int
 	// MinShare is the share of tokens that each class gets at least while it
-	// has work waiting. The sum over all classes must stay below one.
+	// has requests waiting. The sum over all classes must stay below one.
 	MinShare [NumClasses]float64
-	// Guarantee scales the weights of a class's customers.
-	Guarantee [NumClasses]float64
-	// BurstTokens is how far all waiting customers together may be ahead of
-	// their shares and still keep their class's precedence, in tokens.
+	// ClassWeight multiplies the weights of a class's customers.
+	ClassWeight [NumClasses]float64
+	// BurstTokens is the number of tokens by which all waiting customers
+	// together may exceed their shares and still be served in the order of
+	// classes, before work beyond a share.
 	BurstTokens float64
-	// CreditTokens is how far a customer that was idle may be behind its share.
+	// CreditTokens is how many tokens an idle customer may save up: after an
+	// idle time, it may receive this much more than its share.
 	CreditTokens float64
-	// TargetWait is the wait to which the queue of a customer is cut back once it
-	// has been longer for BurstTime. Zero sets no target.
+	// TargetWait is the longest expected wait that is accepted for a customer
+	// whose requests have waited longer than this for BurstTime. Zero sets no
+	// target.
 	TargetWait [NumClasses]time.Duration
 	BurstTime  time.Duration
-	// CutTime is how long after the last refusal the cut lasts. Without it, the
-	// queue would grow to the deadline again as soon as it had shrunk.
-	CutTime time.Duration
-	// ReserveTokens is the room that classes above 0 leave free in the gate.
+	// TargetHoldTime is how long TargetWait stays enforced for a customer after
+	// its last refusal. Without it, the customer's queue would grow up to the
+	// deadline again as soon as it had shrunk.
+	TargetHoldTime time.Duration
+	// ReserveTokens is the part of the upstream's capacity that classes above 0
+	// leave free.
 	ReserveTokens int
-	// HandicapPerToken is how much a request's length delays it behind the
-	// same customer's other requests.
-	HandicapPerToken time.Duration
-	// InitialRate is the drain rate assumed before any was measured, in
-	// tokens per second: the capacity that the upstream announced.
+	// PenaltyPerToken is how much each token of a request's length moves it
+	// back among the same customer's requests.
+	PenaltyPerToken time.Duration
+	// InitialRate is the drain rate assumed before any was measured, in tokens
+	// per second: the capacity that the upstream announced.
 	InitialRate float64
 	// InitialSpeed is the speed of one stream assumed before any was measured,
 	// in tokens per second.
 	InitialSpeed float64
 	// RateWindow is the time constant of the estimates of rate and speed.
 	RateWindow time.Duration
-	// WaitMargin times the expected wait must fit before the last moment to
-	// start. It covers the error of the estimate: a request that is let in and
-	// expires was refused too late.
+	// WaitMargin is the safety factor on the expected wait: the wait times
+	// WaitMargin must end before the latest start that meets the deadline. It
+	// covers the error of the estimate, because a request that is queued and
+	// then expires should have been refused on arrival.
 	WaitMargin float64
 	// MinRetryAfter and MaxRetryAfter bound every Retry-After.
 	MinRetryAfter time.Duration
@@ -53,17 +60,18 @@
 // per second in all and speed tokens per second for one stream.
 //
 // The minimum shares are 5, 3 and 1% for classes 1 to 3: little enough that the
-// most urgent class keeps 91% of a saturated upstream, whatever the weights. Class
-// 2 holds three quarters of its weight against others' surges and class 3 a
-// quarter. The burst is one second of the upstream's work: long enough for the
-// short bursts of people at work, short against the 20% by which a surge may move
-// another customer's p99. An idle customer may save up half of that. People wait
-// a second (class 0) or five (class 1) in a lasting overload, and programs as
-// long as their deadlines let them. The reserve is a quarter second, half of the
-// 0.5 s that a first token may take. The handicap of 2 ms a token lets a
-// 100-token question pass a 4,000-token summary that came up to 8 s before it.
-// The window of 5 s follows an upstream that slows down before the shortest usual
-// deadline (10 s) has passed.
+// most urgent class keeps 91% of a saturated upstream, whatever the weights.
+// When another customer surges, customers of class 2 keep three quarters of
+// their weight and customers of class 3 a quarter. The burst is one second of
+// the upstream's work: enough for the short bursts that interactive users send,
+// and short against the 20% by which a surge may raise another customer's p99.
+// An idle customer may save up half of that. In a lasting overload, interactive
+// requests wait at most a second (class 0) or five (class 1), and those of
+// programs as long as their deadlines allow. The reserve is a quarter of a
+// second of work, half of the 0.5 s that a first token may take. The penalty of
+// 2 ms a token lets a 100-token question go before a 4,000-token summary that
+// arrived up to 8 s earlier. The window of 5 s follows an upstream that slows
+// down before the shortest usual deadline (10 s) has passed.
 func DefaultConfig(rate, speed float64) Config {
 	const (
 		reserveSeconds = 0.25
@@ -74,14 +82,14 @@
 		MaxQueued:         4096,
 		MaxCustomerQueued: 1024,
 		MinShare:          [NumClasses]float64{0, 0.05, 0.03, 0.01},
-		Guarantee:         [NumClasses]float64{1, 1, 0.75, 0.25},
+		ClassWeight:       [NumClasses]float64{1, 1, 0.75, 0.25},
 		BurstTokens:       rate * burstSeconds,
 		CreditTokens:      rate * creditSeconds,
 		TargetWait:        [NumClasses]time.Duration{time.Second, 5 * time.Second, 0, 0},
 		BurstTime:         5 * time.Second,
-		CutTime:           10 * time.Second,
+		TargetHoldTime:    10 * time.Second,
 		ReserveTokens:     int(rate * reserveSeconds),
-		HandicapPerToken:  2 * time.Millisecond,
+		PenaltyPerToken:   2 * time.Millisecond,
 		InitialRate:       rate,
 		InitialSpeed:      speed,
 		RateWindow:        5 * time.Second,
--- a/coordination/admission/estimate.go
+++ b/coordination/admission/estimate.go
@@ -7,31 +7,33 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// minRate keeps estimates finite, in tokens per second.
+// minRate is the lowest rate used as a divisor, in tokens per second. It keeps
+// the estimated waits finite.
 const minRate = 1.0
 
-// ExpectedWait estimates how long a request would wait if it came now. It is
+// ExpectedWait estimates how long a request would wait if it arrived now. It is
 // the shorter of two waits:
 //
-//   - by share: the customer's own backlog drains at its weight's share of
-//     what the upstream leaves to waiting work, whatever the other classes do;
-//   - by order: everything that goes before it drains, which is all of the more
-//     urgent classes at the upstream's rate and all of its own class at the
-//     rate at which that class was lately served, because urgent requests that
-//     are still to come will go first as well.
+//   - by share: the customer's own waiting work drains at its weight's share of
+//     the capacity that the upstream leaves to waiting work, whatever the other
+//     classes do;
+//   - by order: all work that goes before it drains. The work of the more urgent
+//     classes drains at the upstream's rate. The work of its own class drains at
+//     the rate at which that class was served recently, because urgent requests
+//     that have not arrived yet will go first as well.
 func (q *Queue) ExpectedWait(now time.Duration, r Request) time.Duration {
-	drain := q.drain.perSecond(now)
-	rest := max(drain-q.direct.perSecond(now), drain*q.classShare(r.Class), minRate)
+	drain := q.drainRate.perSecond(now)
+	rest := max(drain-q.directRate.perSecond(now), drain*q.classShare(r.Class), minRate)
 	byShare := q.fairTokens(r) / rest
 	byOrder := float64(q.urgentTokens(r.Class)) / rest
 	byOrder += float64(q.classes[r.Class].tokens) / q.classRate(now, r.Class, rest)
 	return durationOf(min(byShare, byOrder))
 }
 
-// fairTokens is the work that starts up to and with the request when all waiting
-// customers are served by weight.
+// fairTokens returns the tokens that start up to and including the request when
+// all waiting customers are served by weight.
 func (q *Queue) fairTokens(r Request) float64 {
-	weight := r.Weight * q.config.Guarantee[r.Class]
+	weight := r.Weight * q.config.ClassWeight[r.Class]
 	own, total := 0, q.shares.weight
 	f := q.shares.flows[flowKey{customer: r.Customer, class: r.Class}]
 	if f != nil && f.backlogged() {
@@ -42,7 +44,8 @@
 	return float64(own+r.Tokens) * total / weight
 }
 
-// urgentTokens is the waiting work of all classes before one.
+// urgentTokens returns the tokens that wait in the classes more urgent than
+// class.
 func (q *Queue) urgentTokens(class Class) int {
 	tokens := 0
 	for i := range q.classes[:class] {
@@ -51,14 +54,15 @@
 	return tokens
 }
 
-// classRate is the rate at which a class drains, in tokens per second.
+// classRate returns the rate at which a class drains, in tokens per second.
 func (q *Queue) classRate(now time.Duration, class Class, rest float64) float64 {
 	measured := q.classes[class].rate.perSecond(now)
 	return max(min(measured, rest), rest*q.classShare(class), minRate)
 }
 
-// classShare is the share of the upstream that a class gets whatever the other
-// classes do: its minimum share, or for class 0 all but the others' shares.
+// classShare returns the share of the upstream that a class gets whatever the
+// other classes do: its minimum share, or for class 0 the rest that the minimum
+// shares leave.
 func (q *Queue) classShare(class Class) float64 {
 	if class > 0 {
 		return q.config.MinShare[class]
@@ -85,10 +89,10 @@
 	return int(math.Ceil(ahead * float64(count)))
 }
 
-// retryAfter is how long the caller should stay away: the time by which the
-// wait is too long, spread by up to half as much again. The spread depends only
-// on the request's ID; without it all callers refused in one moment would come
-// back in one moment.
+// retryAfter returns the delay after which the caller should retry: the time by
+// which the expected wait is too long, extended by up to half of it. The
+// extension depends only on the request's ID; without it, all callers refused
+// at the same time would come back at the same time.
 func (q *Queue) retryAfter(r Request, excess time.Duration) time.Duration {
 	const spreadShare = 0.5
 	base := max(excess, q.config.MinRetryAfter)
--- a/coordination/admission/flow.go
+++ b/coordination/admission/flow.go
@@ -11,13 +11,14 @@
 	request Request
 	flow    *flow
 	arrived time.Duration
-	// latestStart is the last moment at which a start meets the deadline, by
-	// the stream speed at arrival.
+	// latestStart is the latest start that meets the deadline, by the stream
+	// speed at arrival.
 	latestStart time.Duration
-	// rank is arrival plus handicap; arrivalNumber breaks ties.
+	// rank is the arrival time plus the penalty for length; arrivalNumber
+	// breaks ties.
 	rank          time.Duration
 	arrivalNumber uint64
-	rankAt        int
+	heapIndex     int
 }
 
 func (e *entry) less(other *entry) bool {
@@ -27,13 +28,13 @@
 	return e.arrivalNumber < other.arrivalNumber
 }
 
-func (e *entry) position() int     { return e.rankAt }
-func (e *entry) setPosition(i int) { e.rankAt = i }
+func (e *entry) position() int     { return e.heapIndex }
+func (e *entry) setPosition(i int) { e.heapIndex = i }
 
-// expiry places an entry in the heap of last moments to start.
+// expiry is an entry's element in the heap that is ordered by latestStart.
 type expiry struct {
-	entry *entry
-	at    int
+	entry     *entry
+	heapIndex int
 }
 
 func (x *expiry) less(other *expiry) bool {
@@ -44,35 +45,37 @@
 	return a.arrivalNumber < b.arrivalNumber
 }
 
-func (x *expiry) position() int     { return x.at }
-func (x *expiry) setPosition(i int) { x.at = i }
+func (x *expiry) position() int     { return x.heapIndex }
+func (x *expiry) setPosition(i int) { x.heapIndex = i }
 
-// flowKey names a flow. A customer whose row changes class has a flow in each
-// class until the old one has drained.
+// flowKey identifies a flow. A customer whose row in the table changes class
+// has a flow in each class until the old one has drained.
 type flowKey struct {
 	customer protocol.CustomerID
 	class    Class
 }
 
-// flow is one customer within one class.
+// flow holds the waiting requests and the virtual clock of one customer within
+// one class.
 type flow struct {
 	key flowKey
-	// weight is the customer's weight times the class's guarantee.
+	// weight is the customer's weight times Config.ClassWeight of the class.
 	weight  float64
 	waiting indexedHeap[*entry]
 	tokens  int
-	// clock is the virtual time up to which the customer has had its share:
-	// where the next request starts.
+	// clock is the virtual time up to which the customer has used its share, at
+	// which its next request starts.
 	clock float64
-	// standing says that the last started request waited longer than its class
-	// should, and since when that has been so without a break.
+	// standing says that the last started request waited longer than the target
+	// of its class. standingSince is when the uninterrupted series of such
+	// waits began.
 	standing      bool
 	standingSince time.Duration
-	// cutUntil is until when its queue is held to the class's target.
-	cutUntil time.Duration
-	// at is the place in the class's heap while requests wait, else in the heap
+	// targetUntil is the time until which TargetWait is enforced for this flow.
+	targetUntil time.Duration
+	// heapIndex is the place in the class's heap while requests wait, else in the heap
 	// of flows that are ahead of their share.
-	at int
+	heapIndex int
 }
 
 func (f *flow) less(other *flow) bool {
@@ -85,8 +88,8 @@
 	return f.key.class < other.key.class
 }
 
-func (f *flow) position() int     { return f.at }
-func (f *flow) setPosition(i int) { f.at = i }
+func (f *flow) position() int     { return f.heapIndex }
+func (f *flow) setPosition(i int) { f.heapIndex = i }
 
 // backlogged says whether the flow has requests waiting.
 func (f *flow) backlogged() bool { return f.waiting.Len() > 0 }
--- a/coordination/admission/heap.go
+++ b/coordination/admission/heap.go
@@ -2,7 +2,7 @@
 
 import "container/heap"
 
-// positioned is an element that knows its place in an indexedHeap, so that it
+// positioned is an element that records its index in an indexedHeap, so that it
 // can be removed from the middle in O(log n).
 type positioned[T any] interface {
 	comparable
@@ -11,8 +11,8 @@
 	setPosition(i int)
 }
 
-// unplaced is the position of an element that is in no heap.
-const unplaced = -1
+// notInHeap is the position of an element that is in no heap.
+const notInHeap = -1
 
 // indexedHeap is a binary min-heap with removal from the middle.
 type indexedHeap[T positioned[T]] struct {
@@ -46,7 +46,7 @@
 	var zero T
 	h.items[last] = zero
 	h.items = h.items[:last]
-	item.setPosition(unplaced)
+	item.setPosition(notInHeap)
 	return item
 }
 
@@ -54,7 +54,7 @@
 
 func (h *indexedHeap[T]) remove(item T) { heap.Remove(h, item.position()) }
 
-func (h *indexedHeap[T]) moved(item T) { heap.Fix(h, item.position()) }
+func (h *indexedHeap[T]) fix(item T) { heap.Fix(h, item.position()) }
 
 func (h *indexedHeap[T]) first() (T, bool) {
 	if len(h.items) == 0 {
--- a/coordination/admission/order.go
+++ b/coordination/admission/order.go
@@ -1,28 +1,29 @@
 package admission
 
-// mayPass says whether a new request may start without queueing: when nothing
-// waits that would go before it.
-func (q *Queue) mayPass(f *flow) bool {
+// canStartDirectly reports whether a new request may start without queueing,
+// because no waiting request goes before it.
+func (q *Queue) canStartDirectly(f *flow) bool {
 	if f.backlogged() {
 		return false // its own requests go first
 	}
-	class, _, ok := q.turn()
+	class, _, ok := q.nextClass()
 	if !ok {
 		return true
 	}
-	if _, owed := q.owedClass(); owed {
+	if _, found := q.classWithCredit(); found {
 		return false
 	}
 	waiting, _ := q.classes[class].active.first()
-	mine, theirs := q.shares.within(f, q.config.BurstTokens), q.shares.within(waiting, q.config.BurstTokens)
+	mine, theirs := q.shares.withinShare(f, q.config.BurstTokens), q.shares.withinShare(waiting, q.config.BurstTokens)
 	if mine != theirs {
 		return mine
 	}
 	return f.key.class < class
 }
 
-// reserve is the room that a class leaves free for class 0. An idle upstream keeps
-// none: a request that is too long to leave the reserve would never start.
+// reserve returns the capacity that a class leaves free for class 0, in tokens.
+// It is zero on an idle upstream: a request that is too long to leave the
+// reserve free would never start.
 func (q *Queue) reserve(class Class) int {
 	if class == 0 || q.running == 0 {
 		return 0
@@ -30,9 +31,10 @@
 	return q.config.ReserveTokens
 }
 
-// turn returns the class that is served next and the room it must leave free.
-func (q *Queue) turn() (Class, int, bool) {
-	if class, ok := q.owedClass(); ok {
+// nextClass returns the class that is served next and the capacity that its
+// request must leave free, in tokens.
+func (q *Queue) nextClass() (Class, int, bool) {
+	if class, ok := q.classWithCredit(); ok {
 		return class, 0, true
 	}
 	first, found := Class(0), false
@@ -42,7 +44,7 @@
 			continue
 		}
 		class := Class(i)
-		if q.shares.within(f, q.config.BurstTokens) {
+		if q.shares.withinShare(f, q.config.BurstTokens) {
 			return class, q.reserve(class), true
 		}
 		if !found {
@@ -52,9 +54,9 @@
 	return first, q.reserve(first), found
 }
 
-// owedClass returns the class whose credit pays for its next request. With
-// several, the most urgent goes first.
-func (q *Queue) owedClass() (Class, bool) {
+// classWithCredit returns the class whose credit covers its next request. If
+// there are several, it returns the most urgent.
+func (q *Queue) classWithCredit() (Class, bool) {
 	for i := range q.classes {
 		c := &q.classes[i]
 		if c.count == 0 || q.config.MinShare[i] == 0 {
@@ -67,13 +69,14 @@
 	return 0, false
 }
 
-// account gives each waiting class its share of the started tokens as credit
-// and takes the cost from the class that was served.
+// updateCredits gives each waiting class its minimum share of the started
+// tokens as credit and subtracts the tokens from the credit of the class that
+// was served.
 //
-// Credit is capped at creditBurst times the head's cost, so that a class that
-// could not use its credit (its head doesn't fit yet) doesn't save up for a burst
-// that would hold up urgent work.
-func (q *Queue) account(served Class, tokens int) {
+// Credit is capped at creditBurst times the cost of the class's next request,
+// so that a class that couldn't use its credit (its next request doesn't fit
+// yet) doesn't save up for a burst that would delay urgent work.
+func (q *Queue) updateCredits(served Class, tokens int) {
 	const creditBurst = 2
 	for i := range q.classes {
 		c := &q.classes[i]
--- a/coordination/admission/queue_test.go
+++ b/coordination/admission/queue_test.go
@@ -25,6 +25,8 @@
 	}
 }
 
+// Invalid requests get the reason that names the fault, and no Retry-After,
+// because a retry of the same request can't succeed.
 func TestSubmitRefusesBadInput(t *testing.T) {
 	late := request("r", "a", 0, 1)
 	late.Deadline = -1
@@ -42,6 +44,8 @@
 	}
 }
 
+// The order of the waiting requests: by class, between customers by tokens and
+// not by requests, and short before long within a customer.
 func TestOrderOfService(t *testing.T) {
 	type step struct {
 		customer string
@@ -81,8 +85,9 @@
 	}
 }
 
-// A caller with a 10 s deadline is refused at once when 20 s of work stand
-// before it, and told to come back when the queue will have shrunk enough.
+// A request with a deadline in 11 s arrives when 20 s of work wait before it.
+// It must be refused at once, with a Retry-After by which the queue has shrunk
+// enough.
 func TestEarlyRefusal(t *testing.T) {
 	q := New(DefaultConfig(100, 37))
 	for i := range 20 {
@@ -97,6 +102,8 @@
 	assert.Equal(t, q.Len(), 20)
 }
 
+// A request expires only after its latest start, and a request can be cancelled
+// only once.
 func TestExpireAndCancel(t *testing.T) {
 	q := New(DefaultConfig(1e6, 37))
 	r := request("a", "a", 0, 1)
@@ -114,8 +121,8 @@
 	assert.Equal(t, q.Len(), 0)
 }
 
-// Every request that goes in comes out exactly once, by Next, Expire or Cancel,
-// and the counters that the estimates read stay equal to the content.
+// Every queued request comes out exactly once, by Next, Expire or Cancel, and
+// the token counts that the estimates read equal those of the waiting requests.
 func TestNothingLostOrDoubled(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New(DefaultConfig(500, 37))
@@ -169,19 +176,19 @@
 	})
 }
 
-// An engine slows down to a tenth while requests wait. Started now they would
-// end after their deadlines, so they are refused at once instead of being run for
-// nobody.
+// An engine slows down to a tenth while requests wait. If they started now they
+// would end after their deadlines, so they must be refused instead of using
+// engine time for answers that come too late.
 func TestSlowedEngineStartsNothingThatEndsLate(t *testing.T) {
 	q := New(DefaultConfig(1000, 37))
 	r := request("r", "a", 0, 100)
-	r.Steps = 100
+	r.AnswerTokens = 100
 	r.Deadline = 10 * time.Second
 	assert.Equal(t, q.Submit(0, r, closed).Kind, Queued)
 	now := time.Duration(0)
 	for range 50 {
 		now += 100 * time.Millisecond
-		q.Drained(now, 20, 54)
+		q.RecordProgress(now, 20, 54)
 	}
 	_, ok := q.Next(now, open)
 	assert.Assert(t, !ok)
@@ -190,8 +197,9 @@
 	assert.Equal(t, refusals[0].Reason, ReasonExpired)
 }
 
-// Two hundred urgent customers never stop sending. By weight alone the one
-// customer of class 2 would get half a percent.
+// Two hundred urgent customers send without a pause. By weight alone the one
+// customer of class 2 would get half a percent; its class must get its minimum
+// share of 3%.
 func TestMinimumShareOfAClass(t *testing.T) {
 	q := New(DefaultConfig(1000, 37))
 	next := 0
@@ -217,20 +225,22 @@
 	assert.Assert(t, float64(served) >= 0.95*least && float64(served) <= 1.2*least, "%d", served)
 }
 
-// The last room of a busy engine is kept for urgent requests, which would
-// otherwise wait for a summary to end.
+// Less urgent requests must leave the reserve of a busy engine free. Otherwise
+// an urgent request would wait for a summary to end.
 func TestLessUrgentWorkLeavesAReserve(t *testing.T) {
 	q := New(DefaultConfig(1000, 37))
-	q.Drained(0, 0, 1)
-	room := func(tokens int) bool { return tokens <= 300 }
-	assert.Equal(t, q.Submit(0, request("low", "a", 1, 100), room).Kind, Queued)
-	assert.Equal(t, q.Submit(0, request("urgent", "b", 0, 100), room).Kind, Admitted)
-	_, ok := q.Next(0, room)
+	q.RecordProgress(0, 0, 1)
+	gate := func(tokens int) bool { return tokens <= 300 }
+	assert.Equal(t, q.Submit(0, request("low", "a", 1, 100), gate).Kind, Queued)
+	assert.Equal(t, q.Submit(0, request("urgent", "b", 0, 100), gate).Kind, Admitted)
+	_, ok := q.Next(0, gate)
 	assert.Assert(t, !ok)
 	_, ok = q.Next(0, func(tokens int) bool { return tokens <= 350 })
 	assert.Assert(t, ok)
 }
 
+// The expected wait of a request depends on its own customer's queue and on
+// more urgent work, and not on another customer's surge or on less urgent work.
 func TestExpectedWait(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -261,19 +271,20 @@
 	assert.Equal(t, wait, time.Duration(0))
 }
 
-// A long request of class 1 and the reserve together are more than the upstream's
-// bound. It waited until its deadline before an idle engine.
+// The tokens of a long request of class 1 plus the reserve exceed the
+// upstream's bound. If the reserve applied on an idle upstream, the request
+// would wait until its deadline and never start.
 func TestReserveStopsNobodyAtAnIdleUpstream(t *testing.T) {
 	q := New(DefaultConfig(1000, 37))
 	small := func(tokens int) bool { return tokens <= 300 }
-	q.Drained(0, 0, 1)
+	q.RecordProgress(0, 0, 1)
 	assert.Equal(t, q.Submit(0, request("long", "a", 1, 200), small).Kind, Queued)
 	_, ok := q.Next(0, small)
 	assert.Assert(t, !ok)
-	q.Drained(time.Second, 10, 0) // the running request has ended
+	q.RecordProgress(time.Second, 10, 0) // the running request has ended
 	_, ok = q.Next(time.Second, small)
 	assert.Assert(t, ok)
-	q.Drained(2*time.Second, 10, 0)
+	q.RecordProgress(2*time.Second, 10, 0)
 	assert.Equal(t, q.Submit(2*time.Second, request("next", "a", 1, 200), small).Kind, Admitted)
 	assert.Equal(t, q.Submit(2*time.Second, request("third", "a", 1, 200), small).Kind, Queued)
 }
--- a/coordination/admission/rate.go
+++ b/coordination/admission/rate.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// rate estimates tokens per second over the time in which there was work to
-// do. It is an exponentially decaying average whose clock stands still while
-// nothing waits, because an idle upstream's low throughput says nothing about
-// how fast it drains a queue.
+// rate estimates tokens per second over the time in which work waited. It is an
+// exponentially decaying average whose clock stops while nothing waits, because
+// the low throughput of an idle upstream says nothing about how fast it drains
+// a queue.
 type rate struct {
 	window  time.Duration
 	initial float64
@@ -20,16 +20,16 @@
 	span float64
 }
 
-// newRate starts with the initial rate, weighted as one tenth of the window.
-// That is little enough to be corrected within a second or so.
+// newRate starts with the initial rate, weighted as one tenth of the window, so
+// that measurements correct it within about a second.
 func newRate(initial float64, window time.Duration) rate {
 	const initialShare = 0.1
 	span := initialShare * window.Seconds()
 	return rate{window: window, initial: initial, sum: initial * span, span: span}
 }
 
-// advance moves the clock to now. While busy, time without tokens lowers the
-// estimate, so an upstream that hangs makes waits grow.
+// advance moves the clock to now. While work waits, time without tokens lowers
+// the estimate, so the expected waits grow when an upstream hangs.
 func (r *rate) advance(now time.Duration) {
 	elapsed := (now - r.updated).Seconds()
 	r.updated = now
@@ -63,8 +63,8 @@
 	return r.sum / r.span
 }
 
-// streamSpeed estimates the tokens per second of one stream, over the time
-// in which any stream ran.
+// streamSpeed estimates the tokens per second of one stream, over the time in
+// which at least one stream ran.
 type streamSpeed struct {
 	window  time.Duration
 	initial float64
@@ -87,8 +87,8 @@
 	s.span = s.span*keep + elapsed*float64(streams)
 }
 
-// perSecond returns the estimate. It never exceeds the initial speed, which
-// the batch allows at best, and never falls to zero.
+// perSecond returns the estimate. It never exceeds the initial speed, which is
+// the highest that the engine's batching allows, and never falls to zero.
 func (s *streamSpeed) perSecond() float64 {
 	const least = 0.01
 	if s.span <= 0 {
--- a/coordination/admission/shares.go
+++ b/coordination/admission/shares.go
@@ -1,37 +1,40 @@
 package admission
 
-// shares is the fair queueing over all classes. It follows an ideal server that
-// serves all busy customers at once, each by its weight; virtual is that
+// shares is the fair queueing over all classes. It simulates an ideal server
+// that serves all busy customers at once, each by its weight; virtual is that
 // server's clock, in tokens per weight.
 //
 // A customer is busy there while it has requests waiting here, and afterwards
-// until the ideal server has finished what was started here (its clock is ahead of
-// virtual). Without the second part, a customer whose requests are all served at
-// once would hardly count, and the others' shares would add up to more than
-// there is: a surging customer would seem to be within its share.
+// until the ideal server has finished the work that was started here (until
+// virtual has reached the customer's clock). Without the second part, a
+// customer whose requests all start at once would hardly count, and the others'
+// shares would add up to more than the upstream has: a surging customer would
+// seem to be within its share.
 //
 // A customer that was idle may be behind by credit tokens. Customers with few
-// requests send them in little bursts, and the burst that all may be ahead is
-// small for one with a small weight.
+// requests send them in small bursts, and the burst that all customers together
+// may be ahead is small for a customer with a small weight.
 type shares struct {
 	flows   map[flowKey]*flow
 	virtual float64
-	// weight is the sum over the busy flows.
+	// weight is the sum of the weights of the busy flows.
 	weight float64
 	// ahead holds the busy flows without waiting requests.
 	ahead  indexedHeap[*flow]
 	credit float64
-	// charges counts calls of charge, to spread the cost of sweep.
+	// charges counts the calls of charge, so that removeIdle runs only at some
+	// of them.
 	charges int
 }
 
-// of returns the flow of a request, with the weight of the latest one.
-func (s *shares) of(r Request, guarantee float64) *flow {
+// flowOf returns the flow of a request and updates its weight to that of the
+// request.
+func (s *shares) flowOf(r Request, classWeight float64) *flow {
 	key := flowKey{customer: r.Customer, class: r.Class}
-	weight := r.Weight * guarantee
+	weight := r.Weight * classWeight
 	f := s.flows[key]
 	if f == nil {
-		return &flow{key: key, weight: weight, clock: s.virtual - s.credit/weight, at: unplaced}
+		return &flow{key: key, weight: weight, clock: s.virtual - s.credit/weight, heapIndex: notInHeap}
 	}
 	if s.busy(f) {
 		s.weight += weight - f.weight
@@ -40,17 +43,18 @@
 	return f
 }
 
-// busy says whether the flow counts in the ideal server.
-func (s *shares) busy(f *flow) bool { return f.at != unplaced }
+// busy reports whether the ideal server still serves the flow.
+func (s *shares) busy(f *flow) bool { return f.heapIndex != notInHeap }
 
-// enter makes a flow busy.
-func (s *shares) enter(f *flow) {
+// markBusy adds a flow to those that the ideal server serves.
+func (s *shares) markBusy(f *flow) {
 	f.clock = s.clockOf(f)
 	s.flows[f.key] = f
 	s.weight += f.weight
 }
 
-// clockOf is the flow's clock. Idleness earns no more than the credit.
+// clockOf returns the flow's clock. An idle flow is behind virtual by the
+// credit at most.
 func (s *shares) clockOf(f *flow) float64 {
 	if s.busy(f) {
 		return f.clock
@@ -58,23 +62,26 @@
 	return max(f.clock, s.virtual-s.credit/f.weight)
 }
 
-// leave takes a flow out of the ideal server.
-func (s *shares) leave(f *flow) {
+// markIdle removes a flow from those that the ideal server serves.
+func (s *shares) markIdle(f *flow) {
 	s.weight -= f.weight
-	if s.weight < leastWeight {
-		// An empty sum is exactly zero; floating point may leave a rest.
+	if s.weight < minWeightSum {
+		// Rounding can leave a remainder where the sum must be zero.
 		s.weight = 0
 	}
 }
 
-// leastWeight is far below any sum of weights that operators set.
-const leastWeight = 1e-9
+// minWeightSum is far below any sum of weights that operators set; a smaller
+// sum is a rounding error.
+const minWeightSum = 1e-9
 
-// sweepEvery spreads the cost of sweep over many charges.
-const sweepEvery = 1024
+// removeIdleEvery is the number of charges between two calls of removeIdle,
+// which visits every flow.
+const removeIdleEvery = 1024
 
-// sweep forgets idle flows that have all their credit again.
-func (s *shares) sweep() {
+// removeIdle removes idle flows that have regained their full credit, so that
+// nothing about them must be remembered.
+func (s *shares) removeIdle() {
 	for key, f := range s.flows {
 		if !s.busy(f) && f.clock <= s.virtual-s.credit/f.weight {
 			delete(s.flows, key)
@@ -82,9 +89,9 @@
 	}
 }
 
-// within says whether a flow is within its share, but for the burst allowed to
-// all busy customers together.
-func (s *shares) within(f *flow, burst float64) bool {
+// withinShare reports whether a flow is within its share, or ahead of it by no
+// more than the burst that all busy customers share.
+func (s *shares) withinShare(f *flow, burst float64) bool {
 	total := s.weight
 	if !s.busy(f) {
 		total += f.weight
@@ -92,30 +99,31 @@
 	return s.clockOf(f) <= s.virtual+burst/total
 }
 
-// charge accounts for started work of a flow.
+// charge advances the flow's clock by the work that it starts.
 func (s *shares) charge(c *classQueue, f *flow, tokens int) {
 	if !s.busy(f) {
-		s.enter(f)
+		s.markBusy(f)
 		s.ahead.add(f)
 	}
-	// Work on credit was left to the others earlier, which has advanced virtual
-	// then. Counted twice, it would overstate the others' shares now.
+	// The capacity behind the credit went to the others earlier and advanced
+	// virtual then. Counting it again would overstate the others' shares.
 	onCredit := max(0, (s.virtual-f.clock)*f.weight)
 	f.clock += float64(tokens) / f.weight
 	if f.backlogged() {
-		c.active.moved(f)
+		c.active.fix(f)
 	} else {
-		s.ahead.moved(f)
+		s.ahead.fix(f)
 	}
 	s.advance(max(0, float64(tokens)-onCredit))
 	s.charges++
-	if s.charges%sweepEvery == 0 {
-		s.sweep()
+	if s.charges%removeIdleEvery == 0 {
+		s.removeIdle()
 	}
 }
 
-// advance lets the ideal server do some work. Flows whose clocks it passes have
-// had all their work done there and leave.
+// advance lets the ideal server do the given amount of work. It removes the
+// flows whose clocks virtual reaches, because the ideal server has finished
+// their work.
 func (s *shares) advance(tokens float64) {
 	for s.weight > 0 {
 		first, ok := s.ahead.first()
@@ -126,7 +134,7 @@
 		tokens -= max(0, (first.clock-s.virtual)*s.weight)
 		s.virtual = max(s.virtual, first.clock)
 		s.ahead.remove(first)
-		s.leave(first)
+		s.markIdle(first)
 	}
 }
 
@@ -137,7 +145,7 @@
 		if s.busy(f) {
 			s.ahead.remove(f)
 		} else {
-			s.enter(f)
+			s.markBusy(f)
 		}
 		c.active.add(f)
 	}
@@ -162,5 +170,5 @@
 		s.ahead.add(f)
 		return
 	}
-	s.leave(f)
+	s.markIdle(f)
 }
--- a/coordination/loadbench/serving.go
+++ b/coordination/loadbench/serving.go
@@ -171,7 +171,7 @@
 		Class:    j.demand.Class,
 		Weight:   j.demand.Weight,
 		Tokens:   j.tokens,
-		Steps:    j.tokens,
+		AnswerTokens:    j.tokens,
 		Deadline: j.deadline,
 	}
 	outcome := s.queue.Submit(s.Now(), r, s.gate)
@@ -197,7 +197,7 @@
 	s.drained += s.engine.advance()
 	whole := int(s.drained)
 	s.drained -= float64(whole)
-	s.queue.Drained(s.Now(), whole, streams)
+	s.queue.RecordProgress(s.Now(), whole, streams)
 }
 
 // fill starts what may start now.
--- a/coordination/node/owner.go
+++ b/coordination/node/owner.go
@@ -293,7 +293,7 @@
 		Weight:   r.place.Weight,
 		Tokens:   int(math.Ceil(r.cost)),
 		Deadline: r.deadline,
-		Steps:    r.steps(),
+		AnswerTokens:    r.steps(),
 	}, n.gate(now, target))
 	switch outcome.Kind {
 	case admission.Admitted:
--- a/coordination/node/relay.go
+++ b/coordination/node/relay.go
@@ -92,7 +92,7 @@
 	if target.done == 0 && len(target.running) == 0 {
 		return
 	}
-	target.queue.Drained(now, target.done, len(target.running))
+	target.queue.RecordProgress(now, target.done, len(target.running))
 	target.done = 0
 }
 
