--- a/coordination/limits/bench_test.go
+++ b/coordination/limits/bench_test.go
@@ -8,7 +8,8 @@
 	"endiveplank/protocol"
 )
 
-// BenchmarkAdmit measures a request of a customer whose credit is in hand.
+// BenchmarkAdmit measures the admission of a request whose customer has enough
+// local credit.
 func BenchmarkAdmit(b *testing.B) {
 	for _, customers := range []int{10, 2400} {
 		b.Run(fmt.Sprintf("customers=%d", customers), func(b *testing.B) {
@@ -16,8 +17,8 @@
 			ids := make([]protocol.CustomerID, customers)
 			for i := range ids {
 				ids[i] = protocol.CustomerID(fmt.Sprint(i))
-				w := l.wallet(0, ids[i], rateLimit)
-				w.tokens, w.requests, w.expires = 1e12, 1e12, time.Hour
+				c := l.creditFor(0, ids[i], rateLimit)
+				c.tokens, c.requests, c.expires = 1e12, 1e12, time.Hour
 			}
 			b.ReportAllocs()
 			for i := range b.N {
--- a/coordination/limits/home.go
+++ b/coordination/limits/home.go
@@ -7,82 +7,84 @@
 	"endiveplank/protocol"
 )
 
-// Home keeps the accounts of the customers whose home this router is.
+// Home keeps the accounts of the customers whose home this router is. It
+// handles up to some tens of credit requests per second.
 //
-// Load: up to some tens of asks per second. Harm prevented: a customer that
-// gets its limit once from each router. The limit holds from above because credit
-// is taken out of the one bucket before it is granted.
+// It prevents that a customer gets its whole limit from each router: it takes
+// credit out of the customer's one bucket before it grants the credit.
 type Home struct {
 	config   Config
 	accounts map[customerKey]*account
 	limits   map[customerKey]Limit
 }
 
+// account is the home's account of one customer.
 type account struct {
-	opened   time.Duration
-	tokens   bucket
-	requests bucket
-	holders  map[protocol.RouterID]*holder
-	slots    int // sum over holders
-	period   time.Duration
-	counted  time.Duration // when period was last computed
+	createdAt     time.Duration
+	tokens        bucket
+	requests      bucket
+	routers       map[protocol.RouterID]*routerAccount
+	slots         int // sum over routers
+	period        time.Duration
+	periodUpdated time.Duration // when period was last computed
 }
 
-// holder is what the home knows of one router for one customer.
-type holder struct {
+// routerAccount is what the home knows of one router for one customer.
+type routerAccount struct {
 	incarnation uint32
 	sequence    uint32
-	asked       time.Duration
+	lastRequest time.Duration
 	slots       int
-	until       time.Duration
-	tokens      seenRate
-	requests    seenRate
+	slotsUntil  time.Duration
+	tokens      demandRate
+	requests    demandRate
 }
 
 // NewHome returns a home with the customers' limits.
 func NewHome(config Config, table map[protocol.CustomerID]Limit) *Home {
 	h := &Home{config: config, accounts: make(map[customerKey]*account)}
-	h.SetTable(table)
+	h.SetLimits(table)
 	return h
 }
 
-// SetTable replaces the limits after a change of the customers table.
-func (h *Home) SetTable(table map[protocol.CustomerID]Limit) {
+// SetLimits replaces the limits after a change of the customers table.
+func (h *Home) SetLimits(table map[protocol.CustomerID]Limit) {
 	h.limits = make(map[customerKey]Limit, len(table))
 	for customer, limit := range table {
 		h.limits[keyOf(customer)] = limit
 	}
 }
 
-// Answer grants what the accounts allow. An entry for an unknown customer, or
-// one that repeats an earlier sequence number, gets no answer.
-func (h *Home) Answer(now time.Duration, from protocol.RouterID, ask Ask) Answer {
-	var answer Answer
-	for _, entry := range ask.Entries {
+// HandleRequest grants as much of the requested credit as the accounts allow.
+// It returns no entry for an unknown customer, or for an entry that repeats an
+// earlier sequence number.
+func (h *Home) HandleRequest(now time.Duration, from protocol.RouterID, request CreditRequest) CreditGrant {
+	var grant CreditGrant
+	for _, entry := range request.Entries {
 		limit, ok := h.limits[entry.Customer]
 		if !ok {
 			continue
 		}
 		a := h.account(now, entry.Customer)
-		router := a.holder(now, from)
-		if !router.news(ask.Incarnation, entry.Sequence) {
+		router := a.routerAccount(now, from)
+		if !router.isNewer(request.Incarnation, entry.Sequence) {
 			continue
 		}
-		granted := AnswerEntry{Customer: entry.Customer, Sequence: entry.Sequence}
+		granted := CreditGrantEntry{Customer: entry.Customer, Sequence: entry.Sequence}
 		h.grantSlots(now, a, router, limit, entry, &granted)
 		h.grantRates(now, a, router, limit, entry, &granted)
-		router.asked = now
-		answer.Entries = append(answer.Entries, granted)
+		router.lastRequest = now
+		grant.Entries = append(grant.Entries, granted)
 	}
-	return answer
+	return grant
 }
 
-// account returns the customer's account. A new one starts with empty buckets: this
-// router cannot know what an earlier home has granted.
+// account returns the customer's account. A new one starts with empty buckets,
+// because this router can't know what an earlier home has granted.
 func (h *Home) account(now time.Duration, key customerKey) *account {
 	a := h.accounts[key]
 	if a == nil {
-		a = &account{opened: now, holders: make(map[protocol.RouterID]*holder), period: h.config.MinPeriod}
+		a = &account{createdAt: now, routers: make(map[protocol.RouterID]*routerAccount), period: h.config.MinPeriod}
 		for _, b := range []*bucket{&a.tokens, &a.requests} {
 			b.updated = now
 			b.demand.updated = now
@@ -93,41 +95,44 @@
 	return a
 }
 
-// setPeriod spreads the asks of all routers that lately asked, so that a home
-// answers for one customer at most Config.AnswersPerSecond times a second. It
-// also forgets routers that have not asked for long.
+// setPeriod chooses the period by the number of routers that recently requested
+// credit, so that the home sends at most Config.GrantsPerSecond grants a second
+// for one customer. It also removes routers that have requested none for long.
 func (h *Home) setPeriod(now time.Duration, a *account) {
-	if now-a.counted < time.Second {
+	if now-a.periodUpdated < time.Second {
 		return
 	}
-	a.counted = now
+	a.periodUpdated = now
 	active := 0
-	for id, router := range a.holders {
-		if now-router.asked < 2*h.config.MaxPeriod {
+	for id, router := range a.routers {
+		if now-router.lastRequest < 2*h.config.MaxPeriod {
 			active++
-		} else if router.slots == 0 && now-router.asked > forgetHolder {
-			delete(a.holders, id)
+		} else if router.slots == 0 && now-router.lastRequest > forgetRouterAfter {
+			delete(a.routers, id)
 		}
 	}
-	spread := time.Duration(float64(active) / h.config.AnswersPerSecond * float64(time.Second))
+	spread := time.Duration(float64(active) / h.config.GrantsPerSecond * float64(time.Second))
 	a.period = min(max(spread, h.config.MinPeriod), h.config.MaxPeriod)
 }
 
-// forgetHolder outlasts any message that may still be doubled.
-const forgetHolder = 10 * time.Minute
+// forgetRouterAfter is how long a router without slots is remembered after its
+// last request. It is longer than any message can be delayed, so that a late
+// duplicate is recognised.
+const forgetRouterAfter = 10 * time.Minute
 
-func (a *account) holder(now time.Duration, router protocol.RouterID) *holder {
-	found := a.holders[router]
+func (a *account) routerAccount(now time.Duration, router protocol.RouterID) *routerAccount {
+	found := a.routers[router]
 	if found == nil {
-		found = &holder{asked: now, tokens: seenRate{updated: now}, requests: seenRate{updated: now}}
-		a.holders[router] = found
+		found = &routerAccount{lastRequest: now, tokens: demandRate{updated: now}, requests: demandRate{updated: now}}
+		a.routers[router] = found
 	}
 	return found
 }
 
-// news says whether an ask is newer than all before, and remembers it. A doubled
-// ask would otherwise be granted twice.
-func (h *holder) news(incarnation, sequence uint32) bool {
+// isNewer reports whether a request is newer than all earlier ones of this
+// router, and records it. Otherwise a duplicated request would be granted
+// twice.
+func (h *routerAccount) isNewer(incarnation, sequence uint32) bool {
 	if incarnation < h.incarnation || incarnation == h.incarnation && sequence <= h.sequence {
 		return false
 	}
@@ -137,10 +142,10 @@
 }
 
 // grantRates grants tokens and requests together, since a request needs both.
-func (h *Home) grantRates(now time.Duration, a *account, router *holder, limit Limit, entry AskEntry, granted *AnswerEntry) {
+func (h *Home) grantRates(now time.Duration, a *account, router *routerAccount, limit Limit, entry CreditRequestEntry, granted *CreditGrantEntry) {
 	tokens := a.tokens.offer(now, a.period, &router.tokens, limit.TokensPerSecond, entry.SeenTokens, entry.WantTokens)
 	requests := a.requests.offer(now, a.period, &router.requests, limit.RequestsPerSecond, entry.SeenRequests, entry.WantRequests)
-	granted.Seconds = uint16(a.period / time.Second)
+	granted.PeriodSeconds = uint16(a.period / time.Second)
 	granted.RetryMillis = uint32(max(tokens.retry, requests.retry) / time.Millisecond)
 	if tokens.denied || requests.denied {
 		return
@@ -151,18 +156,18 @@
 	granted.Requests = uint32(requests.grant)
 }
 
-// bucket is the account of one rate: a token bucket and the demand for it. The
-// bucket may be overdrawn by one grant, so that a request larger than the burst
-// can pass at all.
+// bucket is the account of one rate: a token bucket and the demand for it. One
+// grant may overdraw the bucket, so that a request larger than the burst can be
+// admitted at all.
 type bucket struct {
 	level   float64
 	updated time.Duration
-	demand  seenRate
+	demand  demandRate
 }
 
-// seenRate is a rate of demand: a sum that decays over demandWindow, and the time
-// that it covers by now.
-type seenRate struct {
+// demandRate measures demand per second: a sum that decays over demandWindow,
+// and the time span in seconds that the sum covers.
+type demandRate struct {
 	sum     float64
 	span    float64
 	updated time.Duration
@@ -172,40 +177,42 @@
 const demandWindow = 30.0
 
 // advance decays the sum to now.
-func (s *seenRate) advance(now time.Duration) {
+func (s *demandRate) advance(now time.Duration) {
 	keep := math.Exp(-(now - s.updated).Seconds() / demandWindow)
 	s.updated = now
 	s.sum *= keep
 	s.span = max(s.span*keep+demandWindow*(1-keep), 1)
 }
 
-// perSecond is the rate at the time of the last advance.
-func (s *seenRate) perSecond() float64 { return s.sum / s.span }
+// perSecond returns the rate at the time of the last advance.
+func (s *demandRate) perSecond() float64 { return s.sum / s.span }
 
-// offered is what a bucket would grant.
-type offered struct {
+// offerResult is what a bucket would grant.
+type offerResult struct {
 	grant  float64
-	retry  time.Duration // how long this must last the router
+	retry  time.Duration // how long the grant must last, or the wait after a denial
 	denied bool
 }
 
-// offer computes a grant for a router that saw demand since it last asked and has
-// wanted of it waiting. router is that router's rate of demand.
+// offer computes a grant for a router. seen is the demand at that router since
+// its last request, wanted the part of it that waits for credit, and router the
+// router's rate of demand.
 //
-// While the fleet's demand is within the limit, a router gets its own demand for
-// a period ahead, with a margin. Above the limit it gets its share in proportion to
-// its demand, a little more or less as the bucket is above or below empty, and
-// is told how long that must last, so that it asks only once in that time. Either
-// way the bucket has the last word.
+// While the fleet's demand is within the limit, a router is granted its own
+// demand for a period ahead, with a margin. When the demand exceeds the limit,
+// the router is granted a share in proportion to its demand, a little more or
+// less as the bucket's level is above or below zero, and learns how long the
+// grant must last, so that it sends only one request in that time. In both
+// cases, a bucket whose level is too low grants nothing.
 //
-// What waits is not taken for demand of the time before: it is why the router
-// asks now, and a router that meets a customer once an hour would seem to need
-// a period's worth of it.
-func (b *bucket) offer(now, period time.Duration, router *seenRate, rate float64, seen, wanted uint32) offered {
+// The waiting work doesn't count as demand of the time before, because it is
+// the reason for this request: a router that receives one request an hour from
+// a customer would otherwise seem to need a period's worth of such requests.
+func (b *bucket) offer(now, period time.Duration, router *demandRate, rate float64, seen, wanted uint32) offerResult {
 	if rate <= 0 {
-		return offered{grant: float64(seen) + float64(wanted)}
+		return offerResult{grant: float64(seen) + float64(wanted)}
 	}
-	depth := rate * max(shortestDepth, period/4).Seconds()
+	depth := rate * max(minDepth, period/4).Seconds()
 	b.refill(now, rate, depth)
 	b.demand.advance(now)
 	b.demand.sum += float64(seen)
@@ -221,56 +228,60 @@
 	}
 	if b.level <= floor {
 		wait := time.Duration((floor - b.level) / rate * float64(time.Second))
-		return offered{denied: true, retry: wait + period/8}
+		return offerResult{denied: true, retry: wait + period/8}
 	}
 	ahead := own * fraction * period.Seconds()
 	if fraction == 1 {
-		ahead = max(0, min(ahead*margin, b.level/partOfLevel))
+		ahead = max(0, min(ahead*demandMargin, b.level/maxLevelFraction))
 	}
 	grant := math.Floor(max(float64(wanted), ahead))
 	if fraction == 1 || own == 0 {
-		return offered{grant: grant}
+		return offerResult{grant: grant}
 	}
 	lasts := min(grant/(own*fraction), period.Seconds())
-	return offered{grant: grant, retry: time.Duration(lasts * float64(time.Second))}
+	return offerResult{grant: grant, retry: time.Duration(lasts * float64(time.Second))}
 }
 
 const (
-	// margin covers the ordinary changes of a router's demand over a period.
-	margin = 1.25
-	// partOfLevel keeps the first of many routers from taking, in advance, what
-	// the others' callers wait for.
-	partOfLevel = 4
-	// shortestDepth is the least that a bucket holds, in time of its rate.
-	shortestDepth = 2 * time.Second
+	// demandMargin covers the ordinary changes of a router's demand over a
+	// period.
+	demandMargin = 1.25
+	// maxLevelFraction is the divisor that limits credit granted in advance to
+	// a quarter of the bucket's level, so that the first of many routers
+	// doesn't take the credit that the other routers' callers wait for.
+	maxLevelFraction = 4
+	// minDepth is the minimum depth of a bucket, as the time in which its rate
+	// fills it.
+	minDepth = 2 * time.Second
 )
 
-// refill brings the bucket to now. It holds two seconds of the limit, or
-// a quarter of the period where that is longer, because grants for a period come
-// in lumps.
+// refill adds the credit for the time since the last refill. The bucket holds
+// two seconds of the limit, or a quarter of the period where that is longer,
+// because a grant takes the credit of a whole period at once.
 func (b *bucket) refill(now time.Duration, rate, depth float64) {
 	elapsed := (now - b.updated).Seconds()
 	b.updated = now
 	b.level = min(b.level+rate*elapsed, depth)
 }
 
-// grantSlots sets how many slots the router holds: what it wants if there are
-// enough, else what it has and whatever is left. A home that is new to the customer
-// leases no more than the routers say they hold, until the leases of the earlier
-// home have run out; it would otherwise lease the same slots again.
-func (h *Home) grantSlots(now time.Duration, a *account, router *holder, limit Limit, entry AskEntry, granted *AnswerEntry) {
+// grantSlots sets how many slots the router holds: as many as it wants if
+// enough are free, otherwise those it has plus the free ones. A home that is
+// new to the customer grants no more slots than the routers report to hold
+// until the leases of the earlier home have run out; otherwise it would lease
+// the same slots twice.
+func (h *Home) grantSlots(now time.Duration, a *account, router *routerAccount, limit Limit, entry CreditRequestEntry, granted *CreditGrantEntry) {
 	if limit.Concurrent <= 0 {
 		return
 	}
 	a.expire(now)
-	wanted := int(entry.Slots)
-	if now-a.opened < h.config.SlotTTL {
-		wanted = min(wanted, int(entry.Held))
+	wanted := int(entry.WantSlots)
+	if now-a.createdAt < h.config.SlotTTL {
+		wanted = min(wanted, int(entry.HeldSlots))
 	}
 	a.slots -= router.slots
 	free := max(0, limit.Concurrent-a.slots)
 	router.slots = min(wanted, free)
-	router.until = now + h.config.SlotTTL
+	router.slotsUntil = now + h.config.SlotTTL
 	a.slots += router.slots
 	granted.Slots = uint16(router.slots)
 	const scarceShare = 8
@@ -279,8 +290,8 @@
 
 // expire takes back the slots of routers that have not renewed them.
 func (a *account) expire(now time.Duration) {
-	for _, router := range a.holders {
-		if router.slots > 0 && now >= router.until {
+	for _, router := range a.routers {
+		if router.slots > 0 && now >= router.slotsUntil {
 			a.slots -= router.slots
 			router.slots = 0
 		}
--- a/coordination/limits/limiter.go
+++ b/coordination/limits/limiter.go
@@ -9,51 +9,57 @@
 	"endiveplank/protocol"
 )
 
-// Limiter is the entry router's side: it spends credit and asks for more.
+// Limiter is the part of the limits that runs on an entry router: it spends
+// credit and requests more. It decides about every request of a limited
+// customer.
 //
-// Load: every request of a limited customer. Harm prevented: a customer above its
-// limit takes from others what they pay for.
+// It prevents that a customer above its limit takes capacity that other
+// customers pay for.
 type Limiter struct {
 	config      Config
 	routers     int
 	incarnation uint32
-	wallets     map[protocol.CustomerID]*wallet
+	credits     map[protocol.CustomerID]*localCredit
 	byKey       map[customerKey]protocol.CustomerID
-	// open holds the wallets that Asks must look at: with something waiting, an
-	// ask on its way or slots to renew.
-	open    map[protocol.CustomerID]*wallet
+	// active holds the customers that DueRequests must look at: with requests
+	// waiting, a credit request in flight or slots to renew.
+	active  map[protocol.CustomerID]*localCredit
 	sweptAt time.Duration
 }
 
-// wallet is what the router holds of one customer's credit.
-type wallet struct {
+// localCredit is the credit that this router holds for one customer.
+type localCredit struct {
 	limit    Limit
 	tokens   float64
 	requests float64
 	expires  time.Duration
 	slots    int
-	// slotsUntil is when the lease of the slots ends, counted from the ask, so that
-	// it ends here before it ends at the home.
+	// slotsUntil is when the lease of the slots ends. It is counted from the
+	// time of the credit request, so that the lease ends here before it ends at
+	// the home.
 	slotsUntil time.Duration
 	running    int
 	scarce     bool
 	renewAt    time.Duration
-	// What callers sent since the last ask that was answered, and the part of it
-	// that is in the ask on its way.
-	seen, seenAsked demand
-	seenAt          time.Duration
-	// The request that waits for credit.
-	wantTokens   float64
-	wantRequests float64
-	// The ask on its way.
-	sequence   uint32
-	asked      bool
-	askedSlots int
-	askedAt    time.Duration
-	deny       time.Duration // no use asking before
-	failures   int
-	floor      bucket
-	floorReq   bucket
+	// newDemand is what callers sent since the last credit request that was
+	// answered, and sentDemand the part of it that the credit request in flight
+	// reports.
+	newDemand, sentDemand demand
+	lastUsed              time.Duration
+	// waitingTokens and waitingRequests count the requests that wait for
+	// credit.
+	waitingTokens   float64
+	waitingRequests float64
+	// The fields from sequence to requestedAt describe the credit request in
+	// flight.
+	sequence       uint32
+	pending        bool
+	requestedSlots int
+	requestedAt    time.Duration
+	denyUntil      time.Duration // the home grants nothing before this time
+	failures       int
+	floorTokens    bucket
+	floorRequests  bucket
 }
 
 // demand counts requests and their tokens.
@@ -62,108 +68,114 @@
 	requests float64
 }
 
-// NewLimiter returns a limiter for a fleet of routers. The incarnation must be
-// higher than at any earlier start of this router.
+// NewLimiter returns a limiter for a fleet with the given number of routers.
+// The incarnation must be higher than at any earlier start of this router.
 func NewLimiter(config Config, routers int, incarnation uint32) *Limiter {
 	return &Limiter{
 		config:      config,
 		routers:     max(routers, 1),
 		incarnation: incarnation,
-		wallets:     make(map[protocol.CustomerID]*wallet),
+		credits:     make(map[protocol.CustomerID]*localCredit),
 		byKey:       make(map[customerKey]protocol.CustomerID),
-		open:        make(map[protocol.CustomerID]*wallet),
+		active:      make(map[protocol.CustomerID]*localCredit),
 	}
 }
 
-// SetRouters tells the limiter the size of the fleet, which divides the floor.
+// SetRouters sets the number of routers in the fleet, by which the floor is
+// divided.
 func (l *Limiter) SetRouters(routers int) { l.routers = max(routers, 1) }
 
-// Admit decides about one request. It charges an allowed one.
+// Admit decides about one request. If it allows the request, it charges the
+// customer's credit.
 func (l *Limiter) Admit(now time.Duration, customer protocol.CustomerID, limit Limit, tokens int) Decision {
-	if limit.none() {
+	if limit.unlimited() {
 		return Decision{Kind: Allow}
 	}
-	w := l.wallet(now, customer, limit)
-	w.expire(now)
-	w.seen.tokens += float64(tokens)
-	w.seen.requests++
-	w.seenAt = now
-	return l.decide(now, customer, w, float64(tokens))
+	c := l.creditFor(now, customer, limit)
+	c.expire(now)
+	c.newDemand.tokens += float64(tokens)
+	c.newDemand.requests++
+	c.lastUsed = now
+	return l.decide(now, customer, c, float64(tokens))
 }
 
-// Again decides once more about a request that was told to wait. It differs from
-// Admit in that the request isn't counted as demand a second time.
-func (l *Limiter) Again(now time.Duration, customer protocol.CustomerID, limit Limit, tokens int) Decision {
-	if limit.none() {
+// Retry decides again about a request for which Admit returned Wait. Unlike
+// Admit, it doesn't count the request as demand a second time.
+func (l *Limiter) Retry(now time.Duration, customer protocol.CustomerID, limit Limit, tokens int) Decision {
+	if limit.unlimited() {
 		return Decision{Kind: Allow}
 	}
-	w := l.wallet(now, customer, limit)
-	w.expire(now)
-	return l.decide(now, customer, w, float64(tokens))
+	c := l.creditFor(now, customer, limit)
+	c.expire(now)
+	return l.decide(now, customer, c, float64(tokens))
 }
 
-// Finished notes that an allowed request ended.
+// Finished records that an allowed request ended.
 func (l *Limiter) Finished(now time.Duration, customer protocol.CustomerID) {
-	w := l.wallets[customer]
-	if w == nil || w.running == 0 {
+	c := l.credits[customer]
+	if c == nil || c.running == 0 {
 		return
 	}
-	w.running--
-	if w.slots <= w.running {
+	c.running--
+	if c.slots <= c.running {
 		return
 	}
 	keep := keepIdleSlot
-	if w.scarce {
+	if c.scarce {
 		keep = keepScarceSlot
 	}
-	w.renewAt = min(w.renewAt, now+keep)
+	c.renewAt = min(c.renewAt, now+keep)
 }
 
-// keepIdleSlot is how long a router keeps a slot that it does not use, and
-// keepScarceSlot how long when others want it: its own next request may use it
-// without any message.
+// keepIdleSlot is how long a router keeps a slot that it doesn't use, and
+// keepScarceSlot how long it does so while slots are scarce. A kept slot lets the
+// router's next request start without a message to the home.
 const (
 	keepIdleSlot   = 5 * time.Second
 	keepScarceSlot = time.Second
 )
 
-func (l *Limiter) decide(now time.Duration, customer protocol.CustomerID, w *wallet, tokens float64) Decision {
-	if w.covers(tokens) {
-		w.pay(tokens)
+// decide allows the request if the local credit covers it, and otherwise
+// refuses it or makes it wait for credit.
+func (l *Limiter) decide(now time.Duration, customer protocol.CustomerID, c *localCredit, tokens float64) Decision {
+	if c.covers(tokens) {
+		c.charge(tokens)
 		return Decision{Kind: Allow}
 	}
-	l.open[customer] = w
-	if w.failures >= failuresToFloor {
-		return l.decideAlone(now, w, tokens)
+	l.active[customer] = c
+	if c.failures >= failuresToFloor {
+		return l.decideByFloor(now, c, tokens)
 	}
-	if now < w.deny {
+	if now < c.denyUntil {
 		reason := ReasonRate
-		if w.limit.Concurrent > 0 && w.running >= w.slots {
+		if c.limit.Concurrent > 0 && c.running >= c.slots {
 			reason = ReasonConcurrent
 		}
-		return Decision{Kind: Refuse, Reason: reason, RetryAfter: w.deny - now}
+		return Decision{Kind: Refuse, Reason: reason, RetryAfter: c.denyUntil - now}
 	}
-	w.wantTokens += tokens
-	w.wantRequests++
-	return Decision{Kind: Wait, CheckAt: now + l.config.AskTimeout}
+	c.waitingTokens += tokens
+	c.waitingRequests++
+	return Decision{Kind: Wait, CheckAt: now + l.config.RequestTimeout}
 }
 
-// failuresToFloor is how many asks in a row must go unanswered before the floor
-// applies: one is lost now and then.
+// failuresToFloor is the number of credit requests in a row that must go
+// unanswered before the floor applies. It is more than one because a single
+// message is lost now and then.
 const failuresToFloor = 2
 
-// decideAlone admits within the floor, which fills while the home is silent.
-func (l *Limiter) decideAlone(now time.Duration, w *wallet, tokens float64) Decision {
-	w.wantTokens, w.wantRequests = max(w.wantTokens, tokens), max(w.wantRequests, 1)
+// decideByFloor admits requests within the floor, while the home doesn't
+// answer.
+func (l *Limiter) decideByFloor(now time.Duration, c *localCredit, tokens float64) Decision {
+	c.waitingTokens, c.waitingRequests = max(c.waitingTokens, tokens), max(c.waitingRequests, 1)
 	share := l.config.FloorShare / float64(l.routers)
-	allowed := w.running < 1 || w.limit.Concurrent <= 0
-	retry := l.config.AskTimeout
+	allowed := c.running < 1 || c.limit.Concurrent <= 0
+	retry := l.config.RequestTimeout
 	for _, b := range []struct {
 		bucket     *bucket
 		rate, cost float64
 	}{
-		{&w.floor, w.limit.TokensPerSecond * share, tokens},
-		{&w.floorReq, w.limit.RequestsPerSecond * share, 1},
+		{&c.floorTokens, c.limit.TokensPerSecond * share, tokens},
+		{&c.floorRequests, c.limit.RequestsPerSecond * share, 1},
 	} {
 		if b.rate <= 0 {
 			continue
@@ -180,199 +192,207 @@
 	if !allowed {
 		return Decision{Kind: Refuse, Reason: ReasonNoHome, RetryAfter: retry}
 	}
-	w.floor.level -= tokens
-	w.floorReq.level--
-	w.running++
+	c.floorTokens.level -= tokens
+	c.floorRequests.level--
+	c.running++
 	return Decision{Kind: Allow}
 }
 
-// Ask returns the message for one home with the given entries.
-func (l *Limiter) Ask(entries []AskEntry) Ask {
-	return Ask{Incarnation: l.incarnation, Entries: entries}
+// NewRequest returns the message that carries the given entries to one home.
+func (l *Limiter) NewRequest(entries []CreditRequestEntry) CreditRequest {
+	return CreditRequest{Incarnation: l.incarnation, Entries: entries}
 }
 
-// Asks returns the asks that are due, one for each customer, in order of customer.
-// The caller groups them by HomeOf and sends each group with Ask.
-func (l *Limiter) Asks(now time.Duration) []CustomerAsk {
-	var due []CustomerAsk
-	for customer, w := range l.open {
-		w.expire(now)
-		if w.asked && now-w.askedAt < l.config.AskTimeout {
+// DueRequests returns the credit requests that are due, one for each customer,
+// ordered by customer. The caller groups them by HomeOf and sends each group
+// with NewRequest.
+func (l *Limiter) DueRequests(now time.Duration) []DueRequest {
+	var due []DueRequest
+	for customer, c := range l.active {
+		c.expire(now)
+		if c.pending && now-c.requestedAt < l.config.RequestTimeout {
 			continue
 		}
-		if w.asked {
-			w.asked = false
-			w.failures++
-			l.startFloor(now, w)
+		if c.pending {
+			c.pending = false
+			c.failures++
+			l.startFloor(now, c)
 		}
-		if w.due(now) {
-			due = append(due, CustomerAsk{Customer: customer, Entry: l.ask(now, customer, w)})
-		} else if w.settled() {
-			delete(l.open, customer)
+		if c.due(now) {
+			due = append(due, DueRequest{Customer: customer, Entry: l.newEntry(now, customer, c)})
+		} else if c.inactive() {
+			delete(l.active, customer)
 		}
 	}
 	l.sweep(now)
-	slices.SortFunc(due, func(a, b CustomerAsk) int { return cmp.Compare(a.Customer, b.Customer) })
+	slices.SortFunc(due, func(a, b DueRequest) int { return cmp.Compare(a.Customer, b.Customer) })
 	return due
 }
 
-// creditLife times the period of a grant is how long it lasts, since a router's
-// demand may fall for a while.
-const creditLife = 2
+// creditPeriods is how many periods granted credit lasts. It is more than one,
+// since a router's demand may fall for a while.
+const creditPeriods = 2
 
-// sweep forgets wallets that have not been used for long.
+// sweep removes the credit of customers that have not been used for long.
 func (l *Limiter) sweep(now time.Duration) {
 	if now-l.sweptAt < l.config.MaxPeriod {
 		return
 	}
 	l.sweptAt = now
-	for customer, w := range l.wallets {
-		if w.idle(now, l.config) {
-			delete(l.wallets, customer)
+	for customer, c := range l.credits {
+		if c.idle(now, l.config) {
+			delete(l.credits, customer)
 			delete(l.byKey, keyOf(customer))
 		}
 	}
 }
 
-// Granted takes in a home's answer. Only the answer to the latest ask counts, so a
-// doubled one adds nothing.
-func (l *Limiter) Granted(now time.Duration, answer Answer) {
+// HandleGrant adds a home's grant to the local credit. Only the answer to the
+// latest credit request counts, so a duplicated one adds nothing.
+func (l *Limiter) HandleGrant(now time.Duration, answer CreditGrant) {
 	for _, granted := range answer.Entries {
-		w := l.wallets[l.byKey[granted.Customer]]
-		if w == nil || !w.asked || granted.Sequence != w.sequence {
+		c := l.credits[l.byKey[granted.Customer]]
+		if c == nil || !c.pending || granted.Sequence != c.sequence {
 			continue
 		}
-		w.expire(now)
-		w.asked = false
-		w.failures = 0
-		w.slots = int(granted.Slots)
-		w.slotsUntil = w.askedAt + l.config.SlotTTL
-		w.scarce = granted.Scarce
-		w.tokens += float64(granted.Tokens)
-		w.requests += float64(granted.Requests)
-		w.expires = now + creditLife*time.Duration(granted.Seconds)*time.Second
-		w.seen.tokens -= w.seenAsked.tokens
-		w.seen.requests -= w.seenAsked.requests
+		c.expire(now)
+		c.pending = false
+		c.failures = 0
+		c.slots = int(granted.Slots)
+		c.slotsUntil = c.requestedAt + l.config.SlotTTL
+		c.scarce = granted.Scarce
+		c.tokens += float64(granted.Tokens)
+		c.requests += float64(granted.Requests)
+		c.expires = now + creditPeriods*time.Duration(granted.PeriodSeconds)*time.Second
+		c.newDemand.tokens -= c.sentDemand.tokens
+		c.newDemand.requests -= c.sentDemand.requests
 		if granted.RetryMillis > 0 {
-			w.deny = now + time.Duration(granted.RetryMillis)*time.Millisecond
-		} else if w.slots < w.askedSlots {
-			// Denied routers ask again in turns, as for credit.
+			c.denyUntil = now + time.Duration(granted.RetryMillis)*time.Millisecond
+		} else if c.slots < c.requestedSlots {
+			// A router that got too few slots waits for a quarter of the period,
+			// as one that was denied credit waits before its next request.
 			const partOfPeriod = 4
-			w.deny = now + time.Duration(granted.Seconds)*time.Second/partOfPeriod
+			c.denyUntil = now + time.Duration(granted.PeriodSeconds)*time.Second/partOfPeriod
 		}
-		if w.slots > 0 {
-			w.renewAt = now + l.config.SlotRenew
+		if c.slots > 0 {
+			c.renewAt = now + l.config.SlotRenew
 		}
 	}
 }
 
-func (l *Limiter) wallet(now time.Duration, customer protocol.CustomerID, limit Limit) *wallet {
-	w := l.wallets[customer]
-	if w == nil {
-		w = &wallet{seenAt: now}
-		// Sequence numbers must grow also when a wallet is made anew.
-		w.sequence = uint32(now / time.Millisecond)
-		l.wallets[customer] = w
+// creditFor returns the customer's local credit, which it creates if necessary.
+func (l *Limiter) creditFor(now time.Duration, customer protocol.CustomerID, limit Limit) *localCredit {
+	c := l.credits[customer]
+	if c == nil {
+		c = &localCredit{lastUsed: now}
+		// Sequence numbers must also grow when a customer's credit was
+		// removed and is created again.
+		c.sequence = uint32(now / time.Millisecond)
+		l.credits[customer] = c
 		l.byKey[keyOf(customer)] = customer
 	}
-	w.limit = limit
-	return w
+	c.limit = limit
+	return c
 }
 
-// startFloor starts the floor's buckets empty at the first sign that the home is
-// gone, so that a partition gives no burst.
-func (l *Limiter) startFloor(now time.Duration, w *wallet) {
-	if w.failures == failuresToFloor {
-		w.floor = bucket{updated: now}
-		w.floorReq = bucket{updated: now}
+// startFloor empties the buckets of the floor when the home is first considered
+// unreachable, so that a partition doesn't start with a burst.
+func (l *Limiter) startFloor(now time.Duration, c *localCredit) {
+	if c.failures == failuresToFloor {
+		c.floorTokens = bucket{updated: now}
+		c.floorRequests = bucket{updated: now}
 	}
 }
 
-func (l *Limiter) ask(now time.Duration, customer protocol.CustomerID, w *wallet) AskEntry {
-	w.sequence++
-	w.asked = true
-	w.askedAt = now
-	w.askedSlots = w.wantedSlots()
-	entry := AskEntry{
-		Customer: keyOf(customer),
-		Sequence: w.sequence,
-		Slots:    uint16(min(w.askedSlots, math.MaxUint16)),
-		Held:     uint16(min(w.slots, math.MaxUint16)),
+// newEntry returns the customer's entry for a credit request and marks the
+// request as in flight.
+func (l *Limiter) newEntry(now time.Duration, customer protocol.CustomerID, c *localCredit) CreditRequestEntry {
+	c.sequence++
+	c.pending = true
+	c.requestedAt = now
+	c.requestedSlots = c.wantedSlots()
+	entry := CreditRequestEntry{
+		Customer:  keyOf(customer),
+		Sequence:  c.sequence,
+		WantSlots: uint16(min(c.requestedSlots, math.MaxUint16)),
+		HeldSlots: uint16(min(c.slots, math.MaxUint16)),
 	}
-	entry.SeenTokens = uint32(w.seen.tokens)
-	entry.SeenRequests = uint32(w.seen.requests)
-	entry.WantTokens = uint32(math.Ceil(max(0, w.wantTokens-w.tokens)))
-	entry.WantRequests = uint32(math.Ceil(max(0, w.wantRequests-w.requests)))
-	w.seenAsked = w.seen
-	// Slots that are given back are out of use from now on, since the answer may get
-	// lost and the home lease them to another router.
-	w.slots = min(w.slots, int(entry.Slots))
-	w.wantTokens, w.wantRequests = 0, 0
+	entry.SeenTokens = uint32(c.newDemand.tokens)
+	entry.SeenRequests = uint32(c.newDemand.requests)
+	entry.WantTokens = uint32(math.Ceil(max(0, c.waitingTokens-c.tokens)))
+	entry.WantRequests = uint32(math.Ceil(max(0, c.waitingRequests-c.requests)))
+	c.sentDemand = c.newDemand
+	// Returned slots must not be used from now on: the answer may get lost while
+	// the home leases them to another router.
+	c.slots = min(c.slots, int(entry.WantSlots))
+	c.waitingTokens, c.waitingRequests = 0, 0
 	return entry
 }
 
-// covers says whether the wallet pays for a request.
-func (w *wallet) covers(tokens float64) bool {
+// covers reports whether the credit is enough for a request.
+func (c *localCredit) covers(tokens float64) bool {
 	switch {
-	case w.limit.TokensPerSecond > 0 && w.tokens < tokens:
+	case c.limit.TokensPerSecond > 0 && c.tokens < tokens:
 		return false
-	case w.limit.RequestsPerSecond > 0 && w.requests < 1:
+	case c.limit.RequestsPerSecond > 0 && c.requests < 1:
 		return false
-	case w.limit.Concurrent > 0 && w.running >= w.slots:
+	case c.limit.Concurrent > 0 && c.running >= c.slots:
 		return false
 	}
 	return true
 }
 
-func (w *wallet) pay(tokens float64) {
-	w.tokens = max(0, w.tokens-tokens)
-	w.requests = max(0, w.requests-1)
-	w.running++
+// charge deducts a request from the credit.
+func (c *localCredit) charge(tokens float64) {
+	c.tokens = max(0, c.tokens-tokens)
+	c.requests = max(0, c.requests-1)
+	c.running++
 }
 
-// expire drops credit and slots that are too old.
-func (w *wallet) expire(now time.Duration) {
-	if now >= w.expires {
-		w.tokens, w.requests = 0, 0
+// expire drops credit and slots whose time has run out.
+func (c *localCredit) expire(now time.Duration) {
+	if now >= c.expires {
+		c.tokens, c.requests = 0, 0
 	}
-	if now >= w.slotsUntil {
-		w.slots = 0
+	if now >= c.slotsUntil {
+		c.slots = 0
 	}
 }
 
-// due says whether the home must be asked: for a request that waits, or to renew
-// or give back slots.
-func (w *wallet) due(now time.Duration) bool {
-	if now < w.deny && w.failures == 0 {
+// due reports whether a credit request must be sent: for requests that wait, or
+// to renew or return slots.
+func (c *localCredit) due(now time.Duration) bool {
+	if now < c.denyUntil && c.failures == 0 {
 		return false
 	}
-	if w.wantRequests > 0 {
+	if c.waitingRequests > 0 {
 		return true
 	}
-	return w.limit.Concurrent > 0 && w.slots > 0 && now >= w.renewAt
+	return c.limit.Concurrent > 0 && c.slots > 0 && now >= c.renewAt
 }
 
-// wantedSlots is what runs and what waits, and without scarcity a few more where
-// many run. A spare slot at each of many routers would use up a small limit.
-func (w *wallet) wantedSlots() int {
-	if w.limit.Concurrent <= 0 {
+// wantedSlots counts the requests that run and wait and, unless slots are
+// scarce, one more for every four of them. A spare slot at each of many routers
+// would use up a small limit.
+func (c *localCredit) wantedSlots() int {
+	if c.limit.Concurrent <= 0 {
 		return 0
 	}
 	const runningPerSpare = 4
-	wanted := w.running + int(w.wantRequests)
-	if !w.scarce {
+	wanted := c.running + int(c.waitingRequests)
+	if !c.scarce {
 		wanted += wanted / runningPerSpare
 	}
 	return wanted
 }
 
-// settled says that Asks has nothing to do for the wallet.
-func (w *wallet) settled() bool {
-	return !w.asked && w.wantRequests == 0 && w.slots == 0
+// inactive reports whether DueRequests has nothing to do for the customer.
+func (c *localCredit) inactive() bool {
+	return !c.pending && c.waitingRequests == 0 && c.slots == 0
 }
 
-// idle says that the wallet can be forgotten.
-func (w *wallet) idle(now time.Duration, config Config) bool {
+// idle reports whether the customer's credit can be removed.
+func (c *localCredit) idle(now time.Duration, config Config) bool {
 	const forgetAfter = 3
-	return w.running == 0 && w.settled() && now-w.seenAt > forgetAfter*config.MaxPeriod
+	return c.running == 0 && c.inactive() && now-c.lastUsed > forgetAfter*config.MaxPeriod
 }
--- a/coordination/loadbench/fleet_messages.go
+++ b/coordination/loadbench/fleet_messages.go
@@ -18,9 +18,9 @@
 	f.After(gatherTime, func() {
 		f.sending[router] = false
 		var homes []int
-		groups := make(map[int][]limits.AskEntry)
+		groups := make(map[int][]limits.CreditRequestEntry)
 		customers := make(map[int][]*fleetCustomer)
-		for _, due := range f.limiters[router].Asks(f.Now()) {
+		for _, due := range f.limiters[router].DueRequests(f.Now()) {
 			customer := f.byID[due.Customer]
 			home := customer.home
 			if groups[home] == nil {
@@ -30,19 +30,19 @@
 			customers[home] = append(customers[home], customer)
 		}
 		for _, home := range homes {
-			f.ask(router, home, f.limiters[router].Ask(groups[home]), customers[home])
+			f.ask(router, home, f.limiters[router].NewRequest(groups[home]), customers[home])
 		}
 	})
 }
 
-func (f *fleet) ask(from, to int, ask limits.Ask, customers []*fleetCustomer) {
+func (f *fleet) ask(from, to int, ask limits.CreditRequest, customers []*fleetCustomer) {
 	f.message(from, to, ask, func() {
-		answer := f.homes[to].Answer(f.Now(), f.ids[from], ask)
+		answer := f.homes[to].HandleRequest(f.Now(), f.ids[from], ask)
 		if len(answer.Entries) == 0 {
 			return
 		}
 		f.message(to, from, answer, func() {
-			f.limiters[from].Granted(f.Now(), answer)
+			f.limiters[from].HandleGrant(f.Now(), answer)
 			answered := make(map[*fleetCustomer]bool)
 			for _, customer := range customers {
 				answered[customer] = true
@@ -92,7 +92,7 @@
 		f.refuse(r)
 		return
 	}
-	decision := f.limiters[r.router].Again(f.Now(), r.customer.id, r.customer.limit, r.tokens)
+	decision := f.limiters[r.router].Retry(f.Now(), r.customer.id, r.customer.limit, r.tokens)
 	switch decision.Kind {
 	case limits.Allow:
 		f.admit(r)
--- a/coordination/node/deadlines.go
+++ b/coordination/node/deadlines.go
@@ -70,7 +70,7 @@
 // entryDue acts on a request whose time has come.
 func (n *Node) entryDue(now time.Duration, e *entry) {
 	if e.phase == phaseLimit {
-		n.limit(now, e, n.limiter.Again)
+		n.limit(now, e, n.limiter.Retry)
 		return
 	}
 	if e.order != nil {
--- a/coordination/node/inputs.go
+++ b/coordination/node/inputs.go
@@ -90,11 +90,11 @@
 // PeerLimitAsk asks this router, as the home of customers, for credit.
 type PeerLimitAsk struct {
 	From protocol.RouterID
-	Ask  limits.Ask
+	Ask  limits.CreditRequest
 }
 
 // PeerLimitAnswer brings credit from a home.
-type PeerLimitAnswer struct{ Answer limits.Answer }
+type PeerLimitAnswer struct{ Answer limits.CreditGrant }
 
 // PeerNotice carries news of crashes and quarantines.
 type PeerNotice struct{ Notice quarantine.Notice }
--- a/coordination/node/limit.go
+++ b/coordination/node/limit.go
@@ -29,9 +29,9 @@
 
 // askLimits asks the homes of customers for the credit that is due.
 func (n *Node) askLimits(now time.Duration) {
-	entries := map[protocol.RouterID][]limits.AskEntry{}
+	entries := map[protocol.RouterID][]limits.CreditRequestEntry{}
 	var homes []protocol.RouterID
-	for _, due := range n.limiter.Asks(now) {
+	for _, due := range n.limiter.DueRequests(now) {
 		home, found := limits.HomeOf(due.Customer, n.view.Routers)
 		if !found {
 			continue
@@ -42,18 +42,18 @@
 		entries[home] = append(entries[home], due.Entry)
 	}
 	for _, home := range homes {
-		n.send(home, n.limiter.Ask(entries[home]))
+		n.send(home, n.limiter.NewRequest(entries[home]))
 	}
 }
 
 // limitAsked answers as the home of customers.
 func (n *Node) limitAsked(now time.Duration, in PeerLimitAsk) {
-	n.send(in.From, n.home.Answer(now, in.From, in.Ask))
+	n.send(in.From, n.home.HandleRequest(now, in.From, in.Ask))
 }
 
 // limitAnswered takes credit and decides again about what waited for it.
-func (n *Node) limitAnswered(now time.Duration, answer limits.Answer) {
-	n.limiter.Granted(now, answer)
+func (n *Node) limitAnswered(now time.Duration, answer limits.CreditGrant) {
+	n.limiter.HandleGrant(now, answer)
 	var waiting []protocol.RequestID
 	for id, e := range n.entries {
 		if e.phase == phaseLimit {
@@ -62,6 +62,6 @@
 	}
 	slices.Sort(waiting)
 	for _, id := range waiting {
-		n.limit(now, n.entries[id], n.limiter.Again)
+		n.limit(now, n.entries[id], n.limiter.Retry)
 	}
 }
--- a/coordination/node/node.go
+++ b/coordination/node/node.go
@@ -305,9 +305,9 @@
 		return PeerCheck{From: from, Check: message}
 	case fleet.Alive:
 		return PeerAlive{Alive: message}
-	case limits.Ask:
+	case limits.CreditRequest:
 		return PeerLimitAsk{From: from, Ask: message}
-	case limits.Answer:
+	case limits.CreditGrant:
 		return PeerLimitAnswer{Answer: message}
 	}
 	panic("node: message of a type that isn't on the data path")
@@ -333,9 +333,9 @@
 		return wire.KindCheck
 	case fleet.Alive:
 		return wire.KindAlive
-	case limits.Ask:
+	case limits.CreditRequest:
 		return wire.KindLimitAsk
-	case limits.Answer:
+	case limits.CreditGrant:
 		return wire.KindLimitAnswer
 	}
 	panic("node: message of a type that isn't on the data path")
--- a/coordination/node/upstreams.go
+++ b/coordination/node/upstreams.go
@@ -187,7 +187,7 @@
 	}
 	n.ledger.SetFleetCapacity(view.engineCapacity())
 	n.reviewRouters(now, view)
-	n.home.SetTable(view.limits())
+	n.home.SetLimits(view.limits())
 }
 
 // reviewRouters follows the fleet's routers. The exchange begins anew only
--- a/daemon/runner.go
+++ b/daemon/runner.go
@@ -252,9 +252,9 @@
 	case wire.KindAlive:
 		return decoded[fleet.Alive](from, frame)
 	case wire.KindLimitAsk:
-		return decoded[limits.Ask](from, frame)
+		return decoded[limits.CreditRequest](from, frame)
 	case wire.KindLimitAnswer:
-		return decoded[limits.Answer](from, frame)
+		return decoded[limits.CreditGrant](from, frame)
 	case wire.KindMoved:
 		return decoded[fleet.Moved](from, frame)
 	case wire.KindOrderReport:
