--- a/coordination/loadbound/config.go
+++ b/coordination/loadbound/config.go
@@ -7,19 +7,21 @@
 )
 
 // ExchangePeriod is how often an owner sends its summary to each neighbour.
-// Four a second keeps the drain allowance for age near 0.3 s of work; at
-// SummaryBytes each it costs a mesh of nine 768 payload bytes a second.
+// With four summaries a second, the allowance for work drained since the last
+// summary stays near 0.3 s of work; at SummaryBytes each they cost a mesh of
+// nine routers 768 payload bytes a second.
 const ExchangePeriod = 250 * time.Millisecond
 
 // Defaults of Config.
 const (
-	// DefaultMultiple is the bound that users set for load over mean.
+	// DefaultMultiple is the highest load of an upstream over the fleet's mean
+	// that the users of the fleet accept.
 	DefaultMultiple = 1.25
-	// DefaultDrainFactor says engines work off no more than their announced
-	// capacity.
+	// DefaultDrainFactor assumes that engines finish work no faster than their
+	// announced capacity.
 	DefaultDrainFactor = 1.0
-	// DefaultCancelShare allows one in twenty tokens to vanish between two
-	// summaries before counting of vanished work lingers.
+	// DefaultCancelShare lets one in twenty tokens disappear between two
+	// summaries before the sender keeps counting work that has disappeared.
 	DefaultCancelShare = 0.05
 )
 
@@ -27,9 +29,10 @@
 type Config struct {
 	// Multiple is the highest load of an upstream over the fleet's mean.
 	Multiple float64
-	// DrainFactor is the fastest drain assumed, as a multiple of capacity.
+	// DrainFactor is the fastest assumed drain rate, as a multiple of the
+	// capacity.
 	DrainFactor float64
-	// CancelShare is the part of a reported load that may vanish at once
+	// CancelShare is the part of a reported load that may disappear at once
 	// without the sender having to keep it counted.
 	CancelShare float64
 }
@@ -46,8 +49,8 @@
 // ErrBadConfig is the cause of every error of Config.Check.
 var ErrBadConfig = eris.New("load bound: bad settings")
 
-// Check returns an error with cause ErrBadConfig when the settings cannot
-// work.
+// Check returns an error with cause ErrBadConfig if a setting is out of its
+// range.
 func (c Config) Check() error {
 	if !(c.Multiple > 1) {
 		return eris.Wrapf(ErrBadConfig, "multiple %v must be above 1", c.Multiple)
--- a/coordination/loadbound/decision.go
+++ b/coordination/loadbound/decision.go
@@ -2,19 +2,19 @@
 
 import "endiveplank/protocol"
 
-// Outcome is what an owner answers to an ask.
+// Outcome is the owner's answer to a Request.
 type Outcome uint8
 
 // Outcomes of Ledger.Admit.
 const (
 	// Admit: the request is counted and may be sent to the upstream.
 	Admit Outcome = iota + 1
-	// Spill: the asker should try its next choice.
+	// Spill: the entry router should try the next upstream of its choice.
 	Spill
-	// Queue: the asker has tried its other choices; the request should wait
-	// in this owner's queue.
+	// Queue: the entry router has tried its other choices; the request should
+	// wait in this owner's queue.
 	Queue
-	// Refuse: this owner cannot admit at all; see the reason.
+	// Refuse: this owner can't admit the request at all; see the reason.
 	Refuse
 )
 
@@ -42,57 +42,58 @@
 	Idle Reason = "idle"
 	// WithinBound: load and cost are within the multiple of the mean.
 	WithinBound Reason = "within-bound"
-	// OneOver: the upstream was not above the mean, and takes one request
-	// that may carry it over the bound.
+	// OneOver: the upstream was not above the mean, and admits one request that
+	// may take it over the bound.
 	OneOver Reason = "one-over"
-	// OverSoftBound: above the multiple this ask was willing to accept.
+	// OverSoftBound: the load would exceed the multiple given in the Request.
 	OverSoftBound Reason = "over-soft-bound"
-	// OverBound: above the set multiple of the fleet's mean.
+	// OverBound: the load would exceed Config.Multiple times the fleet's mean.
 	OverBound Reason = "over-bound"
-	// UpstreamFull: the upstream's own limit of requests is reached.
+	// UpstreamFull: the upstream runs as many requests as Grant.MaxRequests
+	// allows.
 	UpstreamFull Reason = "upstream-full"
-	// QueueAhead: other requests wait for the upstream already.
+	// QueueAhead: other requests already wait for the upstream.
 	QueueAhead Reason = "queue-ahead"
-	// NotOwner: this router does not hold the upstream, or its lease has run
-	// out.
+	// NotOwner: this router doesn't own the upstream, or its lease has expired.
 	NotOwner Reason = "not-owner"
 	// BadCost: the cost is not a positive finite number.
 	BadCost Reason = "bad-cost"
 )
 
-// Ask is one request that wants to run on an upstream.
-type Ask struct {
+// Request describes a request that an entry router wants to run on an upstream.
+type Request struct {
 	// Cost is the request's work, in tokens.
 	Cost float64
-	// Multiple is the load over mean that the asker accepts here, at most
-	// the set one; 0 means the set one. Placement lowers it for requests
-	// that gain little from this upstream's cache.
+	// Multiple is the highest load over the mean that the entry router accepts
+	// here, at most Config.Multiple; 0 means Config.Multiple. Package placement
+	// lowers it for requests that gain little from this upstream's cache.
 	Multiple float64
-	// Seen is the load of other upstreams as their owners have told the asker
-	// within the last few round trips, in tokens; 0 when it asked no other.
-	Seen float64
-	// Final says that the asker has no other choice left: the answer is then
-	// never Spill.
-	Final bool
+	// OthersLoad is the load of other upstreams as their owners reported it to
+	// the entry router within the last few round trips, in tokens; 0 if it
+	// asked no other owner.
+	OthersLoad float64
+	// LastChoice says that the entry router has no other choice left: the
+	// outcome is then never Spill.
+	LastChoice bool
 }
 
-// Decision answers an Ask.
+// Decision is the owner's decision about a Request.
 type Decision struct {
 	Outcome Outcome
 	Reason  Reason
-	// Ratio is the upstream's load over the mean as last reported, after the
-	// request if it was admitted and as if it were otherwise.
+	// Ratio is the upstream's load over the mean as last reported. It includes
+	// the request, whether or not it was admitted.
 	Ratio float64
-	// Ticket is set when Outcome is Admit; give it back with Ledger.Finish.
+	// Ticket is set when Outcome is Admit. Return it with Ledger.Finish.
 	Ticket Ticket
 }
 
-// Ticket is one admitted request.
+// Ticket identifies one admitted request.
 type Ticket struct {
 	Upstream protocol.UpstreamID
-	// Fence is the owner's tenure under which the request was admitted.
+	// Fence identifies the owner's term in which the request was admitted.
 	Fence protocol.Fence
 	Cost  float64
-	// ID tells the ledger's tickets apart.
+	// ID distinguishes the tickets of one ledger.
 	ID uint64
 }
--- a/coordination/loadbound/exchange.go
+++ b/coordination/loadbound/exchange.go
@@ -9,48 +9,52 @@
 
 // Timing of an Exchange.
 const (
-	// waveMargin is how much earlier than a period after the last totals a
-	// leaf sends again, to make room for the way up and down.
-	waveMargin = 25 * time.Millisecond
-	// waveSlack is how long after a period a node sends without having heard
-	// from all children: one of them is lost or slow.
-	waveSlack = 50 * time.Millisecond
+	// roundMargin is how much earlier than one period after the last totals a
+	// leaf sends again, to leave time for the messages up and down the tree.
+	roundMargin = 25 * time.Millisecond
+	// roundSlack is how long after the end of a period a router sends although
+	// it has not received messages from all children, because one of them is
+	// lost or slow.
+	roundSlack = 50 * time.Millisecond
 )
 
 // Exchange decides when a router sends its summary to which neighbour.
 //
-// Load: 330 owners whose totals pass four levels of a tree and back. Harm:
-// when each level sends on a timer of its own, a total is a second old when
-// it arrives, the drain allowed for its age outweighs the room of the bound,
-// and engines at the mean turn work away. So the tree works in waves: leaves
-// send up, a router sends up as soon as all children have been heard, the
-// root then sends the totals down, and each router passes them on at once.
-// Totals arrive after some milliseconds for each level, and each neighbour
-// still gets one message a period. In a mesh every router sends by its timer.
+// With 330 owners, totals pass four levels of a tree and back. If each level
+// sent on a timer of its own, a total would be a second old when it arrives,
+// the allowance for work drained in that time would exceed the margin that the
+// bound leaves above the mean, and engines at the mean would turn work away. So
+// the tree works in rounds: leaves send up, a router sends up as soon as it has
+// received messages from all children, the root then sends the totals down, and
+// each router forwards them at once. Totals arrive after some milliseconds for
+// each level, and each neighbour still gets one message a period. In a mesh
+// every router sends on its own timer.
 type Exchange struct {
 	relay    bool
 	parent   protocol.RouterID
 	children []protocol.RouterID
-	// heard marks the children heard since the last message up, or down at
-	// the root.
-	heard map[protocol.RouterID]bool
-	// totals says that the parent was heard and children must be told.
-	totals bool
-	next   time.Duration
-	// deadline sends in any case.
+	// received marks the children whose messages arrived since the last message
+	// up, or down at the root.
+	received map[protocol.RouterID]bool
+	// totalsDue says that totals arrived from the parent and must be sent to
+	// the children.
+	totalsDue bool
+	next      time.Duration
+	// deadline is when the router sends even if messages of children are
+	// missing.
 	deadline time.Duration
 }
 
 // NewExchange returns the exchange of one router among the members, which are
-// sorted and hold self. Start spreads the timers of different routers; it is
-// at most ExchangePeriod after now.
+// sorted and contain self. Start staggers the timers of different routers; it
+// is at most ExchangePeriod after now.
 func NewExchange(self protocol.RouterID, members []protocol.RouterID, start time.Duration) *Exchange {
 	peers, relay := Neighbours(self, members)
 	e := &Exchange{
 		relay:    relay,
-		heard:    make(map[protocol.RouterID]bool),
+		received: make(map[protocol.RouterID]bool),
 		next:     start,
-		deadline: start + ExchangePeriod + waveSlack,
+		deadline: start + ExchangePeriod + roundSlack,
 	}
 	e.children = peers
 	if relay && len(peers) > 0 && members[0] != self {
@@ -60,10 +64,10 @@
 	return e
 }
 
-// Relay says whether messages carry what other neighbours said.
+// Relay reports whether messages include the summaries of other neighbours.
 func (e *Exchange) Relay() bool { return e.relay }
 
-// Peers returns the neighbours.
+// Peers returns the routers with which this router exchanges summaries.
 func (e *Exchange) Peers() []protocol.RouterID {
 	if e.parent == "" {
 		return e.children
@@ -71,34 +75,34 @@
 	return append([]protocol.RouterID{e.parent}, e.children...)
 }
 
-// Heard notes a message from a neighbour; call Due after it.
-func (e *Exchange) Heard(now time.Duration, from protocol.RouterID) {
+// RecordReceived records a message from a neighbour; call Due after it.
+func (e *Exchange) RecordReceived(now time.Duration, from protocol.RouterID) {
 	if from == e.parent {
-		e.totals = true
+		e.totalsDue = true
 		if len(e.children) == 0 {
-			e.next = now + ExchangePeriod - waveMargin
+			e.next = now + ExchangePeriod - roundMargin
 		}
 		return
 	}
 	if slices.Contains(e.children, from) {
-		e.heard[from] = true
+		e.received[from] = true
 	}
 }
 
-// Due returns the neighbours to send to now.
+// Due returns the neighbours to which the summary must be sent now.
 func (e *Exchange) Due(now time.Duration) []protocol.RouterID {
 	if !e.relay {
 		return e.mesh(now)
 	}
 	var due []protocol.RouterID
-	if e.totals {
-		e.totals = false
+	if e.totalsDue {
+		e.totalsDue = false
 		due = append(due, e.children...)
 	}
 	if e.ready(now) {
-		clear(e.heard)
-		e.next = now + ExchangePeriod - waveMargin
-		e.deadline = now + ExchangePeriod + waveSlack
+		clear(e.received)
+		e.next = now + ExchangePeriod - roundMargin
+		e.deadline = now + ExchangePeriod + roundSlack
 		if e.parent == "" {
 			return append(due, e.children...)
 		}
@@ -107,7 +111,7 @@
 	return due
 }
 
-// mesh sends to all on the timer.
+// mesh returns all neighbours when the timer is due.
 func (e *Exchange) mesh(now time.Duration) []protocol.RouterID {
 	if now < e.next {
 		return nil
@@ -116,7 +120,7 @@
 	return e.children
 }
 
-// ready says whether to send up, or down at the root.
+// ready reports whether to send to the parent, or to the children at the root.
 func (e *Exchange) ready(now time.Duration) bool {
 	if len(e.children) == 0 {
 		return now >= e.next
@@ -124,15 +128,15 @@
 	if now >= e.deadline {
 		return true
 	}
-	return len(e.heard) == len(e.children) && (e.parent != "" || now >= e.next)
+	return len(e.received) == len(e.children) && (e.parent != "" || now >= e.next)
 }
 
-// Wake is when Due must be called next if nothing is heard before.
-func (e *Exchange) Wake() time.Duration {
+// NextDue returns when Due must be called next if no message arrives before.
+func (e *Exchange) NextDue() time.Duration {
 	if !e.relay || len(e.children) == 0 {
 		return e.next
 	}
-	if e.parent == "" && len(e.heard) == len(e.children) {
+	if e.parent == "" && len(e.received) == len(e.children) {
 		return min(max(e.next, 0), e.deadline)
 	}
 	return e.deadline
--- a/coordination/loadbound/wave_test.go
+++ b/coordination/loadbound/exchange_rounds_test.go
@@ -9,28 +9,29 @@
 	"endiveplank/protocol"
 )
 
-// waveNet steps exchanges and ledgers with a delay of two milliseconds a hop.
-type waveNet struct {
-	*world
+// exchangeNet runs exchanges and ledgers with a delay of two milliseconds a
+// message.
+type exchangeNet struct {
+	*fleet
 	exchanges map[protocol.RouterID]*Exchange
 	number    map[protocol.RouterID]int
 	sent      []int
 	dead      int
 }
 
-func newWaveNet(routers int) *waveNet {
-	n := &waveNet{world: newWorld(routers), exchanges: make(map[protocol.RouterID]*Exchange),
+func newExchangeNet(routers int) *exchangeNet {
+	n := &exchangeNet{fleet: newFleet(routers), exchanges: make(map[protocol.RouterID]*Exchange),
 		number: make(map[protocol.RouterID]int), sent: make([]int, routers), dead: -1}
 	for i, name := range n.members {
 		n.number[name] = i
 		start := time.Duration(i*7%250) * time.Millisecond
 		n.exchanges[name] = NewExchange(name, n.members, start)
-		n.ledgers[i].Admit(0, upstream(i), Ask{Cost: 5000})
+		n.ledgers[i].Admit(0, upstream(i), Request{Cost: 5000})
 	}
 	return n
 }
 
-func (n *waveNet) run(from, until time.Duration) {
+func (n *exchangeNet) run(from, until time.Duration) {
 	for now := from; now < until; now += time.Millisecond {
 		kept := n.pending[:0]
 		var arrived []message
@@ -44,7 +45,7 @@
 		n.pending = kept
 		for _, m := range arrived {
 			n.ledgers[m.to].Receive(now, router(m.from), m.summary)
-			n.exchanges[router(m.to)].Heard(now, router(m.from))
+			n.exchanges[router(m.to)].RecordReceived(now, router(m.from))
 		}
 		for i, name := range n.members {
 			if i == n.dead {
@@ -59,11 +60,13 @@
 	}
 }
 
-// With 330 owners on timers of their own a total is a second old when it
-// arrives; engines at the mean then turn work away although the fleet is even.
-func TestWavesKeepTotalsFreshWithinTheBudget(t *testing.T) {
+// With 330 owners on independent timers, a total is a second old when it
+// arrives; engines at the mean then turn work away although the load is even.
+// In rounds, the totals stay recent and no neighbour gets more than one message
+// a period.
+func TestRoundsKeepTotalsFreshWithinTheBudget(t *testing.T) {
 	for _, routers := range []int{9, 330} {
-		n := newWaveNet(routers)
+		n := newExchangeNet(routers)
 		n.run(0, 3*time.Second)
 		clear(n.sent)
 		n.run(3*time.Second, 5*time.Second)
@@ -71,7 +74,7 @@
 		for i := range n.members {
 			floor, _, _ := n.ledgers[i].Fleet(5 * time.Second)
 			least = min(least, floor/n.countedTotal(5*time.Second))
-			periods := int(2 * time.Second / (ExchangePeriod - waveMargin))
+			periods := int(2 * time.Second / (ExchangePeriod - roundMargin))
 			peers := len(n.exchanges[router(i)].Peers())
 			assert.Assert(t, n.sent[i] <= (periods+1)*peers, "router %d sent %d to %d", i, n.sent[i], peers)
 		}
@@ -80,9 +83,10 @@
 }
 
 // A router in the middle of the tree freezes. Its parent waits for it; without
-// a deadline the whole fleet's totals would stop until membership removes it.
-func TestWaveGoesOnWithoutADeadRouter(t *testing.T) {
-	n := newWaveNet(40)
+// a deadline, the whole fleet would get no totals until the membership removes
+// it.
+func TestRoundsContinueWithoutAFrozenRouter(t *testing.T) {
+	n := newExchangeNet(40)
 	n.run(0, 2*time.Second)
 	n.dead = 1
 	n.run(2*time.Second, 4*time.Second)
--- a/coordination/loadbound/exchange_test.go
+++ b/coordination/loadbound/exchange_test.go
@@ -27,12 +27,14 @@
 func upstream(i int) protocol.UpstreamID { return protocol.UpstreamID(fmt.Sprintf("u%03d", i)) }
 func router(i int) protocol.RouterID     { return protocol.RouterID(fmt.Sprintf("r%03d", i)) }
 
+// A summary keeps its size and its delay on the wire, and rounding lowers the
+// load and raises the capacity, never the reverse.
 func TestSummaryWireForm(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Summary{
 			Sequence:    rapid.Uint32().Draw(t, "sequence"),
 			Echo:        rapid.Uint32().Draw(t, "echo"),
-			Held:        time.Duration(rapid.Uint16().Draw(t, "held")) * time.Millisecond,
+			EchoDelay:   time.Duration(rapid.Uint16().Draw(t, "held")) * time.Millisecond,
 			Outstanding: rapid.Float64Range(0, 1e9).Draw(t, "outstanding"),
 			Floor:       rapid.Float64Range(0, 1e9).Draw(t, "floor"),
 			Capacity:    rapid.Float64Range(0, 1e9).Draw(t, "capacity"),
@@ -44,20 +46,20 @@
 		assert.Assert(t, ok)
 		assert.Assert(t, got.Floor <= s.Floor && got.Floor > s.Floor-tokenUnit)
 		assert.Assert(t, got.Capacity >= s.Capacity && got.Capacity <= s.Capacity+tokenUnit)
-		assert.Equal(t, got.Held, s.Held)
+		assert.Equal(t, got.EchoDelay, s.EchoDelay)
 	})
 	_, ok := DecodeSummary(make([]byte, SummaryBytes-1))
 	assert.Assert(t, !ok)
 }
 
 // A message waits three seconds in a stalled connection and arrives with a
-// total from before a lull. Taken as fresh it would overstate the mean; its
-// echo shows that it is old.
+// total from before the load fell. Taken as new it would overstate the mean;
+// its echo shows that it is old.
 func TestStalledSummaryCountsAsOld(t *testing.T) {
 	a, b := owning(100), owning(100)
 	a.Receive(0, "b", b.Summary(0, "a", false))
 	b.Receive(0, "a", a.Summary(0, "b", false))
-	b.Admit(0, upstream(0), Ask{Cost: 1000})
+	b.Admit(0, upstream(0), Request{Cost: 1000})
 	stalled := b.Summary(0, "a", false)
 	a.Receive(3*time.Second, "b", stalled)
 	floor, reported, _ := a.Fleet(3 * time.Second)
@@ -65,12 +67,12 @@
 	assert.Assert(t, math.Abs(floor-650) < 1e-9, "floor %v", floor)
 }
 
-// A router restarts within a second and numbers its summaries from 1 again.
-// Judged by number alone they look like late ones, and its neighbours count
-// with its last total from before the restart until the numbers catch up.
+// A router restarts within a second and numbers its summaries from 1 again. By
+// number alone they would look like late ones, and its neighbours would use its
+// last total from before the restart until the numbers catch up.
 func TestRestartedNeighbourIsHeard(t *testing.T) {
 	a, b := owning(100), owning(100)
-	b.Admit(0, upstream(0), Ask{Cost: 1000})
+	b.Admit(0, upstream(0), Request{Cost: 1000})
 	for range 5 {
 		a.Receive(0, "b", b.Summary(0, "a", false))
 	}
@@ -84,9 +86,9 @@
 	assert.Equal(t, reported, 0.0)
 }
 
-// world is a fleet of ledgers that exchange summaries with delays, with the
-// true load known.
-type world struct {
+// fleet is a set of ledgers that exchange summaries with delays. The test knows
+// their true load.
+type fleet struct {
 	ledgers []*Ledger
 	running [][]Ticket
 	pending []message
@@ -99,11 +101,11 @@
 	summary  Summary
 }
 
-func newWorld(routers int) *world {
-	w := &world{}
+func newFleet(routers int) *fleet {
+	w := &fleet{}
 	for i := range routers {
 		l := NewLedger(DefaultConfig())
-		l.Own(0, upstream(i), Grant{Fence: 1, Until: forever, Capacity: 1000})
+		l.Acquire(0, upstream(i), Grant{Fence: 1, ExpiresAt: forever, Capacity: 1000})
 		l.SetFleetCapacity(1000 * float64(routers))
 		w.ledgers = append(w.ledgers, l)
 		w.members = append(w.members, router(i))
@@ -112,7 +114,7 @@
 	return w
 }
 
-func (w *world) exchange(now time.Duration, from int, delay time.Duration) {
+func (w *fleet) exchange(now time.Duration, from int, delay time.Duration) {
 	peers, relay := Neighbours(router(from), w.members)
 	for _, peer := range peers {
 		var to int
@@ -122,7 +124,7 @@
 	}
 }
 
-func (w *world) deliver(now time.Duration) {
+func (w *fleet) deliver(now time.Duration) {
 	kept := w.pending[:0]
 	for _, m := range w.pending {
 		if m.at > now {
@@ -135,7 +137,7 @@
 }
 
 // countedTotal is the load of the fleet as its owners count it.
-func (w *world) countedTotal(now time.Duration) float64 {
+func (w *fleet) countedTotal(now time.Duration) float64 {
 	total := 0.0
 	for i, l := range w.ledgers {
 		load, _, _ := l.Load(now, upstream(i))
@@ -144,13 +146,13 @@
 	return total
 }
 
-// Routers see each other's totals seconds late and out of order, customers
-// cancel whole batches at once, and messages are lost. No router's floor of
-// the total is ever above what the owners count, in a mesh and in a tree, and
-// no admission within the bound exceeds the bound over counted load.
+// Routers receive each other's totals seconds late and out of order, customers
+// cancel whole batches at once, and messages are lost. No router's floor of the
+// total may be above what the owners count, in a mesh or in a tree, and no
+// admission within the bound may exceed the bound over counted load.
 func TestFloorNeverOverstatesAndBoundHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(rapid.SampledFrom([]int{2, 5, 9, 14, 40}).Draw(t, "routers"))
+		w := newFleet(rapid.SampledFrom([]int{2, 5, 9, 14, 40}).Draw(t, "routers"))
 		now := time.Duration(0)
 		for range rapid.IntRange(20, 200).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond
@@ -176,9 +178,9 @@
 	})
 }
 
-func (w *world) admit(t *rapid.T, now time.Duration, r int) {
+func (w *fleet) admit(t *rapid.T, now time.Duration, r int) {
 	cost := rapid.Float64Range(1, 3000).Draw(t, "cost")
-	d := w.ledgers[r].Admit(now, upstream(r), Ask{Cost: cost, Final: rapid.Bool().Draw(t, "final")})
+	d := w.ledgers[r].Admit(now, upstream(r), Request{Cost: cost, LastChoice: rapid.Bool().Draw(t, "final")})
 	if d.Outcome != Admit {
 		return
 	}
@@ -191,6 +193,8 @@
 	assert.Assert(t, load <= DefaultMultiple*mean*(1+1e-9), "load %v mean %v", load, mean)
 }
 
+// Above MeshLimit the neighbours form a tree: n-1 links, and at most TreeArity
+// children and a parent for each router.
 func TestTreeReachesEveryRouterOnce(t *testing.T) {
 	for _, n := range []int{2, 9, 10, 330, 1000} {
 		var list []protocol.RouterID
--- a/coordination/loadbound/handover_test.go
+++ b/coordination/loadbound/handover_test.go
@@ -11,18 +11,19 @@
 	"endiveplank/protocol/upstreamapi"
 )
 
-// passing is one engine that passes between owners, with its true load.
-type passing struct {
+// sharedEngine is one engine whose owner changes, with its true load.
+type sharedEngine struct {
 	owners  []*Ledger
 	holder  int
 	until   time.Duration
 	fence   protocol.Fence
 	running []stream
-	// reports are the engine's own counts on their way.
+	// reports are the engine's own load reports in transit.
 	reports []lateReport
 }
 
-// stream is one request on the engine, with every ticket it ever had.
+// stream is one request on the engine, with its ticket at each router that ever
+// owned it.
 type stream struct {
 	cost    float64
 	owner   int
@@ -36,7 +37,7 @@
 
 const lease = 3 * time.Second
 
-func (p *passing) trueLoad() upstreamapi.Load {
+func (p *sharedEngine) trueLoad() upstreamapi.Load {
 	load := upstreamapi.Load{Running: len(p.running)}
 	for _, s := range p.running {
 		load.OutstandingTokens += int(s.cost)
@@ -44,10 +45,10 @@
 	return load
 }
 
-// admit lets any router try: the holder, and those that were frozen and wake
-// with a lease of their own that has run out.
-func (p *passing) admit(t *rapid.T, now time.Duration, router int, cost float64) {
-	d := p.owners[router].Admit(now, "e", Ask{Cost: cost, Final: true})
+// admit lets any router try: the owner, or a former owner that was frozen and
+// whose lease has expired.
+func (p *sharedEngine) admit(t *rapid.T, now time.Duration, router int, cost float64) {
+	d := p.owners[router].Admit(now, "e", Request{Cost: cost, LastChoice: true})
 	if d.Outcome != Admit {
 		return
 	}
@@ -55,8 +56,8 @@
 	p.running = append(p.running, stream{cost: cost, owner: router, tickets: map[int]Ticket{router: d.Ticket}})
 }
 
-// finish ends a stream; every router that ever relayed it is told.
-func (p *passing) finish(now time.Duration, i int) {
+// finish ends a stream and calls Finish at every router that ever relayed it.
+func (p *sharedEngine) finish(now time.Duration, i int) {
 	s := p.running[i]
 	p.running = append(p.running[:i], p.running[i+1:]...)
 	for router, ticket := range s.tickets {
@@ -64,12 +65,12 @@
 	}
 }
 
-// pass gives the engine to another router after the lease has ended. Its
-// entries resume some of the streams there.
-func (p *passing) pass(t *rapid.T, now time.Duration, router int) {
+// changeOwner gives the engine to another router after the lease has ended.
+// Entry routers resume some of the streams there.
+func (p *sharedEngine) changeOwner(t *rapid.T, now time.Duration, router int) {
 	p.holder, p.until = router, now+lease
 	p.fence++
-	granted := p.owners[router].Own(now, "e", Grant{Fence: p.fence, Until: p.until, Capacity: 100, Reported: p.trueLoad()})
+	granted := p.owners[router].Acquire(now, "e", Grant{Fence: p.fence, ExpiresAt: p.until, Capacity: 100, Reported: p.trueLoad()})
 	assert.Assert(t, granted)
 	for i := range p.running {
 		if !rapid.Bool().Draw(t, "resume") {
@@ -81,33 +82,34 @@
 	}
 }
 
-// Ten streams are inherited, nine short and one very long. Judged by their
-// number, a tenth of the work would be left when the long one runs alone.
+// Ten streams are inherited, nine short and one very long. An estimate by the
+// number of streams would count a tenth of the work when only the long one is
+// left, although it is nearly all of it.
 func TestOneLongStragglerStaysCounted(t *testing.T) {
 	l := NewLedger(DefaultConfig())
-	l.Own(0, "e", Grant{Fence: 1, Until: forever, Capacity: 100,
+	l.Acquire(0, "e", Grant{Fence: 1, ExpiresAt: forever, Capacity: 100,
 		Reported: upstreamapi.Load{Running: 10, OutstandingTokens: 309}})
-	l.Reported(5*time.Minute, "e", upstreamapi.Load{Running: 1, OutstandingTokens: 300})
+	l.HandleReport(5*time.Minute, "e", upstreamapi.Load{Running: 1, OutstandingTokens: 300})
 	load, _, _ := l.Load(5*time.Minute, "e")
 	assert.Equal(t, load, 300.0)
 }
 
-// An engine's owner freezes with work on it, another takes over, the first
-// wakes and goes on, and later owns the engine again; streams end at any time
-// and some are never resumed. If an owner ever counted less than the engine
-// runs, it would fill it above the bound; if two admitted at once, neither
-// could know.
+// An engine's owner freezes while the engine runs its work, another router
+// takes over, the first resumes, and later owns the engine again; streams end
+// at any time and some are never resumed. If an owner ever counted less than
+// the engine runs, it would fill the engine above the bound; if two owners
+// admitted at once, neither could detect it.
 func TestNoOwnerCountsLessThanTheEngineRuns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := &passing{}
+		p := &sharedEngine{}
 		for range 3 {
 			l := NewLedger(DefaultConfig())
-			l.Own(0, "other", Grant{Fence: 1, Until: forever, Capacity: 100})
-			l.Admit(0, "other", Ask{Cost: 5000})
+			l.Acquire(0, "other", Grant{Fence: 1, ExpiresAt: forever, Capacity: 100})
+			l.Admit(0, "other", Request{Cost: 5000})
 			p.owners = append(p.owners, l)
 		}
 		now := time.Duration(0)
-		p.pass(t, now, 0)
+		p.changeOwner(t, now, 0)
 		for range rapid.IntRange(10, 150).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond
 			p.step(t, now)
@@ -119,9 +121,9 @@
 	})
 }
 
-func (p *passing) step(t *rapid.T, now time.Duration) {
+func (p *sharedEngine) step(t *rapid.T, now time.Duration) {
 	for len(p.reports) > 0 && p.reports[0].at <= now {
-		p.owners[p.holder].Reported(now, "e", p.reports[0].load)
+		p.owners[p.holder].HandleReport(now, "e", p.reports[0].load)
 		p.reports = p.reports[1:]
 	}
 	router := rapid.IntRange(0, len(p.owners)-1).Draw(t, "router")
@@ -135,7 +137,7 @@
 	case 2:
 		if now >= p.until {
 			p.reports = nil
-			p.pass(t, now, router)
+			p.changeOwner(t, now, router)
 		}
 	default:
 		p.admit(t, now, router, float64(rapid.IntRange(1, 300).Draw(t, "cost")))
--- a/coordination/loadbound/neighbours.go
+++ b/coordination/loadbound/neighbours.go
@@ -2,23 +2,24 @@
 
 import "endiveplank/protocol"
 
-// MeshLimit is the most routers that exchange summaries with each other
-// directly; above it they use a tree. Nine routers in a mesh send 32 messages
-// a second each, 768 bytes of summaries; a larger mesh would leave the
-// control budget of 3 KB/s once framing is counted.
+// MeshLimit is the largest number of routers that exchange summaries with each
+// other directly; larger fleets use a tree. Each of nine routers in a mesh
+// sends 32 messages a second with 768 bytes of summaries; a larger mesh would
+// exceed the control budget of 3 KB/s once framing is counted.
 const MeshLimit = 9
 
-// TreeArity is the most children of a router in the exchange tree. Four
-// children and a parent make 20 messages a second at ExchangePeriod, and
-// bring 330 routers within four levels of the root.
+// TreeArity is the largest number of children of a router in the exchange tree.
+// A router with four children and a parent sends 20 messages a second at
+// ExchangePeriod, and 330 routers are within four levels of the root.
 const TreeArity = 4
 
-// Neighbours returns with whom self exchanges summaries and whether messages
-// relay what other neighbours said. Members must be sorted and hold self; all
-// routers with the same membership build the same tree. Routers whose views
-// differ for a while may count an owner not at all, which understates the
-// mean, or twice along two paths, which Receive cannot see; membership
-// changes must therefore be followed by Forget for every former neighbour.
+// Neighbours returns the routers with which self exchanges summaries, and
+// whether messages include the summaries of other neighbours. Members must be
+// sorted and contain self; all routers with the same membership build the same
+// tree. While the memberships of routers differ, they may miss an owner, which
+// understates the mean, or count it twice along two paths, which Receive can't
+// detect; so every change of membership must be followed by RemoveNeighbour for
+// every former neighbour.
 func Neighbours(self protocol.RouterID, members []protocol.RouterID) (peers []protocol.RouterID, relay bool) {
 	if len(members) <= MeshLimit {
 		for _, m := range members {
@@ -36,8 +37,8 @@
 	return nil, true
 }
 
-// treePeers returns the parent and children of one rank in a heap-shaped
-// tree.
+// treePeers returns the parent and children of the member at index rank. The
+// tree is laid out as in a heap array.
 func treePeers(rank int, members []protocol.RouterID) []protocol.RouterID {
 	peers := make([]protocol.RouterID, 0, TreeArity+1)
 	if rank > 0 {
--- a/coordination/loadbound/views.go
+++ b/coordination/loadbound/views.go
@@ -8,55 +8,58 @@
 	"endiveplank/protocol"
 )
 
-// view is what one neighbour last said.
+// view is what this router knows of one neighbour: its last summary and when it
+// was made.
 type view struct {
 	from    protocol.RouterID
 	summary Summary
-	// madeAfter is the latest time, on this router's clock, that the summary
-	// is known not to be older than.
-	madeAfter  time.Duration
+	// notBefore is a time on this router's clock before which the summary was
+	// certainly not made; the summary's age is counted from it.
+	notBefore  time.Duration
 	receivedAt time.Duration
 	// sequence numbers this router's messages to the neighbour.
 	sequence uint32
-	// sent holds the times of this router's own last messages to it, by
-	// sequence number modulo its length.
-	sent [sentMemory]sentMark
+	// sent holds when this router sent its latest messages to the neighbour,
+	// indexed by sequence number modulo sentHistory.
+	sent [sentHistory]sentRecord
 }
 
-// sentMemory is how many own messages a neighbour may have missed before its
-// echo cannot be dated: four seconds at ExchangePeriod.
-const sentMemory = 16
+// sentHistory is how many of this router's messages a neighbour may miss before
+// its echo can't be dated any more: four seconds of messages at ExchangePeriod.
+const sentHistory = 16
 
-// sentMark remembers when a message was sent.
-type sentMark struct {
+// sentRecord records when a message was sent.
+type sentRecord struct {
 	sequence uint32
 	at       time.Duration
 }
 
-// fleetView is the whole fleet as this router counts it.
+// fleetView holds the totals of the whole fleet as this router counts them.
 type fleetView struct {
-	// floor is never above the true load, reported is the load as last
+	// floor is never above the true load, and reported is the load as last
 	// reported; both in tokens.
 	floor    float64
 	reported float64
-	// capacity is that of the whole fleet, known that behind reported.
-	capacity float64
-	known    float64
-	count    int
+	// capacity is that of the whole fleet, reportedCapacity that of the
+	// upstreams whose load is in reported.
+	capacity         float64
+	reportedCapacity float64
+	count            int
 }
 
-// Fleet returns the fleet's load floor and capacity as this router counts
-// them, for status pages and placement.
+// Fleet returns the floor of the fleet's load, its load as last reported and
+// its capacity, as this router counts them, for status pages and placement.
 func (l *Ledger) Fleet(now time.Duration) (floor, reported, capacity float64) {
 	f := l.fleet(now)
 	return f.floor, f.reported, f.capacity
 }
 
-// fleet sums the exact own part and the floors of all views.
+// fleet adds up this router's own upstreams, which it counts exactly, and its
+// views of all neighbours.
 func (l *Ledger) fleet(now time.Duration) fleetView {
 	var f fleetView
 	for _, a := range l.order {
-		load := l.contributed(now, a)
+		load := l.contributedLoad(now, a)
 		f.floor += load
 		f.reported += load
 		f.capacity += a.grant.Capacity
@@ -68,30 +71,30 @@
 		f.capacity += v.summary.Capacity
 		f.count += int(v.summary.Count)
 	}
-	f.known = f.capacity
+	f.reportedCapacity = f.capacity
 	f.capacity = math.Max(f.capacity, l.capacityFloor)
 	return f
 }
 
 // viewFloor is the least load that can be left of what a neighbour reported.
 func (l *Ledger) viewFloor(now time.Duration, v *view) float64 {
-	age := (now - v.madeAfter).Seconds()
+	age := (now - v.notBefore).Seconds()
 	left := v.summary.Floor - l.config.DrainFactor*v.summary.Capacity*age
 	return math.Max(0, left)
 }
 
-// Receive takes a neighbour's summary. A summary that is not newer than the
-// last one is ignored. One whose echo cannot be dated counts for
-// nothing for sure. A neighbour that restarted, or that forgot this router for
-// a while, numbers from 1 again; its message counts as newer once its echo
-// proves that it was made after the last one arrived.
+// Receive takes a neighbour's summary. It ignores a summary that is not newer
+// than the last one. If the echo of a summary can't be dated, its floor counts
+// as zero. A neighbour that restarted, or that removed this router for a while,
+// numbers from 1 again; its message counts as newer once its echo proves that
+// it was made after the last one arrived.
 //
-// Failure guarded: a message that sat in a stalled connection for seconds
-// looks fresh on arrival, and its old total overstates the mean. The echo
+// Failure guarded against: a message that waited in a stalled connection for
+// seconds looks new on arrival, and its old total overstates the mean. The echo
 // dates it by this router's own clock, so a stalled message counts as old.
 func (l *Ledger) Receive(now time.Duration, from protocol.RouterID, summary Summary) {
 	v := l.viewOf(from)
-	madeAfter, dated := v.date(summary)
+	madeAfter, dated := v.createdNotBefore(summary)
 	newer := v.summary.Sequence == 0 || int32(summary.Sequence-v.summary.Sequence) > 0
 	provenNewer := dated && madeAfter >= v.receivedAt
 	if !newer && !provenNewer {
@@ -100,15 +103,15 @@
 	v.receivedAt = now
 	v.summary = summary
 	if dated {
-		v.madeAfter = madeAfter
+		v.notBefore = madeAfter
 		return
 	}
-	// Undated: it may be of any age, so nothing of it is counted for sure.
+	// The summary may be of any age, so none of its load is certain.
 	v.summary.Floor = 0
-	v.madeAfter = now
+	v.notBefore = now
 }
 
-// viewOf returns the view of a neighbour, a new one at first contact.
+// viewOf returns the view of a neighbour, which it creates at first contact.
 func (l *Ledger) viewOf(neighbour protocol.RouterID) *view {
 	v, ok := l.views[neighbour]
 	if ok {
@@ -120,28 +123,30 @@
 	return v
 }
 
-// date returns the time after which a summary was certainly made.
-func (v *view) date(summary Summary) (time.Duration, bool) {
-	mark := v.sent[summary.Echo%sentMemory]
+// createdNotBefore returns a time before which the summary was certainly not
+// made. It returns false if the echo doesn't match a recent message to the
+// neighbour.
+func (v *view) createdNotBefore(summary Summary) (time.Duration, bool) {
+	mark := v.sent[summary.Echo%sentHistory]
 	if summary.Echo == 0 || mark.sequence != summary.Echo {
 		return 0, false
 	}
-	return mark.at + summary.Held, true
+	return mark.at + summary.EchoDelay, true
 }
 
-// Keep drops every neighbour that is not among the peers, as after a change
-// of the exchange tree.
-func (l *Ledger) Keep(peers []protocol.RouterID) {
+// RetainNeighbours removes every neighbour that is not among the peers, for
+// example after a change of the exchange tree.
+func (l *Ledger) RetainNeighbours(peers []protocol.RouterID) {
 	for i := len(l.viewOrder) - 1; i >= 0; i-- {
 		if from := l.viewOrder[i].from; !slices.Contains(peers, from) {
-			l.Forget(from)
+			l.RemoveNeighbour(from)
 		}
 	}
 }
 
-// Forget drops a neighbour that membership removed: its upstreams pass to
-// other owners, who report them from then on.
-func (l *Ledger) Forget(from protocol.RouterID) {
+// RemoveNeighbour removes a neighbour that left the membership: its upstreams
+// pass to other owners, who report them from then on.
+func (l *Ledger) RemoveNeighbour(from protocol.RouterID) {
 	v, ok := l.views[from]
 	if !ok {
 		return
--- a/coordination/node/node.go
+++ b/coordination/node/node.go
@@ -191,7 +191,7 @@
 		n.entryAlive(now, in)
 	case PeerTotals:
 		n.ledger.Receive(now, in.From, in.Summary)
-		n.exchange.Heard(now, in.From)
+		n.exchange.RecordReceived(now, in.From)
 		n.shareTotals(now)
 	case PeerLimitAsk:
 		n.limitAsked(now, in)
--- a/coordination/node/owner.go
+++ b/coordination/node/owner.go
@@ -340,7 +340,7 @@
 		if !target.isEngine() {
 			return len(target.running) < target.config.MaxConcurrent
 		}
-		decision := n.ledger.Judge(now, target.id, loadbound.Ask{Cost: float64(tokens), Seen: target.heardBeside(now), Final: true})
+		decision := n.ledger.Evaluate(now, target.id, loadbound.Request{Cost: float64(tokens), OthersLoad: target.heardBeside(now), LastChoice: true})
 		return decision.Outcome == loadbound.Admit
 	}
 }
--- a/coordination/node/upstreams.go
+++ b/coordination/node/upstreams.go
@@ -92,9 +92,9 @@
 func (n *Node) learnEngine(now time.Duration, target *owned, a upstreamapi.Announcement) {
 	n.placer.Hold(now, target.id, a.Incarnation, cachedChats)
 	if !target.heard {
-		n.ledger.Own(now, target.id, n.grant(target))
+		n.ledger.Acquire(now, target.id, n.grant(target))
 	}
-	n.ledger.Reported(now, target.id, a.Load)
+	n.ledger.HandleReport(now, target.id, a.Load)
 	if a.Cache != nil {
 		n.placer.CacheEvents(now, target.id, a.Cache.First, coreEvents(a.Cache.Events))
 	}
@@ -104,7 +104,7 @@
 func (n *Node) grant(target *owned) loadbound.Grant {
 	return loadbound.Grant{
 		Fence:       target.config.Fence,
-		Until:       n.leaseUntil,
+		ExpiresAt:       n.leaseUntil,
 		Capacity:    max(1, target.config.Capacity),
 		MaxRequests: target.config.MaxConcurrent,
 		Reported:    target.reported,
@@ -198,7 +198,7 @@
 	}
 	n.routers = view.Routers
 	n.exchange = loadbound.NewExchange(n.config.Self, view.Routers, now)
-	n.ledger.Keep(n.exchange.Peers())
+	n.ledger.RetainNeighbours(n.exchange.Peers())
 	n.limiter.SetRouters(len(view.Routers))
 }
 
@@ -242,7 +242,7 @@
 		}
 		return
 	}
-	n.ledger.Disown(target.id)
+	n.ledger.Release(target.id)
 	n.handBack(now, target)
 	if len(target.running) == 0 {
 		n.placer.Drop(target.id)
@@ -259,7 +259,7 @@
 	n.session = in.Session
 	for _, target := range n.owned {
 		if target.holds && target.heard && target.isEngine() {
-			n.ledger.Own(now, target.id, n.grant(target))
+			n.ledger.Acquire(now, target.id, n.grant(target))
 		}
 	}
 	n.unpark(now)
--- a/coordination/placement/owner.go
+++ b/coordination/placement/owner.go
@@ -187,9 +187,9 @@
 	}
 	prompt := ask.Chain[len(ask.Chain)-1].Tokens
 	saved := hit.Expected()
-	judged := o.ledger.Judge(now, ask.Upstream, loadbound.Ask{
+	judged := o.ledger.Evaluate(now, ask.Upstream, loadbound.Request{
 		Cost: waiting + o.policy.Cost(prompt, saved, ask.OutputTokens),
-		Seen: ask.Seen,
+		OthersLoad: ask.Seen,
 	})
 	return Answer{
 		Verdict:    NoRoom,
@@ -235,11 +235,11 @@
 func (o *Owner) admit(now time.Duration, ask Ask, held *holding, hit Hit) Answer {
 	prompt := ask.Chain[len(ask.Chain)-1].Tokens
 	saved := hit.Expected()
-	decision := o.ledger.Admit(now, ask.Upstream, loadbound.Ask{
+	decision := o.ledger.Admit(now, ask.Upstream, loadbound.Request{
 		Cost:     o.policy.Cost(prompt, saved, ask.OutputTokens),
 		Multiple: o.policy.SoftMultiple(saved),
-		Seen:     ask.Seen,
-		Final:    ask.Stage == Final,
+		OthersLoad:     ask.Seen,
+		LastChoice:    ask.Stage == Final,
 	})
 	answer := Answer{
 		Verdict:    verdictOf(decision.Outcome),
--- a/coordination/placement/tracebench/bounds_test.go
+++ b/coordination/placement/tracebench/bounds_test.go
@@ -95,7 +95,7 @@
 	ledger := loadbound.NewLedger(loadbound.DefaultConfig())
 	owner := placement.NewOwner(ledger, placement.DefaultPolicy(1), 100)
 	for _, e := range w.engines {
-		ledger.Own(0, e.id, loadbound.Grant{Fence: 1, Until: 1, Capacity: 1})
+		ledger.Acquire(0, e.id, loadbound.Grant{Fence: 1, ExpiresAt: 1, Capacity: 1})
 		owner.Hold(0, e.id, 1, 100)
 	}
 	chain := []chat.Link{{Hash: 1, Tokens: 10}, {Hash: 2, Tokens: 20}}
--- a/coordination/placement/tracebench/owners.go
+++ b/coordination/placement/tracebench/owners.go
@@ -143,9 +143,9 @@
 	e := s.w.engines[engine]
 	e.fence++
 	s.ownerOf[engine] = router
-	s.ledgers[router].Own(now, e.id, loadbound.Grant{
+	s.ledgers[router].Acquire(now, e.id, loadbound.Grant{
 		Fence:    e.fence,
-		Until:    s.w.end + time.Hour,
+		ExpiresAt:    s.w.end + time.Hour,
 		Capacity: e.capacity,
 		Reported: e.reported,
 	})
@@ -265,7 +265,7 @@
 	for _, peer := range exchange.Due(now) {
 		s.send(now, router, s.numbers[peer])
 	}
-	wake := max(exchange.Wake(), now+time.Millisecond)
+	wake := max(exchange.NextDue(), now+time.Millisecond)
 	if planned := s.wakes[router]; planned > now && planned <= wake {
 		return
 	}
@@ -288,7 +288,7 @@
 			return
 		}
 		s.ledgers[to].Receive(now, s.names[router], summary)
-		target.Heard(now, s.names[router])
+		target.RecordReceived(now, s.names[router])
 		s.pump(now, to)
 	})
 }
@@ -296,7 +296,7 @@
 // forget drops a lost router's summaries everywhere.
 func (s *owners) forget(router int) {
 	for _, l := range s.ledgers {
-		l.Forget(s.names[router])
+		l.RemoveNeighbour(s.names[router])
 	}
 }
 
@@ -329,7 +329,7 @@
 func (s *owners) takeOver(now time.Duration, engine int) {
 	s.grant(now, engine, s.chooseOwner(engine))
 	if !s.w.engines[engine].up {
-		s.ledgers[s.ownerOf[engine]].Disown(s.w.engines[engine].id)
+		s.ledgers[s.ownerOf[engine]].Release(s.w.engines[engine].id)
 	}
 }
 
@@ -344,7 +344,7 @@
 		}
 		start := now + time.Duration(s.w.rng.Int64N(int64(loadbound.ExchangePeriod)))
 		s.exchanges[r] = loadbound.NewExchange(s.names[r], s.live, start)
-		s.ledgers[r].Keep(s.exchanges[r].Peers())
+		s.ledgers[r].RetainNeighbours(s.exchanges[r].Peers())
 		s.pump(now, r)
 	}
 }
@@ -363,7 +363,7 @@
 	if owner < 0 {
 		return
 	}
-	s.ledgers[owner].Reported(now, e.id, e.reported)
+	s.ledgers[owner].HandleReport(now, e.id, e.reported)
 	if batch.incarnation != e.incarnation {
 		return
 	}
@@ -385,7 +385,7 @@
 		s.grant(now, engine, owner)
 		return
 	}
-	s.ledgers[owner].Disown(s.w.engines[engine].id)
+	s.ledgers[owner].Release(s.w.engines[engine].id)
 }
 
 // numberOf is the number in an engine's name.
--- a/coordination/placement/walk_test.go
+++ b/coordination/placement/walk_test.go
@@ -33,7 +33,7 @@
 }
 
 func (f *fleet) join(now time.Duration, id protocol.UpstreamID) {
-	f.ledger.Own(now, id, loadbound.Grant{Fence: 1, Until: time.Hour * 1000, Capacity: 1000})
+	f.ledger.Acquire(now, id, loadbound.Grant{Fence: 1, ExpiresAt: time.Hour * 1000, Capacity: 1000})
 	f.owner.Hold(now, id, 1, 1000)
 }
 
@@ -66,7 +66,7 @@
 	var order [MaxChoices]int32
 	f.set.Order(Key{Root: turn(5, 1)[1].Hash}, order[:])
 	home := f.set.Member(order[0]).ID
-	filler := f.ledger.Admit(0, home, loadbound.Ask{Cost: 5000})
+	filler := f.ledger.Admit(0, home, loadbound.Request{Cost: 5000})
 	first := f.run(0, turn(5, 1))
 	assert.Assert(t, first.Moved && first.Upstream != home)
 	f.ledger.Finish(0, filler.Ticket)
