--- a/coordination/loadbench/crash.go
+++ b/coordination/loadbench/crash.go
@@ -144,7 +144,7 @@
 // arrive brings a request to a random entry router.
 func (m *crashModel) arrive(j *crashJob) {
 	entry := m.routers[m.rng.IntN(len(m.routers))]
-	if m.config.Defended && entry.Check(m.Now(), j.digest).Standing == quarantine.Quarantined {
+	if m.config.Defended && entry.Check(m.Now(), j.digest).Status == quarantine.Quarantined {
 		if !j.bad {
 			m.result.WronglyRefused++
 		}
@@ -181,7 +181,7 @@
 		m.start(j)
 		return
 	}
-	if m.routers[j.engine.owner].Check(m.Now(), j.digest).Standing == quarantine.Suspect {
+	if m.routers[j.engine.owner].Check(m.Now(), j.digest).Status == quarantine.Suspect {
 		j.engine = trialEngine(j.digest, up)
 	}
 	owner := m.routers[j.engine.owner]
@@ -261,7 +261,7 @@
 	e.downUntil = m.Now() + restartTime
 	report := m.routers[e.owner].Crashed(m.Now(), e.id, e.incarnation)
 	e.incarnation++
-	m.result.Condemned += len(report.Condemned)
+	m.result.Condemned += len(report.Quarantined)
 	for _, notice := range report.Notices {
 		m.tell(e.owner, notice)
 	}
--- a/coordination/node/classify.go
+++ b/coordination/node/classify.go
@@ -72,13 +72,13 @@
 	}
 	digest := quarantine.DigestOf(fresh.customer.ID, in.Body)
 	verdict := n.crashes.Check(now, digest)
-	if verdict.Standing == quarantine.Quarantined {
+	if verdict.Status == quarantine.Quarantined {
 		return refusal(in.ID, 422, reason.Quarantined, "this request crashed the engines that ran it", verdict.RetryAfter)
 	}
 	fresh.chain = chat.Chain(in.Chat.Model, in.Chat.Messages)
 	template := &fresh.template
 	template.Digest = uint64(digest)
-	template.Suspect = verdict.Standing == quarantine.Suspect
+	template.Suspect = verdict.Status == quarantine.Suspect
 	template.Model = model
 	template.Streamed = in.Chat.Stream
 	template.Idempotent = true
--- a/coordination/node/crash.go
+++ b/coordination/node/crash.go
@@ -112,7 +112,7 @@
 	n.shareNotices(report.Notices)
 	n.emit(Event{
 		Upstream: target.id, What: "crashed", Reason: reason.UpstreamFailed,
-		Detail: fmt.Sprintf("%d requests were in flight, %d condemned", report.Suspects, len(report.Condemned)),
+		Detail: fmt.Sprintf("%d requests were in flight, %d condemned", report.Suspects, len(report.Quarantined)),
 	})
 	n.releaseBroken(now, target)
 	n.handBack(now, target)
--- a/coordination/node/entry.go
+++ b/coordination/node/entry.go
@@ -352,7 +352,7 @@
 		return
 	}
 	verdict := n.crashes.Check(now, quarantine.Digest(e.template.Digest))
-	e.template.Suspect = verdict.Standing == quarantine.Suspect
+	e.template.Suspect = verdict.Status == quarantine.Suspect
 }
 
 // wake starts the next attempt of a request that waited.
@@ -363,7 +363,7 @@
 	}
 	if e.template.Model != "" && e.order == nil {
 		verdict := n.crashes.Check(now, quarantine.Digest(e.template.Digest))
-		if verdict.Standing == quarantine.Quarantined {
+		if verdict.Status == quarantine.Quarantined {
 			n.giveUp(now, e, 422, reason.Quarantined, "this request crashed the engines that ran it", verdict.RetryAfter)
 			return
 		}
--- a/coordination/node/relay.go
+++ b/coordination/node/relay.go
@@ -153,7 +153,7 @@
 }
 
 // drop takes an attempt out of every count of its upstream.
-func (n *Node) drop(now time.Duration, target *owned, r *relay, ending quarantine.End, cached int, whole bool) {
+func (n *Node) drop(now time.Duration, target *owned, r *relay, ending quarantine.RunEnd, cached int, whole bool) {
 	delete(target.running, r.place.Attempt)
 	delete(n.running, r.place.Attempt)
 	// What the answer did not need of its estimate is room as well.
--- a/coordination/quarantine/bench_test.go
+++ b/coordination/quarantine/bench_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// BenchmarkStartEnd measures what each request pays when nobody is suspected.
+// BenchmarkStartEnd measures the cost for each request when there are no
+// suspects.
 func BenchmarkStartEnd(b *testing.B) {
 	for _, inFlight := range []int{8, 64} {
 		b.Run(fmt.Sprintf("inflight=%d", inFlight), func(b *testing.B) {
--- a/coordination/quarantine/crash.go
+++ b/coordination/quarantine/crash.go
@@ -8,71 +8,73 @@
 	"endiveplank/protocol"
 )
 
-// crash is one recent crash anywhere in the fleet.
+// crash is one recent crash of an upstream anywhere in the fleet.
 type crash struct {
-	id   uint32
-	at   time.Duration
-	with []inFlight
-	void bool
+	id          uint32
+	at          time.Duration
+	suspects    []inFlight
+	massFailure bool
 }
 
-// minCommonCrashes condemns the only suspect that this many crashes have in
-// common even if it never ran alone, since waiting longer would cost more
-// upstreams than a wrong, short quarantine costs its caller.
+// minCommonCrashes is the number of crashes after which the only suspect that
+// they have in common is quarantined even if it never ran alone: waiting longer
+// would cost more upstreams than a wrong, short quarantine costs its caller.
 const minCommonCrashes = 3
 
-// Crashed notes that an upstream this router owns crashed, and blames what was
-// in flight on it.
+// Crashed records that an upstream of this router crashed, and makes the
+// requests that were in flight on it suspects.
 func (t *Tracker) Crashed(now time.Duration, upstream protocol.UpstreamID, incarnation uint64) Report {
 	runs := sortedRuns(t.upstreams[upstream])
 	delete(t.upstreams, upstream)
-	delete(t.claims, upstream)
+	delete(t.reservations, upstream)
 	id := crashID(upstream, incarnation)
 	if t.known(id) {
 		return Report{}
 	}
-	guilty := t.guilty(now, runs)
-	with := make([]inFlight, 0, len(runs))
+	culprit := t.culprit(now, runs)
+	suspects := make([]inFlight, 0, len(runs))
 	for _, r := range runs {
-		with = append(with, inFlight{digest: r.digest.short(), age: now - r.started})
+		suspects = append(suspects, inFlight{digest: r.digest.short(), age: now - r.started})
 	}
 	report := Report{Suspects: len(runs)}
-	told := with
-	if guilty != nil && guilty.alone {
-		// A lonely suspect explains the crash, so nobody else is suspected.
-		told = []inFlight{{digest: guilty.digest.short(), age: now - guilty.started}}
-	}
-	t.suspectAll(now, told, id)
-	report.Notices = append(report.Notices, Notice{Kind: CrashNotice, Crash: id, Suspects: encodeSuspects(told)})
-	if guilty != nil {
-		report.Condemned = append(report.Condemned, guilty.digest)
-		report.Notices = append(report.Notices, t.condemn(now, guilty, id))
-	}
-	if t.remember(now, crash{id: id, at: now, with: told}) {
-		report.Void = true
-		report.Condemned = nil
+	published := suspects
+	if culprit != nil && culprit.alone {
+		// A suspect that ran alone explains the crash, so no other request
+		// becomes a suspect.
+		published = []inFlight{{digest: culprit.digest.short(), age: now - culprit.started}}
+	}
+	t.suspectAll(now, published, id)
+	report.Notices = append(report.Notices, Notice{Kind: CrashNotice, Crash: id, Suspects: encodeSuspects(published)})
+	if culprit != nil {
+		report.Quarantined = append(report.Quarantined, culprit.digest)
+		report.Notices = append(report.Notices, t.quarantine(now, culprit, id))
+	}
+	if t.recordCrash(now, crash{id: id, at: now, suspects: published}) {
+		report.MassFailure = true
+		report.Quarantined = nil
 		report.Notices = report.Notices[:1]
 	}
 	return report
 }
 
-// Merge takes in a notice from another router. It may come twice or late.
+// Merge applies a notice from another router. The notice may arrive twice or
+// late.
 func (t *Tracker) Merge(now time.Duration, n Notice) {
 	switch n.Kind {
 	case CrashNotice:
 		t.mergeCrash(now, n)
-	case CondemnNotice:
-		t.mergeSentence(now, n)
+	case QuarantineNotice:
+		t.mergeQuarantine(now, n)
 	case LiftNotice:
 		t.lift(n.Digest)
 	}
 }
 
-// guilty returns the run that a crash condemns, or nil: the one suspect on
-// trial there if it was alone, or else the one that enough crashes have in
-// common. The second rule finds requests that crash upstreams only after they
-// have outlived their trial, or that never found a lonely upstream.
-func (t *Tracker) guilty(now time.Duration, runs []*run) *run {
+// culprit returns the run that must be quarantined for a crash, or nil: the one
+// suspect on trial there if it was alone, otherwise the only suspect that was
+// in enough crashes. The second rule finds requests that crash upstreams only
+// after their trial has ended, or that never found an upstream to run alone on.
+func (t *Tracker) culprit(now time.Duration, runs []*run) *run {
 	var onTrial, common []*run
 	for _, r := range runs {
 		s := t.suspectOf(now, r.digest.short())
@@ -95,12 +97,12 @@
 	return nil
 }
 
-// suspectAll adds a crash to the records of all that were in flight.
-func (t *Tracker) suspectAll(now time.Duration, with []inFlight, id uint32) {
-	for _, r := range with {
+// suspectAll adds a crash to the records of all requests that were in flight.
+func (t *Tracker) suspectAll(now time.Duration, suspects []inFlight, id uint32) {
+	for _, r := range suspects {
 		found := t.suspectOf(now, r.digest)
 		if found == nil {
-			t.makeRoom()
+			t.evictSuspect()
 			found = &suspect{}
 			t.suspects[r.digest] = found
 		}
@@ -112,8 +114,8 @@
 	}
 }
 
-// makeRoom forgets the suspect whose time runs out first when there are too many.
-func (t *Tracker) makeRoom() {
+// evictSuspect removes the suspect that expires first if there are MaxSuspects.
+func (t *Tracker) evictSuspect() {
 	if len(t.suspects) < t.config.MaxSuspects {
 		return
 	}
@@ -127,14 +129,16 @@
 	delete(t.suspects, oldest)
 }
 
-// condemn quarantines a digest and returns the notice.
-func (t *Tracker) condemn(now time.Duration, r *run, id uint32) Notice {
-	// The guilty run has been a suspect up to this crash.
+// quarantine quarantines the digest of a run and returns the notice for the
+// other routers.
+func (t *Tracker) quarantine(now time.Duration, r *run, id uint32) Notice {
+	// The run was a suspect before this crash, otherwise culprit wouldn't have
+	// returned it.
 	before := t.suspects[r.digest.short()]
 	strikes := before.strikes + 1
 	delete(t.suspects, r.digest.short())
-	length := t.sentenceLength(strikes)
-	t.sentences[r.digest] = &sentence{
+	length := t.quarantineDuration(strikes)
+	t.quarantined[r.digest] = &quarantineRecord{
 		customer: r.customer,
 		until:    now + length,
 		strikes:  strikes,
@@ -142,7 +146,7 @@
 		before:   before,
 	}
 	return Notice{
-		Kind:    CondemnNotice,
+		Kind:    QuarantineNotice,
 		Crash:   id,
 		Digest:  r.digest,
 		Strikes: uint8(min(strikes, maxStrikes)),
@@ -150,18 +154,22 @@
 	}
 }
 
-// maxStrikes fits a byte and stops the doubling.
+// maxStrikes is the highest number of strikes that counts. It fits a byte and
+// limits the doubling of the quarantine.
 const maxStrikes = 20
 
-func (t *Tracker) sentenceLength(strikes int) time.Duration {
+// quarantineDuration returns how long the quarantine after this number of
+// strikes lasts.
+func (t *Tracker) quarantineDuration(strikes int) time.Duration {
 	doublings := min(strikes, maxStrikes) - 1
-	return min(t.config.FirstSentence<<doublings, t.config.MaxSentence)
+	return min(t.config.FirstDuration<<doublings, t.config.MaxDuration)
 }
 
-// remember keeps a crash, so that it is counted once, and applies the mass rule.
-// It returns whether this crash is void.
-func (t *Tracker) remember(now time.Duration, c crash) bool {
-	if len(t.crashes) >= maxRemembered {
+// recordCrash stores a crash, so that it is counted once, and checks for a mass
+// failure: several upstreams that fail at once without a request in common. It
+// returns whether this crash belongs to one.
+func (t *Tracker) recordCrash(now time.Duration, c crash) bool {
+	if len(t.crashes) >= maxCrashes {
 		t.crashes = slices.Delete(t.crashes, 0, 1)
 	}
 	t.crashes = append(t.crashes, c)
@@ -170,19 +178,19 @@
 		return false
 	}
 	for i := range recent {
-		recent[i].void = true
-		t.annul(recent[i].id)
+		recent[i].massFailure = true
+		t.retractCrash(recent[i].id)
 	}
 	return true
 }
 
-// maxRemembered bounds the remembered crashes. It is more than a whole data
-// centre's upstreams, so no notice of an earlier crash in the same loss is
-// mistaken for a new one.
-const maxRemembered = 512
+// maxCrashes limits the number of stored crashes. It exceeds the number of
+// upstreams of a whole data centre, so that a repeated notice of an earlier
+// crash in the same mass failure isn't mistaken for a new crash.
+const maxCrashes = 512
 
-// recent returns the crashes within the mass window. They are the last ones,
-// since crashes are kept in the order in which they were heard of.
+// recent returns the crashes within Config.MassWindow. They are the last ones,
+// because crashes are stored in the order in which this router learned of them.
 func (t *Tracker) recent(now time.Duration) []crash {
 	first := len(t.crashes)
 	for first > 0 && now-t.crashes[first-1].at <= t.config.MassWindow {
@@ -191,14 +199,14 @@
 	return t.crashes[first:]
 }
 
-// annul takes back whatever rests on a crash. A digest that it condemned is
-// a suspect again, for the crashes before.
-func (t *Tracker) annul(id uint32) {
-	for d, s := range t.sentences {
+// retractCrash removes every consequence of a crash. A digest that was
+// quarantined because of it becomes a suspect again, for its earlier crashes.
+func (t *Tracker) retractCrash(id uint32) {
+	for d, s := range t.quarantined {
 		if s.crash != id {
 			continue
 		}
-		delete(t.sentences, d)
+		delete(t.quarantined, d)
 		if s.before != nil {
 			t.suspects[d.short()] = s.before
 		}
@@ -215,22 +223,22 @@
 	if t.known(n.Crash) {
 		return
 	}
-	with := decodeSuspects(n.Suspects)
-	t.suspectAll(now, with, n.Crash)
-	t.remember(now, crash{id: n.Crash, at: now, with: with})
+	suspects := decodeSuspects(n.Suspects)
+	t.suspectAll(now, suspects, n.Crash)
+	t.recordCrash(now, crash{id: n.Crash, at: now, suspects: suspects})
 }
 
-func (t *Tracker) mergeSentence(now time.Duration, n Notice) {
+func (t *Tracker) mergeQuarantine(now time.Duration, n Notice) {
 	for _, c := range t.crashes {
-		if c.id == n.Crash && c.void {
+		if c.id == n.Crash && c.massFailure {
 			return
 		}
 	}
 	until := now + time.Duration(n.Seconds)*time.Second
-	if old := t.sentences[n.Digest]; old != nil && old.strikes >= int(n.Strikes) {
+	if old := t.quarantined[n.Digest]; old != nil && old.strikes >= int(n.Strikes) {
 		return
 	}
-	t.sentences[n.Digest] = &sentence{
+	t.quarantined[n.Digest] = &quarantineRecord{
 		until:   until,
 		strikes: int(n.Strikes),
 		crash:   n.Crash,
@@ -239,8 +247,8 @@
 	delete(t.suspects, n.Digest.short())
 }
 
-// known says whether a crash was counted already, so that repeated notices and
-// the owner's own report do not count twice.
+// known reports whether a crash was already counted, so that repeated notices
+// and the owner's own report don't count twice.
 func (t *Tracker) known(id uint32) bool {
 	return slices.ContainsFunc(t.crashes, func(c crash) bool { return c.id == id })
 }
--- a/coordination/quarantine/digest.go
+++ b/coordination/quarantine/digest.go
@@ -9,9 +9,9 @@
 	"endiveplank/protocol"
 )
 
-// Digest identifies a request by its customer and body: the first 64 bits of
-// a SHA-256 hash. A cryptographic hash is used because a customer could
-// otherwise craft a body that gets another customer's request quarantined.
+// Digest identifies a request by its customer and body: the first 64 bits of a
+// SHA-256 hash. The hash is cryptographic because a customer could otherwise
+// craft a body that gets another customer's request quarantined.
 type Digest uint64
 
 // DigestOf returns the digest of a request.
@@ -25,16 +25,17 @@
 	return Digest(binary.BigEndian.Uint64(hash.Sum(nil)))
 }
 
-// short is the part of a digest that crash notices carry. Two requests share
-// it by chance once in four thousand million pairs; the harm is a trial.
+// short is the part of a digest that crash notices carry. The digests of two
+// requests share it by chance once in four thousand million pairs; the only
+// harm is an unnecessary trial.
 type short uint32
 
 func (d Digest) short() short { return short(d >> 32) }
 
-// TrialUpstream chooses where a suspect is tried: the upstream with the highest
-// rendezvous weight for the digest. Every router chooses the same one, so the
-// copies of one request meet at one owner, which runs only one at a time. It
-// returns false without upstreams.
+// TrialUpstream chooses the upstream for a suspect's trial: the one with the
+// highest rendezvous weight for the digest. Every router chooses the same one,
+// so all copies of a request go to one owner, which runs only one at a time. It
+// returns false if there are no upstreams.
 func TrialUpstream(d Digest, upstreams []protocol.UpstreamID) (protocol.UpstreamID, bool) {
 	var best protocol.UpstreamID
 	var bestWeight uint64
--- a/coordination/quarantine/mass.go
+++ b/coordination/quarantine/mass.go
@@ -1,15 +1,15 @@
 package quarantine
 
-// independentCauses returns how many causes are needed to explain crashes, if
-// one request may explain several and anything else explains one.
+// independentCauses returns how many causes are needed to explain the crashes, if
+// one request may explain several and any other cause explains one.
 //
 // A request that crashes upstreams one after the other is one cause of many
-// crashes; a rack that fails takes requests that ran in one place each, so each of
-// its upstreams needs a cause of its own. But the requests of its first upstreams
-// may have been started again on the next ones just before those fail too, and
-// some are in two crashes by that accident. So a shared request counts only where
-// the accident is unlikely: where it ran alone in the later crash, or where it was
-// in three or more at a similar age (see sameAge).
+// crashes. When a rack fails, each request ran on only one of its upstreams, so
+// each upstream needs a cause of its own. But requests of the upstreams that
+// failed first may have been restarted on the next ones just before those failed
+// too, so some requests are in two crashes by coincidence. So a shared request
+// counts as a cause only where coincidence is unlikely: where it ran alone in the
+// later crash, or where it was in three or more at a similar age (see sameAge).
 func independentCauses(crashes []crash) int {
 	open := make(map[int]bool, len(crashes))
 	for i := range crashes {
@@ -20,8 +20,8 @@
 	explains := explanations(crashes)
 	causes := 0
 	for len(open) > 0 {
-		best := widest(explains, open)
-		if len(best) < leastShared {
+		best := mostExplained(explains, open)
+		if len(best) < minSharedCrashes {
 			return causes + len(open)
 		}
 		for _, i := range best {
@@ -32,18 +32,19 @@
 	return causes
 }
 
-// leastShared is how many crashes a request must be in to be their one cause.
-const leastShared = 3
+// minSharedCrashes is the number of crashes that a request must be in to count
+// as their one cause.
+const minSharedCrashes = 3
 
-// explainedAlone says whether a crash had a single suspect that was also in
-// an earlier one.
+// explainedAlone reports whether a crash had a single suspect that was also in
+// an earlier crash.
 func explainedAlone(crashes []crash, i int) bool {
-	if len(crashes[i].with) != 1 {
+	if len(crashes[i].suspects) != 1 {
 		return false
 	}
 	for _, earlier := range crashes[:i] {
-		for _, r := range earlier.with {
-			if r.digest == crashes[i].with[0].digest {
+		for _, r := range earlier.suspects {
+			if r.digest == crashes[i].suspects[0].digest {
 				return true
 			}
 		}
@@ -56,7 +57,7 @@
 	explains := make(map[short][]int)
 	first := make(map[short]inFlight)
 	for i, c := range crashes {
-		for _, r := range c.with {
+		for _, r := range c.suspects {
 			earlier, seen := first[r.digest]
 			if !seen {
 				first[r.digest] = r
@@ -75,8 +76,9 @@
 	return a.age <= 2*b.age && b.age <= 2*a.age
 }
 
-// widest returns the crashes of the request that explains most open ones.
-func widest(explains map[short][]int, open map[int]bool) []int {
+// mostExplained returns the open crashes that are explained by the request that
+// explains most of them.
+func mostExplained(explains map[short][]int, open map[int]bool) []int {
 	var best []int
 	var bestDigest short
 	for digest, crashes := range explains {
--- a/coordination/quarantine/notice.go
+++ b/coordination/quarantine/notice.go
@@ -5,33 +5,35 @@
 	"time"
 )
 
-// NoticeKind tells the notices apart.
+// NoticeKind is the kind of a Notice.
 type NoticeKind uint8
 
 const (
-	// CrashNotice tells which requests were in flight on a crashed upstream.
+	// CrashNotice lists the requests that were in flight on a crashed upstream.
 	CrashNotice NoticeKind = iota + 1
-	// CondemnNotice quarantines a digest.
-	CondemnNotice
-	// LiftNotice ends a quarantine by an operator's order.
+	// QuarantineNotice quarantines a digest.
+	QuarantineNotice
+	// LiftNotice ends a quarantine at an operator's request.
 	LiftNotice
 )
 
-// Notice is what routers tell each other. Encoded with msgpack as an array
-// (without field names) it takes about 12 bytes and five more for each suspect
-// (CrashNotice), or about 20 bytes (CondemnNotice, LiftNotice).
+// Notice is the message by which routers share crashes and quarantines. Encoded
+// with msgpack as an array (without field names) it takes about 12 bytes and
+// five more for each suspect (CrashNotice), or about 20 bytes
+// (QuarantineNotice, LiftNotice).
 type Notice struct {
 	Kind NoticeKind `msgpack:"k"`
-	// Crash names the crash that the notice tells of or rests on.
+	// Crash identifies the crash that the notice reports, or that led to the
+	// quarantine.
 	Crash uint32 `msgpack:"c"`
-	// Digest is set for CondemnNotice and LiftNotice.
+	// Digest is set for QuarantineNotice and LiftNotice.
 	Digest Digest `msgpack:"d"`
-	// Strikes counts the condemnations of this digest.
+	// Strikes is how many times this digest has been quarantined.
 	Strikes uint8 `msgpack:"s"`
 	// Seconds is how long the quarantine still lasts.
 	Seconds uint32 `msgpack:"t"`
 	// Suspects holds five bytes for each suspect: four of its digest, big
-	// endian, and how long it had run, in units of ageUnit.
+	// endian, and one for how long it had run, in units of ageUnit.
 	Suspects []byte `msgpack:"x"`
 }
 
@@ -58,8 +60,8 @@
 	return out
 }
 
-// decodeSuspects ignores a torn rest: a notice from a faulty peer must not stop
-// this one.
+// decodeSuspects ignores an incomplete record at the end: a malformed notice
+// from a faulty peer must not stop this router.
 func decodeSuspects(data []byte) []inFlight {
 	out := make([]inFlight, 0, len(data)/suspectBytes)
 	for ; len(data) >= suspectBytes; data = data[suspectBytes:] {
--- a/coordination/quarantine/tracker.go
+++ b/coordination/quarantine/tracker.go
@@ -16,82 +16,86 @@
 	customer protocol.CustomerID
 	started  time.Duration
 	copies   int
-	// trialEnds is how long a suspect that started alone, with only proven
-	// requests beside it, holds others off. It is zero for other requests.
-	// alone turns false when another request starts before that all the same.
+	// trialEnds is the end of the trial of a suspect that started alone, with
+	// only proven requests beside it; no other request should start until then.
+	// It is zero for other requests. alone becomes false if another request
+	// starts before trialEnds nevertheless.
 	trialEnds time.Duration
 	alone     bool
 }
 
-// suspect is one digest that was in flight at a crash.
+// suspect is the record of a digest that was in flight at a crash.
 type suspect struct {
 	crashes []uint32
 	until   time.Duration
 	// age is how long the request had run at the latest crash.
 	age time.Duration
-	// strikes is above zero after an earlier quarantine.
+	// strikes is how many times the digest was quarantined before.
 	strikes int
 }
 
-// sentence is one quarantined digest.
-type sentence struct {
+// quarantineRecord is the quarantine of one digest.
+type quarantineRecord struct {
 	customer protocol.CustomerID
 	until    time.Duration
 	strikes  int
 	crash    uint32
-	// before is the suspicion that led to it, for when the crash turns out void.
+	// before is the suspect's record before the quarantine, which is restored
+	// if the crash turns out to belong to a mass failure.
 	before *suspect
 }
 
-// Tracker follows what is in flight on the upstreams that this router owns and
-// who is suspected or quarantined in the whole fleet.
+// Tracker records which requests are in flight on the upstreams that this
+// router owns, and which requests are suspects or quarantined in the whole
+// fleet.
 //
-// Load: every start and end of a request, and rare crashes with up to a few
-// hundred requests in flight. Harm prevented: one request that takes the fleet
-// down engine by engine, and innocents refused for it.
+// It handles every start and end of a request, and rare crashes with up to a
+// few hundred requests in flight. It prevents that one request crashes the
+// fleet engine by engine, and that harmless requests are refused because of it.
 type Tracker struct {
-	config    Config
-	upstreams map[protocol.UpstreamID]map[Digest]*run
-	claims    map[protocol.UpstreamID]claim
-	suspects  map[short]*suspect
-	sentences map[Digest]*sentence
-	crashes   []crash
+	config       Config
+	upstreams    map[protocol.UpstreamID]map[Digest]*run
+	reservations map[protocol.UpstreamID]reservation
+	suspects     map[short]*suspect
+	quarantined  map[Digest]*quarantineRecord
+	crashes      []crash
 }
 
 // New returns an empty tracker.
 func New(config Config) *Tracker {
 	return &Tracker{
-		config:    config,
-		upstreams: make(map[protocol.UpstreamID]map[Digest]*run),
-		claims:    make(map[protocol.UpstreamID]claim),
-		suspects:  make(map[short]*suspect),
-		sentences: make(map[Digest]*sentence),
+		config:       config,
+		upstreams:    make(map[protocol.UpstreamID]map[Digest]*run),
+		reservations: make(map[protocol.UpstreamID]reservation),
+		suspects:     make(map[short]*suspect),
+		quarantined:  make(map[Digest]*quarantineRecord),
 	}
 }
 
-// Check says how a request is to be treated on arrival.
-func (t *Tracker) Check(now time.Duration, d Digest) Verdict {
-	if s := t.sentenceOf(now, d); s != nil {
-		return Verdict{Standing: Quarantined, RetryAfter: s.until - now}
+// Check returns how a request must be treated on arrival.
+func (t *Tracker) Check(now time.Duration, d Digest) CheckResult {
+	if s := t.quarantineOf(now, d); s != nil {
+		return CheckResult{Status: Quarantined, RetryAfter: s.until - now}
 	}
 	if s := t.suspectOf(now, d.short()); s != nil {
-		return Verdict{Standing: Suspect, Crashes: len(s.crashes)}
+		return CheckResult{Status: Suspect, Crashes: len(s.crashes)}
 	}
-	return Verdict{}
+	return CheckResult{}
 }
 
-// MayStart says whether a request may start on an upstream now. A suspect waits
-// for a lonely upstream and fresh requests wait for the end of a trial, both at
-// most until by, their last moment to start: a suspicion alone must not make an
-// innocent late.
+// MayStart reports whether a request may start on an upstream now. A suspect
+// waits until it can run alone, and other requests wait for the end of a trial,
+// both at most until by, the latest start that meets their deadline: being a
+// suspect alone must not make a harmless request late.
 func (t *Tracker) MayStart(now time.Duration, upstream protocol.UpstreamID, d Digest, by time.Duration) StartDecision {
-	verdict := t.Check(now, d)
-	if verdict.Standing == Quarantined {
+	result := t.Check(now, d)
+	if result.Status == Quarantined {
 		return StartDecision{Hold: HoldQuarantined}
 	}
 	runs := t.upstreams[upstream]
-	if copied := runs[d]; copied != nil && verdict.Standing == Suspect {
-		// Two copies of a suspect on one upstream say no more than one.
+	if copied := runs[d]; copied != nil && result.Status == Suspect {
+		// A second copy of a suspect on the same upstream would reveal nothing
+		// more about it.
 		return StartDecision{Hold: HoldTrial, CheckAt: max(copied.trialEnds, now+t.config.MinTrial)}
 	}
 	if now >= by {
@@ -100,16 +104,16 @@
 	if ends := trialEnds(runs); now < ends {
 		return StartDecision{Hold: HoldTrial, CheckAt: min(ends, by)}
 	}
-	if verdict.Standing == Suspect {
-		return t.claimTrial(now, upstream, d, by)
+	if result.Status == Suspect {
+		return t.reserveTrial(now, upstream, d, by)
 	}
-	if c := t.claims[upstream]; now >= c.opens && now < c.closes {
+	if c := t.reservations[upstream]; now >= c.opens && now < c.closes {
 		return StartDecision{Hold: HoldTrial, CheckAt: min(c.closes, by)}
 	}
 	return StartDecision{}
 }
 
-// Started notes that a request was sent to an upstream.
+// Started records that a request was sent to an upstream.
 func (t *Tracker) Started(now time.Duration, upstream protocol.UpstreamID, d Digest, customer protocol.CustomerID) {
 	runs := t.upstreams[upstream]
 	if runs == nil {
@@ -125,18 +129,19 @@
 	if s != nil && now >= trialEnds(runs) && now >= t.allProven(runs) {
 		r.alone = true
 		r.trialEnds = now + t.trialTime(s)
-		t.claims[upstream] = claim{opens: r.trialEnds + max(t.config.FreshWindow, r.trialEnds-now)}
+		t.reservations[upstream] = reservation{opens: r.trialEnds + max(t.config.MinTrialGap, r.trialEnds-now)}
 	} else {
-		// A suspect that could not wait runs as any other request: holding
-		// others off for it would prove nothing.
-		spoilTrials(now, runs)
+		// A suspect that couldn't wait runs like any other request: it shares
+		// the upstream, so delaying others for it would prove nothing.
+		invalidateTrials(now, runs)
 	}
 	runs[d] = r
 }
 
-// Ended notes that a run ended and its upstream lives. A whole answer clears
-// a suspect: what crashes each upstream that runs it doesn't end.
-func (t *Tracker) Ended(now time.Duration, upstream protocol.UpstreamID, d Digest, end End) {
+// Ended records that a run ended without a crash of its upstream. A complete
+// answer clears a suspect: a request that crashes each upstream that runs it
+// never completes.
+func (t *Tracker) Ended(now time.Duration, upstream protocol.UpstreamID, d Digest, end RunEnd) {
 	runs := t.upstreams[upstream]
 	r := runs[d]
 	if r == nil {
@@ -148,18 +153,18 @@
 	}
 	if len(runs) == 0 {
 		delete(t.upstreams, upstream)
-		delete(t.claims, upstream)
+		delete(t.reservations, upstream)
 	}
 	if end == Completed {
 		delete(t.suspects, d.short())
 	}
 }
 
-// List returns the quarantined digests, in order of digest.
+// List returns the quarantined digests in ascending order.
 func (t *Tracker) List(now time.Duration) []Entry {
 	var entries []Entry
-	for d := range t.sentences {
-		s := t.sentenceOf(now, d)
+	for d := range t.quarantined {
+		s := t.quarantineOf(now, d)
 		if s == nil {
 			continue
 		}
@@ -169,19 +174,19 @@
 	return entries
 }
 
-// Lift ends a quarantine and every suspicion of a digest. It returns the notice
-// for the other routers.
+// Lift ends the quarantine of a digest and clears it as a suspect. It returns
+// the notice for the other routers.
 func (t *Tracker) Lift(d Digest) Notice {
 	t.lift(d)
 	return Notice{Kind: LiftNotice, Digest: d}
 }
 
 func (t *Tracker) lift(d Digest) {
-	delete(t.sentences, d)
+	delete(t.quarantined, d)
 	delete(t.suspects, d.short())
 }
 
-// suspectOf returns the suspect, or nil when its time has run out.
+// suspectOf returns the suspect, or nil if there is none or it has expired.
 func (t *Tracker) suspectOf(now time.Duration, s short) *suspect {
 	found := t.suspects[s]
 	if found != nil && now >= found.until {
@@ -191,14 +196,15 @@
 	return found
 }
 
-// sentenceOf returns the sentence, or nil when it has expired. An expired one
-// turns into a suspicion, so that the request is tried alone once more.
-func (t *Tracker) sentenceOf(now time.Duration, d Digest) *sentence {
-	s := t.sentences[d]
+// quarantineOf returns the quarantine of a digest, or nil if there is none or
+// it has expired. A digest whose quarantine has expired becomes a suspect, so
+// that the request runs alone once more.
+func (t *Tracker) quarantineOf(now time.Duration, d Digest) *quarantineRecord {
+	s := t.quarantined[d]
 	if s == nil || now < s.until {
 		return s
 	}
-	delete(t.sentences, d)
+	delete(t.quarantined, d)
 	t.suspects[d.short()] = &suspect{
 		crashes: []uint32{s.crash},
 		until:   now + t.config.SuspectFor,
@@ -207,7 +213,8 @@
 	return nil
 }
 
-// crashID names one crash of one upstream the same on every router.
+// crashID identifies one crash of one upstream by the same number on every
+// router.
 func crashID(upstream protocol.UpstreamID, incarnation uint64) uint32 {
 	return uint32(xxhash.Sum64String(string(upstream)) ^ (incarnation * 0x9e3779b97f4a7c15 >> 32))
 }
--- a/coordination/quarantine/tracker_test.go
+++ b/coordination/quarantine/tracker_test.go
@@ -22,7 +22,8 @@
 
 func digest(name string) Digest { return DigestOf("customer", []byte(name)) }
 
-// crashWith runs the named requests on an upstream for a while and crashes it.
+// crashWith starts the named requests on an upstream and crashes it 300 ms
+// later.
 func crashWith(t *Tracker, now time.Duration, upstream protocol.UpstreamID, incarnation uint64, names ...string) Report {
 	for _, name := range names {
 		t.Started(now, upstream, digest(name), "customer")
@@ -30,59 +31,62 @@
 	return t.Crashed(now+300*time.Millisecond, upstream, incarnation)
 }
 
-// condemned returns a tracker that has condemned "bad" after crashes at 0 and
-// 10 s.
-func condemned(t *testing.T) *Tracker {
+// quarantinedTracker returns a tracker that has quarantined "bad" after crashes
+// at 0 and 10 s.
+func quarantinedTracker(t *testing.T) *Tracker {
 	tracker := New(DefaultConfig())
-	assert.Equal(t, len(crashWith(tracker, 0, engineA, 1, "bad", "x", "y").Condemned), 0)
+	assert.Equal(t, len(crashWith(tracker, 0, engineA, 1, "bad", "x", "y").Quarantined), 0)
 	report := crashWith(tracker, 10*time.Second, engineB, 1, "bad")
-	assert.DeepEqual(t, report.Condemned, []Digest{digest("bad")})
+	assert.DeepEqual(t, report.Quarantined, []Digest{digest("bad")})
 	return tracker
 }
 
-// A caller's request kills each engine that runs it, and the caller sends it
-// again through another router. After the second crash every router that heard
-// of it refuses the request; its neighbours in the first crash are free to run.
+// A caller's request crashes each engine that runs it, and the caller sends it
+// again through another router. After the second crash every router that
+// received the notices must refuse the request; the harmless requests of the
+// first crash may run.
 func TestResendThroughAnotherRouterIsRefused(t *testing.T) {
 	first, second := New(DefaultConfig()), New(DefaultConfig())
 	for _, n := range crashWith(first, 0, engineA, 1, "bad", "x", "y").Notices {
 		second.Merge(time.Second, n)
 		second.Merge(2*time.Second, n) // a repeat counts once
 	}
-	assert.Equal(t, second.Check(2*time.Second, digest("bad")), Verdict{Standing: Suspect, Crashes: 1})
+	assert.Equal(t, second.Check(2*time.Second, digest("bad")), CheckResult{Status: Suspect, Crashes: 1})
 	for _, n := range crashWith(second, 10*time.Second, engineB, 1, "bad").Notices {
 		first.Merge(11*time.Second, n)
 	}
 	for _, tracker := range []*Tracker{first, second} {
-		verdict := tracker.Check(12*time.Second, digest("bad"))
-		assert.Equal(t, verdict.Standing, Quarantined)
-		assert.Assert(t, verdict.RetryAfter > 4*time.Minute)
-		assert.Equal(t, tracker.Check(12*time.Second, digest("x")).Standing, Suspect)
+		result := tracker.Check(12*time.Second, digest("bad"))
+		assert.Equal(t, result.Status, Quarantined)
+		assert.Assert(t, result.RetryAfter > 4*time.Minute)
+		assert.Equal(t, tracker.Check(12*time.Second, digest("x")).Status, Suspect)
 	}
 	second.Ended(12*time.Second, engineC, digest("x"), Completed)
 }
 
-// A household's order question is refused for good because it twice shared an
-// engine that crashed for another reason. The sentence ends by itself, the
-// request is tried alone, and its answer clears it.
+// A harmless request is quarantined because it ran on two engines that crashed
+// for another reason. It must not be refused for good: the quarantine expires,
+// the request runs alone, and its answer clears it.
 func TestInnocentOutlivesItsQuarantine(t *testing.T) {
-	tracker := condemned(t)
+	tracker := quarantinedTracker(t)
 	later := 10 * time.Minute
-	assert.Equal(t, tracker.Check(later, digest("bad")).Standing, Suspect)
+	assert.Equal(t, tracker.Check(later, digest("bad")).Status, Suspect)
 	tracker.Started(later, engineC, digest("bad"), "customer")
 	tracker.Ended(later+time.Second, engineC, digest("bad"), Interrupted)
-	assert.Equal(t, tracker.Check(later+time.Second, digest("bad")).Standing, Suspect)
+	assert.Equal(t, tracker.Check(later+time.Second, digest("bad")).Status, Suspect)
 	tracker.Started(later, engineC, digest("bad"), "customer")
 	tracker.Ended(later+time.Second, engineC, digest("bad"), Completed)
-	assert.Equal(t, tracker.Check(later+time.Second, digest("bad")).Standing, Clear)
+	assert.Equal(t, tracker.Check(later+time.Second, digest("bad")).Status, Clear)
 }
 
-func TestRepeatedSentenceDoubles(t *testing.T) {
-	tracker := condemned(t)
+// A request that crashes an engine again after its quarantine is quarantined
+// for twice as long.
+func TestRepeatedQuarantineDoubles(t *testing.T) {
+	tracker := quarantinedTracker(t)
 	later := 10 * time.Minute
-	assert.Equal(t, tracker.Check(later, digest("bad")).Standing, Suspect)
+	assert.Equal(t, tracker.Check(later, digest("bad")).Status, Suspect)
 	report := crashWith(tracker, later, engineC, 1, "bad")
-	assert.Equal(t, len(report.Condemned), 1)
+	assert.Equal(t, len(report.Quarantined), 1)
 	list := tracker.List(later + time.Second)
 	assert.Equal(t, len(list), 1)
 	assert.Equal(t, list[0].Strikes, 2)
@@ -90,27 +94,29 @@
 	assert.Equal(t, list[0].Customer, protocol.CustomerID("customer"))
 }
 
+// An operator lifts a quarantine. Every router must clear the request, not only
+// the one that received the command.
 func TestLift(t *testing.T) {
-	tracker := condemned(t)
+	tracker := quarantinedTracker(t)
 	other := New(DefaultConfig())
-	other.Merge(0, Notice{Kind: CondemnNotice, Crash: 7, Digest: digest("bad"), Strikes: 1, Seconds: 300})
-	assert.Equal(t, other.Check(0, digest("bad")).Standing, Quarantined)
+	other.Merge(0, Notice{Kind: QuarantineNotice, Crash: 7, Digest: digest("bad"), Strikes: 1, Seconds: 300})
+	assert.Equal(t, other.Check(0, digest("bad")).Status, Quarantined)
 	other.Merge(0, tracker.Lift(digest("bad")))
 	for _, tr := range []*Tracker{tracker, other} {
-		assert.Equal(t, tr.Check(11*time.Second, digest("bad")).Standing, Clear)
+		assert.Equal(t, tr.Check(11*time.Second, digest("bad")).Status, Clear)
 		assert.Equal(t, len(tr.List(11*time.Second)), 0)
 	}
 }
 
-// A rack goes, and with it four engines within half a second. Requests of the
-// first are started again on the next and die there too. Nobody is to blame, and
-// a request that ran alone must not be condemned either.
-func TestRackLossCondemnsNobody(t *testing.T) {
+// A rack fails, and with it four engines within a second. Requests of the first
+// engine restart on the next one and fail there too. No request may be
+// quarantined, not even one that ran alone.
+func TestRackLossQuarantinesNothing(t *testing.T) {
 	tracker := New(DefaultConfig())
 	crashWith(tracker, 0, engineA, 1, "lonely", "p")
 	at := 10 * time.Second
 	report := crashWith(tracker, at, engineB, 1, "lonely")
-	assert.Equal(t, len(report.Condemned), 1)
+	assert.Equal(t, len(report.Quarantined), 1)
 	started := time.Second
 	for i := range 3 {
 		id := protocol.UpstreamID(fmt.Sprint("rack-", i))
@@ -119,47 +125,48 @@
 		started = at + 350*time.Millisecond
 		at += 400 * time.Millisecond
 	}
-	assert.Assert(t, report.Void)
-	assert.Equal(t, tracker.Check(at, digest("lonely")).Standing, Suspect)
-	assert.Equal(t, tracker.Check(at, digest("q0")).Standing, Clear)
+	assert.Assert(t, report.MassFailure)
+	assert.Equal(t, tracker.Check(at, digest("lonely")).Status, Suspect)
+	assert.Equal(t, tracker.Check(at, digest("q0")).Status, Clear)
 	assert.Equal(t, len(tracker.List(at)), 0)
 }
 
-// Three crashes in two seconds are one request's doing when it was in all of
-// them at the same age.
-func TestFastSerialCrashesAreNotVoid(t *testing.T) {
+// Three crashes in less than two seconds are caused by one request if it was in
+// all of them at the same age; they must not count as a mass failure.
+func TestFastSerialCrashesAreNotAMassFailure(t *testing.T) {
 	tracker := New(DefaultConfig())
 	crashWith(tracker, 0, engineA, 1, "bad", "x")
 	crashWith(tracker, 600*time.Millisecond, engineB, 1, "bad", "y")
 	report := crashWith(tracker, 1200*time.Millisecond, engineC, 1, "bad", "z")
-	assert.Assert(t, !report.Void)
-	assert.DeepEqual(t, report.Condemned, []Digest{digest("bad")})
+	assert.Assert(t, !report.MassFailure)
+	assert.DeepEqual(t, report.Quarantined, []Digest{digest("bad")})
 }
 
-// Three engines of a rack fail, and a request of the first was just started again on
-// the second. That is still no sign of its guilt.
-func TestRestartWithinALostRackIsNoGuilt(t *testing.T) {
+// Three engines of a rack fail, and a request of the first one had just been
+// restarted on the second. That doesn't make it the cause.
+func TestRestartWithinALostRackIsNotTheCause(t *testing.T) {
 	tracker := New(DefaultConfig())
 	crashWith(tracker, 0, engineA, 1, "twice", "x")
 	crashWith(tracker, 100*time.Millisecond, engineB, 1, "twice", "y")
-	assert.Assert(t, crashWith(tracker, 200*time.Millisecond, engineC, 1, "z").Void)
-	assert.Equal(t, tracker.Check(time.Second, digest("twice")).Standing, Clear)
+	assert.Assert(t, crashWith(tracker, 200*time.Millisecond, engineC, 1, "z").MassFailure)
+	assert.Equal(t, tracker.Check(time.Second, digest("twice")).Status, Clear)
 }
 
 // Two bad requests crash four engines within a second. The last two crashes are
-// trials of requests that were in the first two, so there are only two causes.
+// trials of requests that were in the first two, so there are only two causes
+// and no mass failure.
 func TestTwoBadRequestsAreNotALostRack(t *testing.T) {
 	tracker := New(DefaultConfig())
 	crashWith(tracker, 0, engineA, 1, "bad1", "x")
 	crashWith(tracker, 100*time.Millisecond, engineB, 1, "bad2", "y")
-	assert.Equal(t, len(crashWith(tracker, 500*time.Millisecond, engineC, 1, "bad1").Condemned), 1)
+	assert.Equal(t, len(crashWith(tracker, 500*time.Millisecond, engineC, 1, "bad1").Quarantined), 1)
 	report := crashWith(tracker, 600*time.Millisecond, engineD, 1, "bad2")
-	assert.Assert(t, !report.Void)
+	assert.Assert(t, !report.MassFailure)
 	assert.Equal(t, len(tracker.List(time.Second)), 2)
 }
 
-// A request that crashes its engine only late in its run outlives every trial.
-// The third crash leaves it as the only one in common.
+// A request crashes its engine only late in its run, after the end of every
+// trial. After the third crash it is the only suspect in common.
 func TestLateCrasherIsFoundByIntersection(t *testing.T) {
 	tracker := New(DefaultConfig())
 	var report Report
@@ -169,18 +176,19 @@
 		tracker.Started(at+8*time.Second, upstream, digest(fmt.Sprint("fresh", i)), "customer")
 		report = tracker.Crashed(at+10*time.Second, upstream, 1)
 	}
-	assert.DeepEqual(t, report.Condemned, []Digest{digest("bad")})
+	assert.DeepEqual(t, report.Quarantined, []Digest{digest("bad")})
 }
 
-// A suspect's caller waits for an engine that is never lonely. Its deadline
-// ends the wait; a suspicion alone must not make an innocent late.
-func TestSuspectWaitsForALonelyEngineUntilItsDeadline(t *testing.T) {
+// A suspect waits for an engine on which it can run alone. Its deadline ends
+// the wait, because being a suspect must not make a harmless request late.
+// After the trial, other requests may start before the next suspect.
+func TestSuspectWaitsToRunAloneUntilItsDeadline(t *testing.T) {
 	tracker := New(DefaultConfig())
 	crashWith(tracker, 0, engineA, 1, "s", "other")
 	at := 10 * time.Second
 	tracker.Started(at, engineB, digest("fresh"), "customer")
 	hold := tracker.MayStart(at, engineB, digest("s"), forever)
-	assert.Equal(t, hold, StartDecision{Hold: HoldYoung, CheckAt: at + time.Second})
+	assert.Equal(t, hold, StartDecision{Hold: HoldRecentStart, CheckAt: at + time.Second})
 	assert.Equal(t, tracker.MayStart(at, engineB, digest("s"), at).Hold, HoldNone)
 	assert.Equal(t, tracker.MayStart(at, engineB, digest("new"), forever).Hold, HoldTrial)
 	at += time.Second
@@ -188,24 +196,25 @@
 	tracker.Started(at, engineB, digest("s"), "customer")
 	assert.Equal(t, tracker.MayStart(at, engineB, digest("other"), forever).Hold, HoldTrial)
 	assert.Equal(t, tracker.MayStart(at, engineB, digest("new"), forever).Hold, HoldTrial)
-	at += time.Second // the trial is over; fresh requests have their turn
+	at += time.Second // the trial is over; other requests may start
 	assert.Equal(t, tracker.MayStart(at, engineB, digest("new"), forever).Hold, HoldNone)
 	assert.Equal(t, tracker.MayStart(at, engineB, digest("other"), forever).Hold, HoldTrial)
 }
 
-// A fresh second bad request starts beside a suspect on trial because its
-// deadline forced it. The crash must not condemn the suspect.
-func TestSpoiledTrialCondemnsNobody(t *testing.T) {
+// A second bad request starts beside a suspect on trial because its deadline
+// didn't let it wait. The crash must not quarantine the suspect.
+func TestSharedTrialQuarantinesNothing(t *testing.T) {
 	tracker := New(DefaultConfig())
 	crashWith(tracker, 0, engineA, 1, "s", "other")
 	tracker.Started(10*time.Second, engineB, digest("s"), "customer")
 	tracker.Started(10*time.Second, engineB, digest("bad2"), "customer")
 	report := tracker.Crashed(10*time.Second+300*time.Millisecond, engineB, 1)
-	assert.Equal(t, len(report.Condemned), 0)
-	assert.Equal(t, tracker.Check(11*time.Second, digest("bad2")).Standing, Suspect)
+	assert.Equal(t, len(report.Quarantined), 0)
+	assert.Equal(t, tracker.Check(11*time.Second, digest("bad2")).Status, Suspect)
 }
 
-// Each router hears of a crash in a few bytes, also with 64 in flight.
+// A notice of a crash must stay small on the wire, also with 64 requests in
+// flight.
 func TestNoticeBytes(t *testing.T) {
 	size := func(n Notice) int {
 		var out bytes.Buffer
@@ -227,17 +236,20 @@
 	assert.Equal(t, size(tracker.Lift(digest("bad"))), 15)
 }
 
-// Gossip brings the notice of one crash three times. Counted as three crashes
-// they would look like a lost rack and free the suspects of another crash.
+// The notice of one crash arrives three times by gossip. Counted as three
+// crashes, they would look like a lost rack and clear the suspects of another
+// crash.
 func TestRepeatedNoticeIsOneCrash(t *testing.T) {
 	tracker := New(DefaultConfig())
 	crashWith(tracker, 0, engineA, 1, "bad", "x")
 	for range 3 {
 		tracker.Merge(time.Second, Notice{Kind: CrashNotice, Crash: 7})
 	}
-	assert.Equal(t, tracker.Check(time.Second, digest("bad")).Standing, Suspect)
+	assert.Equal(t, tracker.Check(time.Second, digest("bad")).Status, Suspect)
 }
 
+// A notice that ends within a record, or whose kind is unknown, must change
+// nothing.
 func TestMergeIgnoresTornNotices(t *testing.T) {
 	tracker := New(DefaultConfig())
 	tracker.Merge(0, Notice{Kind: CrashNotice, Crash: 1, Suspects: []byte{1, 2, 3}})
@@ -245,6 +257,7 @@
 	assert.Equal(t, len(tracker.suspects), 0)
 }
 
+// With more suspects than MaxSuspects, the tracker must remove the oldest ones.
 func TestSuspectsAreBounded(t *testing.T) {
 	config := DefaultConfig()
 	config.MaxSuspects = 10
--- a/coordination/quarantine/trial.go
+++ b/coordination/quarantine/trial.go
@@ -6,30 +6,34 @@
 	"endiveplank/protocol"
 )
 
-// claim is a suspect's turn on an upstream. From opens to closes no fresh request
-// starts there, so that the ones in flight get proven and the suspect can run
-// alone. Before opens, fresh requests have their turn: without it, a row of
-// suspects would keep them off the upstream for as long as the row lasts.
-type claim struct {
+// reservation reserves an upstream for the trial of one suspect. From opens to
+// closes no request that isn't a suspect starts there, so that those in flight
+// become proven and the suspect can run alone. Before opens, only such other
+// requests may start: otherwise a series of suspects would keep them off the
+// upstream for as long as the series lasts.
+type reservation struct {
 	holder Digest
 	age    time.Duration
 	opens  time.Duration
 	closes time.Duration
 }
 
-// claimGrace is how much later than possible the holder of a claim may start.
-const claimGrace = 250 * time.Millisecond
+// reservationGrace is how long a reservation lasts beyond the earliest start of
+// its holder.
+const reservationGrace = 250 * time.Millisecond
 
-// claimTrial lets a suspect start if it would be alone, and else gives it the
-// claim if the claim is free. A suspect that was younger at the crash goes
-// first: most requests that crash an engine do so early in their run.
-func (t *Tracker) claimTrial(now time.Duration, upstream protocol.UpstreamID, d Digest, by time.Duration) StartDecision {
-	c := t.claims[upstream]
+// reserveTrial lets a suspect start if it would be alone. Otherwise it gives
+// the suspect the reservation if that is free. A suspect that was younger at
+// the crash goes first, because most requests that crash an engine do so early
+// in their run.
+func (t *Tracker) reserveTrial(now time.Duration, upstream protocol.UpstreamID, d Digest, by time.Duration) StartDecision {
+	c := t.reservations[upstream]
 	if c.closes > 0 && now >= c.closes {
-		// The holder did not start in time. Fresh requests get their turn all
-		// the same, or a row of such claims would starve them.
-		c = claim{opens: c.closes + t.config.FreshWindow}
-		t.claims[upstream] = c
+		// The holder didn't start in time. Requests that aren't suspects may
+		// start nevertheless, or a series of such reservations would starve
+		// them.
+		c = reservation{opens: c.closes + t.config.MinTrialGap}
+		t.reservations[upstream] = c
 	}
 	age := t.suspects[d.short()].age
 	switch {
@@ -42,22 +46,22 @@
 	if now >= proven {
 		return StartDecision{}
 	}
-	t.claims[upstream] = claim{holder: d, age: age, opens: c.opens, closes: proven + claimGrace}
-	return StartDecision{Hold: HoldYoung, CheckAt: min(proven, by)}
+	t.reservations[upstream] = reservation{holder: d, age: age, opens: c.opens, closes: proven + reservationGrace}
+	return StartDecision{Hold: HoldRecentStart, CheckAt: min(proven, by)}
 }
 
-// trialTime is how long a suspect must run before it counts as having outlived
-// the point of the crash.
+// trialTime returns how long a suspect must run until it has run clearly longer
+// than before the crash.
 func (t *Tracker) trialTime(s *suspect) time.Duration {
 	span := time.Duration(t.config.TrialFactor * float64(s.age))
 	return min(max(span, t.config.MinTrial), t.config.MaxTrial)
 }
 
-// allProven returns when the youngest run will be proven.
+// allProven returns when the most recently started run will be proven.
 func (t *Tracker) allProven(runs map[Digest]*run) time.Duration {
 	var latest time.Duration
 	for _, r := range runs {
-		latest = max(latest, r.started+t.config.Proven)
+		latest = max(latest, r.started+t.config.ProvenAfter)
 	}
 	return latest
 }
@@ -71,9 +75,9 @@
 	return latest
 }
 
-// spoilTrials marks that another request started beside a suspect on trial, so a
-// crash doesn't prove the suspect's guilt any more.
-func spoilTrials(now time.Duration, runs map[Digest]*run) {
+// invalidateTrials records that another request started beside a suspect on
+// trial, so that a crash doesn't prove any more that the suspect caused it.
+func invalidateTrials(now time.Duration, runs map[Digest]*run) {
 	for _, r := range runs {
 		if now < r.trialEnds {
 			r.alone = false
--- a/coordination/quarantine/types.go
+++ b/coordination/quarantine/types.go
@@ -6,27 +6,27 @@
 	"endiveplank/protocol"
 )
 
-// Standing is how a digest is seen.
-type Standing uint8
+// Status is how a digest is treated.
+type Status uint8
 
 const (
-	// Clear means: treat as any request.
-	Clear Standing = iota
-	// Suspect means: run it on TrialUpstream, when MayStart allows.
+	// Clear means: treat the request like any other.
+	Clear Status = iota
+	// Suspect means: run the request on TrialUpstream when MayStart allows it.
 	Suspect
-	// Quarantined means: refuse. The request has not run.
+	// Quarantined means: refuse the request. It has not run.
 	Quarantined
 )
 
 // ReasonQuarantined is the reason code of a refused request.
 const ReasonQuarantined = "request-quarantined"
 
-// Verdict is the typed answer to Check.
-type Verdict struct {
-	Standing Standing
-	// Crashes counts the crashes that the digest was in.
+// CheckResult is the result of Check.
+type CheckResult struct {
+	Status Status
+	// Crashes is the number of crashes at which the digest was in flight.
 	Crashes int
-	// RetryAfter is set for Quarantined: when the quarantine ends.
+	// RetryAfter is set for Quarantined: the time until the quarantine ends.
 	RetryAfter time.Duration
 }
 
@@ -36,42 +36,46 @@
 const (
 	// HoldNone means that the request may start.
 	HoldNone Hold = iota
-	// HoldTrial means that a suspect is on trial there.
+	// HoldTrial means that a suspect is on trial there, or that an upstream is
+	// reserved for a trial or for requests that aren't suspects.
 	HoldTrial
-	// HoldYoung means that the suspect waits until the requests that started
-	// there last have run for a moment.
-	HoldYoung
-	// HoldQuarantined means that the digest has been condemned meanwhile.
+	// HoldRecentStart means that the suspect waits until the requests that
+	// started there last have run for Config.ProvenAfter.
+	HoldRecentStart
+	// HoldQuarantined means that the digest has been quarantined since its
+	// arrival.
 	HoldQuarantined
 )
 
-// StartDecision is the typed answer to MayStart.
+// StartDecision is the result of MayStart.
 type StartDecision struct {
 	Hold Hold
-	// CheckAt is when to ask again, unless an end or a crash comes first.
+	// CheckAt is when to call MayStart again, unless a run on the upstream ends
+	// or the upstream crashes before.
 	CheckAt time.Duration
 }
 
-// End says how a run ended without a crash.
-type End uint8
+// RunEnd is how a run ended without a crash.
+type RunEnd uint8
 
 const (
-	// Completed means that the upstream gave the whole answer.
-	Completed End = iota + 1
+	// Completed means that the upstream gave the complete answer.
+	Completed RunEnd = iota + 1
 	// Interrupted means that the run was cancelled or its connection broke
-	// while the upstream lives on. It clears nobody.
+	// while the upstream continues to run. It doesn't clear a suspect.
 	Interrupted
 )
 
-// Report is the typed outcome of a crash.
+// Report is the result of Crashed.
 type Report struct {
 	// Suspects is the number of requests that were in flight.
 	Suspects int
-	// Condemned lists the digests that this crash condemned.
-	Condemned []Digest
-	// Void means that the crash belongs to a loss of several upstreams at
-	// once and blames nobody.
-	Void bool
+	// Quarantined lists the digests that were quarantined because of this
+	// crash.
+	Quarantined []Digest
+	// MassFailure means that several upstreams failed at once, so that no
+	// request is suspected of the crash.
+	MassFailure bool
 	// Notices are to be sent to every router.
 	Notices []Notice
 }
@@ -79,7 +83,7 @@
 // Entry is one quarantined digest, for operators.
 type Entry struct {
 	Digest Digest
-	// Customer is empty where this router hasn't met the request itself.
+	// Customer is empty if this router hasn't seen the request itself.
 	Customer protocol.CustomerID
 	Strikes  int
 	Expires  time.Duration
@@ -87,52 +91,55 @@
 
 // Config holds the settings of a Tracker.
 type Config struct {
-	// SuspectFor is how long a suspect is remembered. It must outlast the pause
-	// after which callers send a request again.
+	// SuspectFor is how long a suspect is remembered. It must be longer than
+	// the pause after which callers send a request again.
 	SuspectFor time.Duration
-	// Proven is how long a request must have run to count as no rival of
-	// a suspect on trial.
-	Proven time.Duration
-	// MinTrial and MaxTrial bound how long a trial keeps other work off the
-	// upstream. In between, it is TrialFactor times the age that the
-	// suspect had at the crash.
+	// ProvenAfter is how long a request must have run before a crash in a
+	// suspect's trial isn't attributed to it.
+	ProvenAfter time.Duration
+	// MinTrial and MaxTrial bound how long a trial keeps other requests off the
+	// upstream. In between, the trial lasts TrialFactor times as long as the
+	// suspect had run at the crash.
 	MinTrial    time.Duration
 	MaxTrial    time.Duration
 	TrialFactor float64
-	// FreshWindow is how long fresh requests may at least start between two
-	// trials on one upstream; after a longer trial they get as long as it took.
-	FreshWindow time.Duration
-	// FirstSentence is the first quarantine's length. Each later one of the
-	// same digest is twice as long, up to MaxSentence.
-	FirstSentence time.Duration
-	MaxSentence   time.Duration
-	// MassCrashes in MassWindow with no request in common are void.
+	// MinTrialGap is the minimum time between two trials on one upstream, in
+	// which other requests may start; after a longer trial the gap is as long
+	// as the trial.
+	MinTrialGap time.Duration
+	// FirstDuration is the length of the first quarantine. Each later one of
+	// the same digest is twice as long, up to MaxDuration.
+	FirstDuration time.Duration
+	MaxDuration   time.Duration
+	// MassCrashes crashes within MassWindow that have no request in common are
+	// a mass failure and don't count.
 	MassCrashes int
 	MassWindow  time.Duration
-	// MaxSuspects bounds memory; the oldest are forgotten first.
+	// MaxSuspects limits memory use; the suspects that expire first are removed
+	// first.
 	MaxSuspects int
 }
 
 // DefaultConfig returns the default settings.
 //
-// An hour outlasts a caller's patience between resends. Requests that crash an
-// engine mostly do so in their prefill, within a second, so a trial costs an
-// upstream two to four seconds of fresh starts, in turns with at least as long
-// for them. A suspect that was older at its crash than the longest trial covers
-// is found by a third crash instead. Five minutes is short for an
-// innocent and long against the minute or so that an engine needs to restart.
-// Two bad requests at once must not look like a lost rack, so three crashes
-// are needed.
+// An hour is longer than callers wait between resends. Requests that crash an
+// engine mostly do so in their prefill, within a second, so a trial keeps other
+// requests off an upstream for two to four seconds, followed by a gap of at
+// least the same length for them. A suspect that had run longer at its crash
+// than the longest trial covers is found by a third crash instead. Five minutes
+// is short for a harmless request, and long compared with the minute or so that
+// an engine needs to restart. Two bad requests at once must not look like a
+// lost rack, so three crashes are needed.
 func DefaultConfig() Config {
 	return Config{
 		SuspectFor:    time.Hour,
-		Proven:        time.Second,
+		ProvenAfter:   time.Second,
 		MinTrial:      time.Second,
 		MaxTrial:      3 * time.Second,
 		TrialFactor:   2,
-		FreshWindow:   time.Second,
-		FirstSentence: 5 * time.Minute,
-		MaxSentence:   24 * time.Hour,
+		MinTrialGap:   time.Second,
+		FirstDuration: 5 * time.Minute,
+		MaxDuration:   24 * time.Hour,
 		MassCrashes:   3,
 		MassWindow:    2 * time.Second,
 		MaxSuspects:   4096,
--- a/daemon/gossip_test.go
+++ b/daemon/gossip_test.go
@@ -54,7 +54,7 @@
 	f.setUp()
 	f.engine("e1", nil)
 	digest := quarantine.DigestOf("a", []byte(chatBody))
-	f.daemons[0].spread(quarantine.Notice{Kind: quarantine.CondemnNotice, Crash: 7, Digest: digest, Strikes: 1, Seconds: 600})
+	f.daemons[0].spread(quarantine.Notice{Kind: quarantine.QuarantineNotice, Crash: 7, Digest: digest, Strikes: 1, Seconds: 600})
 	for i := 1; i < 3; i++ {
 		f.await("another router refuses the request", func() bool {
 			_, _, body := f.call(i, "/v1/chat/completions", chatBody)
