--- a/daemon/router/fleet.go
+++ b/daemon/router/fleet.go
@@ -17,23 +17,25 @@
 // Table implements forward.Fleet.
 func (r *Router) Table() *routing.Index { return r.table.Load() }
 
-// settlingFor is how long after its start a router may still learn what it needs
-// at any moment: an election of the disk VMs and two announcements of upstreams.
-const settlingFor = 4 * time.Second
+// warmUpPeriod is how long after its start a router that lacks the table or upstreams may
+// still learn them at any moment: an election of the disk VMs and two announcements of the
+// upstreams fit into it.
+const warmUpPeriod = 4 * time.Second
 
 // WarmingUp implements forward.Fleet.
 func (r *Router) WarmingUp() bool {
-	if r.now() >= settlingFor {
+	if r.now() >= warmUpPeriod {
 		return false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.knewEnough = r.knewEnough || r.knowsEnough()
-	return !r.knewEnough
+	r.initialized = r.initialized || r.hasTableAndUpstreams()
+	return !r.initialized
 }
 
-// knowsEnough reports whether callers can be served well. The lock is held.
-func (r *Router) knowsEnough() bool {
+// hasTableAndUpstreams reports whether the router knows a table, an upstream that is
+// ready and most of the upstreams that the disk VMs list. The lock is held.
+func (r *Router) hasTableAndUpstreams() bool {
 	return r.table.Load() != nil && r.balancer.AnyReady() && r.follower.KnowsMostUpstreams(r.now())
 }
 
@@ -45,16 +47,16 @@
 	request := balance.Request{Service: job.Service, Tried: job.Tried, NoRetry: job.LastAttempt(), AllowTried: job.ErrorFrom != ""}
 	request.Prompt, request.HasPrompt = job.SharedPrefixKey()
 	request.SharedPrefixes = job.ShorterPrefixKeys()
-	known, first := r.limiter(job.Service), len(job.Tried) == 0
+	limiter, first := r.limiter(job.Service), len(job.Tried) == 0
 	if first {
-		request.LoadLimit = known.Arrived(now, job.Customer)
+		request.LoadLimit = limiter.Arrived(now, job.Customer)
 	}
 	choice := r.balancer.Pick(now, r.random, request)
 	if choice.ID != "" {
 		r.balancer.Started(choice.ID)
 	}
 	if first && choice.ID != "" {
-		known.Admitted(now)
+		limiter.Admitted(now)
 	}
 	return choice
 }
@@ -76,29 +78,30 @@
 	r.balancer.RecordResult(r.now(), upstream, result)
 }
 
-// kindOf returns the kind of an attempt's answer.
-func kindOf(job forward.Job, choice balance.Choice) answertime.Kind {
+// answerKind returns the kind of an attempt's answer, by which answer times are compared.
+func answerKind(job forward.Job, choice balance.Choice) answertime.Kind {
 	_, prompt := job.SharedPrefixKey()
 	return answertime.Kind{Route: job.Route.Name, Cold: prompt && choice.Reason != balance.ReasonCacheHolder && choice.CopyFrom == ""}
 }
 
-// OverdueAfter implements forward.Fleet. An upstream that hasn't lost requests lately is
-// given the longest time: of a hundred answers that take six times as long as usual
-// without a fault, each would be asked for twice, and read twice.
-func (r *Router) OverdueAfter(job forward.Job, choice balance.Choice, most time.Duration) time.Duration {
+// OverdueAfter implements forward.Fleet. It returns maxSilence for an upstream that hasn't
+// lost requests lately. If such an upstream merely takes six times as long as usual for a
+// hundred answers, a shorter time would request each of them again, and each prompt would be
+// processed twice.
+func (r *Router) OverdueAfter(job forward.Job, choice balance.Choice, maxSilence time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.balancer.IsOutlier(r.now(), choice.ID) {
-		return most
+		return maxSilence
 	}
-	return r.times.Timeout(kindOf(job, choice), most)
+	return r.times.Timeout(answerKind(job, choice), maxSilence)
 }
 
 // AnswerOverdue implements forward.Fleet.
 func (r *Router) AnswerOverdue(job forward.Job, choice balance.Choice, after time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.times.Record(kindOf(job, choice), after)
+	r.times.Record(answerKind(job, choice), after)
 	r.balancer.Overdue(r.now(), choice.ID)
 }
 
@@ -106,7 +109,7 @@
 func (r *Router) AnswerBegan(job forward.Job, choice balance.Choice, took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.times.Record(kindOf(job, choice), took)
+	r.times.Record(answerKind(job, choice), took)
 	if prompt, any := job.SharedPrefixKey(); any {
 		r.balancer.ConfirmCached(r.now(), choice.ID, prompt, job.ShorterPrefixKeys())
 	}
@@ -114,12 +117,12 @@
 
 // limiter returns the load limiter of a service. The lock is held.
 func (r *Router) limiter(service protocol.Service) *room.Limiter {
-	c := r.limiters[service]
-	if c == nil {
-		c = room.NewLimiter()
-		r.limiters[service] = c
+	limiter := r.limiters[service]
+	if limiter == nil {
+		limiter = room.NewLimiter()
+		r.limiters[service] = limiter
 	}
-	return c
+	return limiter
 }
 
 // AnswerTimed implements forward.Fleet.
@@ -129,7 +132,7 @@
 	r.limiter(job.Service).Record(r.now(), choice.Load, inTime)
 }
 
-// window returns the retries of a service. The lock is held.
+// window returns the retry budget of a service. The lock is held.
 func (r *Router) window(service protocol.Service) *retry.Window {
 	w := r.windows[service]
 	if w == nil {
@@ -167,14 +170,15 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	crash := crashes.Crash{Digest: digest, Upstream: upstream, Attempt: r.random.Uint64()}
-	r.noteCrash(r.now(), crash)
+	r.recordCrash(r.now(), crash)
 	for _, other := range r.routers {
 		r.fabric.Send(other.ID, crash)
 	}
 }
 
-// noteCrash counts a crash. The lock is held.
-func (r *Router) noteCrash(now time.Duration, crash crashes.Crash) {
+// recordCrash counts a crash and logs if the request is quarantined for it. The lock is
+// held.
+func (r *Router) recordCrash(now time.Duration, crash crashes.Crash) {
 	if r.crashes.Note(now, crash) {
 		r.log.Warn().Str("event", "request-condemned").Uint64("digest", crash.Digest).Str("upstream", string(crash.Upstream)).Send()
 	}
