--- a/coordination/loadbench/serving.go
+++ b/coordination/loadbench/serving.go
@@ -166,13 +166,13 @@
 
 func (s *serving) submit(j *job) {
 	r := admission.Request{
-		ID:       protocol.RequestID(fmt.Sprint(j.id)),
-		Customer: j.demand.Customer,
-		Class:    j.demand.Class,
-		Weight:   j.demand.Weight,
-		Tokens:   j.tokens,
-		AnswerTokens:    j.tokens,
-		Deadline: j.deadline,
+		ID:           protocol.RequestID(fmt.Sprint(j.id)),
+		Customer:     j.demand.Customer,
+		Class:        j.demand.Class,
+		Weight:       j.demand.Weight,
+		Tokens:       j.tokens,
+		AnswerTokens: j.tokens,
+		Deadline:     j.deadline,
 	}
 	outcome := s.queue.Submit(s.Now(), r, s.gate)
 	switch outcome.Kind {
--- a/coordination/node/owner.go
+++ b/coordination/node/owner.go
@@ -287,13 +287,13 @@
 func (n *Node) submit(now time.Duration, target *owned, r *relay) {
 	id := queueID(r.place.Attempt)
 	outcome := target.queue.Submit(now, admission.Request{
-		ID:       id,
-		Customer: r.place.Customer,
-		Class:    admission.Class(r.place.Class),
-		Weight:   r.place.Weight,
-		Tokens:   int(math.Ceil(r.cost)),
-		Deadline: r.deadline,
-		AnswerTokens:    r.steps(),
+		ID:           id,
+		Customer:     r.place.Customer,
+		Class:        admission.Class(r.place.Class),
+		Weight:       r.place.Weight,
+		Tokens:       int(math.Ceil(r.cost)),
+		Deadline:     r.deadline,
+		AnswerTokens: r.steps(),
 	}, n.gate(now, target))
 	switch outcome.Kind {
 	case admission.Admitted:
--- a/coordination/node/upstreams.go
+++ b/coordination/node/upstreams.go
@@ -104,7 +104,7 @@
 func (n *Node) grant(target *owned) loadbound.Grant {
 	return loadbound.Grant{
 		Fence:       target.config.Fence,
-		ExpiresAt:       n.leaseUntil,
+		ExpiresAt:   n.leaseUntil,
 		Capacity:    max(1, target.config.Capacity),
 		MaxRequests: target.config.MaxConcurrent,
 		Reported:    target.reported,
--- a/coordination/placement/owner.go
+++ b/coordination/placement/owner.go
@@ -188,7 +188,7 @@
 	prompt := ask.Chain[len(ask.Chain)-1].Tokens
 	saved := hit.Expected()
 	judged := o.ledger.Evaluate(now, ask.Upstream, loadbound.Request{
-		Cost: waiting + o.policy.Cost(prompt, saved, ask.OutputTokens),
+		Cost:       waiting + o.policy.Cost(prompt, saved, ask.OutputTokens),
 		OthersLoad: ask.Seen,
 	})
 	return Answer{
@@ -236,10 +236,10 @@
 	prompt := ask.Chain[len(ask.Chain)-1].Tokens
 	saved := hit.Expected()
 	decision := o.ledger.Admit(now, ask.Upstream, loadbound.Request{
-		Cost:     o.policy.Cost(prompt, saved, ask.OutputTokens),
-		Multiple: o.policy.SoftMultiple(saved),
-		OthersLoad:     ask.Seen,
-		LastChoice:    ask.Stage == Final,
+		Cost:       o.policy.Cost(prompt, saved, ask.OutputTokens),
+		Multiple:   o.policy.SoftMultiple(saved),
+		OthersLoad: ask.Seen,
+		LastChoice: ask.Stage == Final,
 	})
 	answer := Answer{
 		Verdict:    verdictOf(decision.Outcome),
--- a/coordination/placement/tracebench/owners.go
+++ b/coordination/placement/tracebench/owners.go
@@ -144,10 +144,10 @@
 	e.fence++
 	s.ownerOf[engine] = router
 	s.ledgers[router].Acquire(now, e.id, loadbound.Grant{
-		Fence:    e.fence,
-		ExpiresAt:    s.w.end + time.Hour,
-		Capacity: e.capacity,
-		Reported: e.reported,
+		Fence:     e.fence,
+		ExpiresAt: s.w.end + time.Hour,
+		Capacity:  e.capacity,
+		Reported:  e.reported,
 	})
 	s.owners[router].Hold(now, e.id, e.incarnation, indexEntries)
 	for _, r := range e.running {
