--- a/coordination/admission/config.go
+++ b/coordination/admission/config.go
@@ -17,8 +17,7 @@
 	// ClassWeight multiplies the weights of a class's customers.
 	ClassWeight [NumClasses]float64
 	// BurstTokens is the number of tokens by which all waiting customers
-	// together may exceed their shares and still be served in the order of
-	// classes, before work beyond a share.
+	// together may be ahead of their shares and still count as within them.
 	BurstTokens float64
 	// CreditTokens is how many tokens an idle customer may save up: after an
 	// idle time, it may receive this much more than its share.
--- a/coordination/admission/doc.go
+++ b/coordination/admission/doc.go
@@ -16,9 +16,9 @@
 //
 //   - Customers have virtual clocks (start-time fair queueing): each advances by
 //     tokens/weight as the customer's work starts, and the queue's own clock
-//     advances as if all waiting customers were served at once by weight. A customer whose
-//     clock is no further ahead than Config.BurstTokens allows is within its
-//     share.
+//     advances as if all waiting customers were served at once by weight. A
+//     customer whose clock is no further ahead than Config.BurstTokens allows
+//     is within its share.
 //   - Work within its customer's share goes first, in the order of classes.
 //     Only when there is none does work beyond a share start, again in the order
 //     of classes. So urgent requests go before summaries, but a customer
--- a/coordination/limits/home.go
+++ b/coordination/limits/home.go
@@ -10,8 +10,8 @@
 // Home keeps the accounts of the customers whose home this router is. It
 // handles up to some tens of credit requests per second.
 //
-// It prevents that a customer gets its whole limit from each router: it takes
-// credit out of the customer's one bucket before it grants the credit.
+// It prevents a customer from getting its whole limit from each router: it
+// takes credit out of the customer's one bucket before it grants the credit.
 type Home struct {
 	config   Config
 	accounts map[customerKey]*account
@@ -132,12 +132,12 @@
 // isNewer reports whether a request is newer than all earlier ones of this
 // router, and records it. Otherwise a duplicated request would be granted
 // twice.
-func (h *routerAccount) isNewer(incarnation, sequence uint32) bool {
-	if incarnation < h.incarnation || incarnation == h.incarnation && sequence <= h.sequence {
+func (r *routerAccount) isNewer(incarnation, sequence uint32) bool {
+	if incarnation < r.incarnation || incarnation == r.incarnation && sequence <= r.sequence {
 		return false
 	}
-	h.incarnation = incarnation
-	h.sequence = sequence
+	r.incarnation = incarnation
+	r.sequence = sequence
 	return true
 }
 
@@ -232,7 +232,7 @@
 	}
 	ahead := own * fraction * period.Seconds()
 	if fraction == 1 {
-		ahead = max(0, min(ahead*demandMargin, b.level/maxLevelFraction))
+		ahead = max(0, min(ahead*demandMargin, b.level/levelDivisor))
 	}
 	grant := math.Floor(max(float64(wanted), ahead))
 	if fraction == 1 || own == 0 {
@@ -246,10 +246,10 @@
 	// demandMargin covers the ordinary changes of a router's demand over a
 	// period.
 	demandMargin = 1.25
-	// maxLevelFraction is the divisor that limits credit granted in advance to
-	// a quarter of the bucket's level, so that the first of many routers
-	// doesn't take the credit that the other routers' callers wait for.
-	maxLevelFraction = 4
+	// levelDivisor limits the credit that is granted in advance to a quarter of
+	// the bucket's level, so that the first of many routers doesn't take the
+	// credit that the other routers' callers wait for.
+	levelDivisor = 4
 	// minDepth is the minimum depth of a bucket, as the time in which its rate
 	// fills it.
 	minDepth = 2 * time.Second
--- a/coordination/limits/limiter.go
+++ b/coordination/limits/limiter.go
@@ -13,7 +13,7 @@
 // credit and requests more. It decides about every request of a limited
 // customer.
 //
-// It prevents that a customer above its limit takes capacity that other
+// It prevents a customer above its limit from taking capacity that other
 // customers pay for.
 type Limiter struct {
 	config      Config
--- a/coordination/loadbound/doc.go
+++ b/coordination/loadbound/doc.go
@@ -10,15 +10,15 @@
 //
 // The owner also needs the load of the whole fleet, which it knows only from
 // other owners' summaries, which are late. An overstated total would let the
-// owner exceed the bound, so the Ledger uses a floor: a lower bound that is
-// never above the true total:
+// owner exceed the bound, so the Ledger uses a floor, which is never
+// above the true total:
 //
 //   - its own part is exact;
 //   - every other part counts as (1 - CancelShare) x reported - drain x age,
 //     where drain is DrainFactor x the capacity in that report, the
 //     fastest rate at which engines can finish work;
 //   - age is bounded from above without synchronised clocks: a summary echoes
-//     the last sequence number that the sender received from the receiver, so
+//     the last sequence number that its sender received from this router, so
 //     it can't be older than the time since that number was sent.
 //
 // Cancellations, early ends and failures of a whole upstream can remove load
--- a/coordination/loadbound/ledger.go
+++ b/coordination/loadbound/ledger.go
@@ -260,12 +260,12 @@
 // in any small fleet. The upstream with the least work turns a request away,
 // because its owner doesn't know yet what the others admitted a moment ago, and
 // callers wait for an exchange while engines idle.
-func (l *Ledger) applyOthersLoad(fleet *fleetView, load, seen float64) {
-	if !(seen > 0) || math.IsInf(seen, 0) {
+func (l *Ledger) applyOthersLoad(fleet *fleetView, load, others float64) {
+	if !(others > 0) || math.IsInf(others, 0) {
 		return
 	}
-	fleet.floor = max(fleet.floor, load+(1-l.config.CancelShare)*seen)
-	fleet.reported = max(fleet.reported, load+seen)
+	fleet.floor = max(fleet.floor, load+(1-l.config.CancelShare)*others)
+	fleet.reported = max(fleet.reported, load+others)
 }
 
 // deny turns a decision into Spill, or into Queue for the last choice.
--- a/coordination/quarantine/tracker.go
+++ b/coordination/quarantine/tracker.go
@@ -15,7 +15,9 @@
 	digest   Digest
 	customer protocol.CustomerID
 	started  time.Duration
-	copies   int
+	// copies is how many times the request runs on the upstream at the same
+	// time.
+	copies int
 	// trialEnds is the end of the trial of a suspect that started alone, with
 	// only proven requests beside it; no other request should start until then.
 	// It is zero for other requests. alone becomes false if another request
@@ -50,8 +52,9 @@
 // fleet.
 //
 // It handles every start and end of a request, and rare crashes with up to a
-// few hundred requests in flight. It prevents that one request crashes the
-// fleet engine by engine, and that harmless requests are refused because of it.
+// few hundred requests in flight. It prevents one request from crashing the
+// fleet engine by engine, and harmless requests from being refused because of
+// it.
 type Tracker struct {
 	config       Config
 	upstreams    map[protocol.UpstreamID]map[Digest]*run
@@ -85,8 +88,8 @@
 
 // MayStart reports whether a request may start on an upstream now. A suspect
 // waits until it can run alone, and other requests wait for the end of a trial,
-// both at most until by, the latest start that meets their deadline: being a
-// suspect alone must not make a harmless request late.
+// both at most until by, the latest start that meets their deadline: a harmless
+// request must not be late only because it is a suspect.
 func (t *Tracker) MayStart(now time.Duration, upstream protocol.UpstreamID, d Digest, by time.Duration) StartDecision {
 	result := t.Check(now, d)
 	if result.Status == Quarantined {
--- a/coordination/quarantine/types.go
+++ b/coordination/quarantine/types.go
@@ -36,7 +36,7 @@
 const (
 	// HoldNone means that the request may start.
 	HoldNone Hold = iota
-	// HoldTrial means that a suspect is on trial there, or that an upstream is
+	// HoldTrial means that a suspect is on trial there, or that the upstream is
 	// reserved for a trial or for requests that aren't suspects.
 	HoldTrial
 	// HoldRecentStart means that the suspect waits until the requests that
@@ -94,8 +94,9 @@
 	// SuspectFor is how long a suspect is remembered. It must be longer than
 	// the pause after which callers send a request again.
 	SuspectFor time.Duration
-	// ProvenAfter is how long a request must have run before a crash in a
-	// suspect's trial isn't attributed to it.
+	// ProvenAfter is how long a request must have run to count as proven: a
+	// crash in the trial of a suspect beside it is then not considered its
+	// fault.
 	ProvenAfter time.Duration
 	// MinTrial and MaxTrial bound how long a trial keeps other requests off the
 	// upstream. In between, the trial lasts TrialFactor times as long as the
