--- a/coordination/node/node.go
+++ b/coordination/node/node.go
@@ -191,7 +191,7 @@
 		n.entryAlive(now, in)
 	case PeerTotals:
 		n.ledger.Receive(now, in.From, in.Summary)
-		n.exchange.Heard(now, in.From)
+		n.exchange.RecordReceived(now, in.From)
 		n.shareTotals(now)
 	case PeerLimitAsk:
 		n.limitAsked(now, in)
@@ -305,9 +305,9 @@
 		return PeerCheck{From: from, Check: message}
 	case fleet.AttemptAlive:
 		return PeerAlive{Alive: message}
-	case limits.Ask:
+	case limits.CreditRequest:
 		return PeerLimitAsk{From: from, Ask: message}
-	case limits.Answer:
+	case limits.CreditGrant:
 		return PeerLimitAnswer{Answer: message}
 	}
 	panic("node: message of a type that isn't on the data path")
@@ -333,9 +333,9 @@
 		return wire.KindAttemptCheck
 	case fleet.AttemptAlive:
 		return wire.KindAttemptAlive
-	case limits.Ask:
+	case limits.CreditRequest:
 		return wire.KindLimitAsk
-	case limits.Answer:
+	case limits.CreditGrant:
 		return wire.KindLimitAnswer
 	}
 	panic("node: message of a type that isn't on the data path")
--- a/coordination/node/owner.go
+++ b/coordination/node/owner.go
@@ -287,13 +287,13 @@
 func (n *Node) submit(now time.Duration, target *owned, r *relay) {
 	id := queueID(r.place.Attempt)
 	outcome := target.queue.Submit(now, admission.Request{
-		ID:       id,
-		Customer: r.place.Customer,
-		Class:    admission.Class(r.place.Class),
-		Weight:   r.place.Weight,
-		Tokens:   int(math.Ceil(r.cost)),
-		Deadline: r.deadline,
-		Steps:    r.steps(),
+		ID:           id,
+		Customer:     r.place.Customer,
+		Class:        admission.Class(r.place.Class),
+		Weight:       r.place.Weight,
+		Tokens:       int(math.Ceil(r.cost)),
+		Deadline:     r.deadline,
+		AnswerTokens: r.steps(),
 	}, n.gate(now, target))
 	switch outcome.Kind {
 	case admission.Admitted:
@@ -340,7 +340,7 @@
 		if !target.isEngine() {
 			return len(target.running) < target.config.MaxConcurrent
 		}
-		decision := n.ledger.Judge(now, target.id, loadbound.Ask{Cost: float64(tokens), Seen: target.heardBeside(now), Final: true})
+		decision := n.ledger.Evaluate(now, target.id, loadbound.Request{Cost: float64(tokens), OthersLoad: target.heardBeside(now), LastChoice: true})
 		return decision.Outcome == loadbound.Admit
 	}
 }
--- a/coordination/node/relay.go
+++ b/coordination/node/relay.go
@@ -92,7 +92,7 @@
 	if target.done == 0 && len(target.running) == 0 {
 		return
 	}
-	target.queue.Drained(now, target.done, len(target.running))
+	target.queue.RecordProgress(now, target.done, len(target.running))
 	target.done = 0
 }
 
@@ -153,7 +153,7 @@
 }
 
 // drop takes an attempt out of every count of its upstream.
-func (n *Node) drop(now time.Duration, target *owned, r *relay, ending quarantine.End, cached int, whole bool) {
+func (n *Node) drop(now time.Duration, target *owned, r *relay, ending quarantine.RunEnd, cached int, whole bool) {
 	delete(target.running, r.place.Attempt)
 	delete(n.running, r.place.Attempt)
 	// What the answer did not need of its estimate is room as well.
