--- a/standin/answer/answer.go
+++ b/standin/answer/answer.go
@@ -1,15 +1,15 @@
 // Package answer computes the text that a stand-in engine gives to a chat.
 //
-// The answer depends on the request's model, messages and token limit and on
-// nothing else: no clock, no engine, no random source. A checker can therefore
-// recompute the whole expected answer from the request alone and compare it
-// byte for byte. That is how the load tool finds an answer that was cut, mixed
-// with a neighbour's, repeated in part after a resumption, or simply belongs
-// to another caller.
+// The answer depends only on the request's model, messages and token limit: not
+// on the clock, the engine or a random source. A checker can therefore recompute
+// the complete expected answer from the request alone and compare it byte for
+// byte. The load generator finds in this way an answer that was cut off, that is
+// mixed with the answer to another request, that repeats a part after a
+// resumption, or that belongs to another caller.
 //
-// A token is one made-up word and a space. Token i is drawn from a hash of the
+// A token is one made-up word and a space. Token i is derived from a hash of the
 // request and i, so an engine that resumes at token i needs no state from the
-// engine that began the answer.
+// engine that started the answer.
 package answer
 
 import (
@@ -18,27 +18,30 @@
 	"endiveplank/protocol/chat"
 )
 
-// Length of an answer whose request sets no max_tokens, in tokens.
+// An answer whose request sets no max_tokens has minTokens tokens and, depending
+// on the request's hash, up to spreadTokens-1 more.
 const (
 	minTokens    = 16
 	spreadTokens = 48
 )
 
-// Words are built of three syllables out of 16 consonants and 4 vowels:
-// 262,144 words, so that two answers agree by chance in one token in 262,144.
+// A word has three syllables, each of one of 16 consonants and one of 4 vowels.
+// That makes 262,144 words, so two different answers have the same token at a
+// given position with a probability of 1 in 262,144.
 const (
 	consonants = "bdfghjklmnprstvz"
 	vowels     = "aeio"
 	syllables  = 3
 )
 
-// Answer is the whole answer to one request.
+// Answer is the complete answer to one request. It computes its tokens on demand.
 type Answer struct {
 	seed   uint64
 	tokens int
 }
 
-// For returns the answer to a request. Whether it is streamed does not matter.
+// For returns the answer to a request. A streamed and a non-streamed request get
+// the same text.
 func For(request chat.Request) Answer {
 	links := chat.Chain(request.Model, request.Messages)
 	seed := uint64(0)
@@ -66,13 +69,13 @@
 	return string(append(word, ' '))
 }
 
-// Text returns the whole answer.
+// Text returns the complete answer.
 func (a Answer) Text() string {
 	return a.From(0)
 }
 
-// From returns the rest of the answer from token i on, which is what an engine
-// sends when it resumes there.
+// From returns the answer from token i to its end, which an engine sends when it
+// resumes at token i.
 func (a Answer) From(i int) string {
 	var text strings.Builder
 	for ; i < a.tokens; i++ {
@@ -81,7 +84,7 @@
 	return text.String()
 }
 
-// mix is the finaliser of splitmix64: every input bit affects every output bit.
+// mix is the finalizer of splitmix64: every input bit affects every output bit.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/standin/answer/answer_test.go
+++ b/standin/answer/answer_test.go
@@ -10,8 +10,9 @@
 	"endiveplank/standin/answer"
 )
 
-// The golden text pins the answer: a load tool and a stand-in built at
-// different commits must agree on it.
+// The load generator and the stand-in engine each compute the answer. If they are
+// built from different commits, they must still agree on it, so the text is fixed
+// here.
 func TestGoldenAnswer(t *testing.T) {
 	request := chat.Request{
 		Model:     "m1",
@@ -23,18 +24,20 @@
 	assert.Equal(t, answer.For(request).Len(), 62)
 }
 
-func TestRestFollowsFromAnyToken(t *testing.T) {
+// An engine that resumes at token i must send what the first engine would have
+// sent: the first i tokens and From(i) joined are the complete answer.
+func TestAnswerCanBeResumedAtAnyToken(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		request := chat.Request{
 			Model:     rapid.StringN(1, 8, -1).Draw(t, "model"),
 			Messages:  []chat.Message{{Role: "user", Content: rapid.String().Draw(t, "content")}},
 			MaxTokens: rapid.IntRange(0, 50).Draw(t, "max"),
 		}
-		whole := answer.For(request)
-		begun := ""
-		for i := range whole.Len() {
-			assert.Equal(t, begun+whole.From(i), whole.Text())
-			begun += whole.Token(i)
+		complete := answer.For(request)
+		sent := ""
+		for i := range complete.Len() {
+			assert.Equal(t, sent+complete.From(i), complete.Text())
+			sent += complete.Token(i)
 		}
 	})
 }
