--- a/cmd/endiveplank-standin/relay.go
+++ b/cmd/endiveplank-standin/relay.go
@@ -27,7 +27,7 @@
 			if err != nil {
 				return err
 			}
-			defer steering.Drop()
+			defer steering.Close()
 			fmt.Printf("standin: relay is steered at %s\n", steering.Address())
 			runUntilSignal("relay", "to "+to, r.Address(), func(context.Context) {})
 			return nil
--- a/standin/desk/desk.go
+++ b/standin/desk/desk.go
@@ -1,14 +1,15 @@
-// Package desk is a small order desk: a plain service whose orders may not be
-// repeated.
+// Package desk is a stand-in for an order desk: an upstream whose requests are
+// orders, which may run at most once.
 //
-// POST on a path that ends in /orders runs an order. The desk does not
-// recognise a repetition; it records every run, so that GET /audit shows an
-// order that ran twice or not at all. The answer depends on the key and the
-// body alone, so a caller can check that it got its own.
+// POST on a path that ends in /orders runs an order. The desk doesn't detect a
+// duplicate. It records every run, so that GET /audit shows an order that ran
+// twice or not at all. The answer depends only on the key and the body, so a
+// caller can check that it got its own answer.
 //
-// Its faults cover the moments at which a router can lose track of an order:
-// a crash before the run, a crash after it, an answer that is lost after the
-// run, a slow run, and silence without closing.
+// Server serves the desk over HTTP. Its Faults are the failures that leave a
+// router unsure whether an order ran: a crash before or after the run, an answer
+// that is lost after the run, a slow run, and a connection that goes silent
+// without being closed.
 package desk
 
 import (
@@ -28,36 +29,39 @@
 	"endiveplank/standin/host"
 )
 
-// OrdersSuffix ends the paths that take orders.
+// OrdersSuffix is the end of every path that accepts orders.
 const OrdersSuffix = "/orders"
 
-// Capacity and concurrency that a desk announces.
+// The capacity and the concurrency limit that a desk announces.
 const (
 	deskCapacity      = 1000
 	deskMaxConcurrent = 64
 )
 
-// Settings describe one server of the desk.
+// Settings are the settings of one desk.
 type Settings struct {
 	ID         protocol.UpstreamID
 	Service    protocol.Service
 	DataCentre protocol.DataCentre
 	// Listen is the host:port to serve on.
 	Listen string
-	// Announce holds the routers' upstream addresses, host:port.
+	// Announce holds the addresses at which routers take announcements, host:port.
 	Announce []string
-	// Journal is the file that keeps runs over a restart; empty for none.
+	// Journal is the file that keeps the runs across restarts. If it is empty,
+	// runs are kept in memory only.
 	Journal string
-	// Seed drives the faults that strike with a probability.
+	// Seed seeds the random source of the faults that have a probability.
 	Seed   uint64
 	Faults Faults
-	// OnCrash and RestartAfter work as those of an engine.
+	// OnCrash is called when a fault crashes the desk. If it is nil, the desk
+	// closes its listener and connections instead and restarts after RestartAfter,
+	// or never if that is zero.
 	OnCrash      func()
 	RestartAfter time.Duration
 }
 
-// Faults are what a desk can be made to do wrong. POST /faults takes any
-// subset of the fields as JSON and GET /faults returns them all.
+// Faults are the failures that a desk can simulate. POST /faults takes any
+// subset of the fields as JSON, and GET /faults returns all of them.
 type Faults struct {
 	// SlowMs delays each run, in milliseconds.
 	SlowMs int `json:"slow_ms"`
@@ -68,16 +72,17 @@
 	// after a run.
 	CrashBefore float64 `json:"crash_before"`
 	CrashAfter  float64 `json:"crash_after"`
-	// Silent hangs every request without closing.
+	// Silent makes every request hang without closing the connection.
 	Silent bool `json:"silent"`
-	// SilentAfter runs orders and then hangs without an answer.
+	// SilentAfter makes every request hang without an answer after its order has
+	// run.
 	SilentAfter bool `json:"silent_after"`
-	// ForgetOpen hangs the connections open at this moment for good. It reads
-	// back as false.
+	// ForgetOpen makes the connections that are open at this moment hang for good.
+	// It is an action, not a state, and reads back as false.
 	ForgetOpen bool `json:"forget_open,omitempty"`
 	// Mute stops the announcements.
 	Mute bool `json:"mute"`
-	// Leaving announces that the desk takes no more work.
+	// Leaving announces that the desk accepts no more orders.
 	Leaving bool `json:"leaving"`
 }
 
@@ -88,20 +93,21 @@
 	Status string `json:"status"`
 }
 
-// AnswerFor returns the answer to an order, the same at every run of it.
+// AnswerFor returns the answer to an order. Every run of the order gives the same
+// answer.
 func AnswerFor(key string, body []byte) Answer {
 	digest := fmt.Sprintf("%016x", xxhash.Sum64(body))
 	return Answer{Key: key, Digest: digest, Status: "accepted"}
 }
 
-// Server is a desk behind HTTP.
+// Server serves a desk over HTTP.
 type Server struct {
-	settings Settings
-	host     *host.Host
-	life     *host.Life
-	ready    chan struct{} // closed once host is set
-	stop     context.CancelFunc
-	stopped  sync.WaitGroup
+	settings  Settings
+	host      *host.Host
+	lifecycle *host.Lifecycle
+	ready     chan struct{} // closed once host is set
+	stop      context.CancelFunc
+	stopped   sync.WaitGroup
 
 	mu      sync.Mutex
 	faults  Faults
@@ -110,7 +116,7 @@
 	running int
 }
 
-// Start serves a desk and announces it until Close.
+// Start serves a desk and announces it to the routers until Close.
 func Start(settings Settings) (*Server, error) {
 	ledger, err := openLedger(settings.Journal)
 	if err != nil {
@@ -132,7 +138,7 @@
 		return nil, err
 	}
 	s.host = h
-	s.life = host.NewLife(h, settings.OnCrash, settings.RestartAfter)
+	s.lifecycle = host.NewLifecycle(h, settings.OnCrash, settings.RestartAfter)
 	h.SetSilent(settings.Faults.Silent)
 	close(s.ready)
 	s.stopped.Add(1)
@@ -143,28 +149,28 @@
 // Address returns the host:port that the desk serves on.
 func (s *Server) Address() string { return s.host.Address() }
 
-// Close ends the desk at once, as the end of a process does.
+// Close stops the desk immediately, as when its process dies.
 func (s *Server) Close() {
 	s.stop()
-	s.host.Drop()
+	s.host.Close()
 	s.stopped.Wait()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ledger.close()
 }
 
-// Shutdown ends the desk gracefully: it announces that it is leaving, waits
-// for the orders in flight until ctx ends, and says goodbye.
+// Shutdown stops the desk gracefully: it announces that the desk is leaving, waits
+// for the orders in flight until ctx ends, and sends the leave message.
 func (s *Server) Shutdown(ctx context.Context) {
 	faults := s.Faults()
 	faults.Leaving = true
 	s.SetFaults(faults)
-	announcer := host.Announcer{Targets: s.settings.Announce, Build: s.announcement}
-	announcer.Depart(ctx, func(ctx context.Context) { _ = s.host.Shutdown(ctx) })
+	announcer := host.Announcer{Routers: s.settings.Announce, BuildAnnouncement: s.announcement}
+	announcer.DrainAndLeave(ctx, func(ctx context.Context) { _ = s.host.Shutdown(ctx) })
 	s.Close()
 }
 
-// Audit returns every run so far.
+// Audit returns all runs so far.
 func (s *Server) Audit() Audit {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -178,7 +184,7 @@
 	return s.faults
 }
 
-// SetFaults puts faults in force.
+// SetFaults replaces the faults in force.
 func (s *Server) SetFaults(faults Faults) {
 	if faults.ForgetOpen {
 		s.host.ForgetOpen()
@@ -190,17 +196,17 @@
 	s.host.SetSilent(faults.Silent)
 }
 
-// announce tells the routers about the desk until ctx ends.
+// announce announces the desk to the routers until ctx ends.
 func (s *Server) announce(ctx context.Context) {
 	defer s.stopped.Done()
-	announcer := host.Announcer{Targets: s.settings.Announce, Build: s.announcement}
+	announcer := host.Announcer{Routers: s.settings.Announce, BuildAnnouncement: s.announcement}
 	announcer.Run(ctx)
 }
 
-// announcement builds the next announcement; ok is false while the desk is
-// mute or down.
+// announcement builds the next announcement. It returns false while the desk is
+// muted or down.
 func (s *Server) announcement() (upstreamapi.Announcement, bool) {
-	incarnation, sequence, up := s.life.Stamp()
+	incarnation, sequence, up := s.lifecycle.NextSequence()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return upstreamapi.Announcement{
@@ -218,12 +224,13 @@
 	}, up && !s.faults.Mute
 }
 
-// routes maps the desk's paths.
+// routes returns the handler of the desk's paths. The control paths stay reachable
+// while the desk is silent.
 func (s *Server) routes() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /", func(w http.ResponseWriter, r *http.Request) {
 		<-s.ready
-		s.host.Gated(s.post)(w, r)
+		s.host.Gated(s.servePost)(w, r)
 	})
 	mux.HandleFunc("GET /audit", func(w http.ResponseWriter, _ *http.Request) {
 		host.WriteJSON(w, http.StatusOK, s.Audit())
@@ -242,8 +249,8 @@
 	return mux
 }
 
-// post serves orders and refuses everything else.
-func (s *Server) post(w http.ResponseWriter, r *http.Request) {
+// servePost runs orders and refuses POST on all other paths.
+func (s *Server) servePost(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, host.MaxBody))
 	if err != nil {
 		return
@@ -258,58 +265,59 @@
 		host.WriteError(w, http.StatusBadRequest, "no-key", "an order needs an "+protocol.IdempotencyKeyHeader)
 		return
 	}
-	s.run(w, r, key, body)
+	s.runOrder(w, r, key, body)
 }
 
-// run runs one order under the faults in force.
-func (s *Server) run(w http.ResponseWriter, r *http.Request, key string, body []byte) {
-	faults := s.enter()
-	defer s.leave()
-	if s.strikes(faults.CrashBefore) {
-		s.life.Crash(func() {})
+// runOrder runs one order with the faults that are in force when it starts.
+func (s *Server) runOrder(w http.ResponseWriter, r *http.Request, key string, body []byte) {
+	faults := s.beginRun()
+	defer s.endRun()
+	if s.occurs(faults.CrashBefore) {
+		s.lifecycle.Crash(func() {})
 		return
 	}
 	time.Sleep(time.Duration(faults.SlowMs) * time.Millisecond)
 	answer := AnswerFor(key, body)
 	run := Run{Key: key, Digest: answer.Digest, Request: r.Header.Get(protocol.RequestIDHeader)}
-	if err := s.record(run); err != nil {
+	if err := s.recordRun(run); err != nil {
 		host.WriteError(w, http.StatusInternalServerError, "journal", err.Error())
 		return
 	}
 	switch {
-	case s.strikes(faults.CrashAfter):
-		s.life.Crash(func() {})
-	case s.strikes(faults.LoseAnswer):
-		// The idiom of net/http to close the connection without an answer.
+	case s.occurs(faults.CrashAfter):
+		s.lifecycle.Crash(func() {})
+	case s.occurs(faults.LoseAnswer):
+		// This panic makes net/http close the connection without an answer.
 		panic(http.ErrAbortHandler)
 	case faults.SilentAfter:
 		<-r.Context().Done()
-	case s.host.Pass(r.Context()) == nil:
+	case s.host.WaitWhileSilent(r.Context()) == nil:
 		host.WriteJSON(w, http.StatusOK, answer)
 	}
 }
 
-func (s *Server) enter() Faults {
+// beginRun counts an order as running and returns the faults in force.
+func (s *Server) beginRun() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running++
 	return s.faults
 }
 
-func (s *Server) leave() {
+func (s *Server) endRun() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running--
 }
 
-func (s *Server) record(run Run) error {
+func (s *Server) recordRun(run Run) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ledger.add(run)
 }
 
-// strikes draws whether a fault of the given probability happens.
-func (s *Server) strikes(probability float64) bool {
+// occurs decides at random whether a fault of the given probability occurs.
+func (s *Server) occurs(probability float64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return probability > 0 && s.rng.Float64() < probability
--- a/standin/desk/desk_test.go
+++ b/standin/desk/desk_test.go
@@ -24,13 +24,13 @@
 	return server
 }
 
-// order posts an order; an error means that no answer came.
+// order posts an order. An error means that no complete answer arrived.
 func order(server *desk.Server, key, body string) (desk.Answer, error) {
 	request, _ := http.NewRequest(http.MethodPost, "http://"+server.Address()+desk.OrdersSuffix, strings.NewReader(body))
 	request.Header.Set(protocol.IdempotencyKeyHeader, key)
 	var answer desk.Answer
-	// Without reuse of connections, the client does not send a request again
-	// by itself.
+	// With reused connections, the client could send a request a second time
+	// itself.
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Minute}
 	reply, err := client.Do(request)
 	if err != nil {
@@ -44,8 +44,9 @@
 	return answer, json.Unmarshal(read, &answer)
 }
 
-// A router that sends an order twice after any of these faults doubles it. The
-// audit must tell "ran and the answer was lost" from "did not run".
+// After each of these faults, a router that gets no answer must not retry, since
+// the order may have run. The audit must distinguish an order that ran and whose
+// answer was lost from one that did not run. The desk must restart after a crash.
 func TestFaultsAroundTheRun(t *testing.T) {
 	cases := map[string]struct {
 		faults   desk.Faults
@@ -76,9 +77,10 @@
 	}
 }
 
-// The desk itself lets an order run twice, also across a restart; that the
-// audit shows it is what makes a doubled order visible.
-func TestDoubledRunIsVisibleAcrossRestart(t *testing.T) {
+// The desk runs a duplicate order again, and the audit must show both runs even if
+// the desk restarted between them. Otherwise a test of the fleet would miss the
+// duplicate.
+func TestDuplicateRunIsVisibleAcrossRestart(t *testing.T) {
 	journal := filepath.Join(t.TempDir(), "runs.jsonl")
 	for range 2 {
 		server := start(t, desk.Settings{Journal: journal})
--- a/standin/desk/ledger.go
+++ b/standin/desk/ledger.go
@@ -13,32 +13,32 @@
 	Key string `json:"key"`
 	// Digest is the hash of the order's body, 16 hexadecimal digits.
 	Digest string `json:"digest"`
-	// Request is the fleet's name of the request that ran.
+	// Request is the request ID of the order that ran.
 	Request string `json:"request"`
 }
 
-// KeyRuns is what the audit says about one idempotency key.
+// KeyRuns holds the runs of the orders with one idempotency key.
 type KeyRuns struct {
 	Count int   `json:"count"`
 	Runs  []Run `json:"runs"`
 }
 
-// Audit is the answer to GET /audit.
+// Audit is the reply to GET /audit.
 type Audit struct {
 	ID    string             `json:"id"`
 	Total int                `json:"total"`
 	Keys  map[string]KeyRuns `json:"keys"`
 }
 
-// ledger records every run and never recognises a repetition: a doubled order
-// must be visible. With a file, runs survive a restart of the desk.
+// ledger records every run. It doesn't detect duplicates, because an order that
+// ran twice must be visible. With a file, the runs survive a restart of the desk.
 type ledger struct {
 	runs []Run
 	file *os.File
 }
 
-// openLedger reads the runs of earlier processes from path. An empty path
-// keeps runs in memory only.
+// openLedger reads the runs of earlier processes from the journal at path. With an
+// empty path, runs are kept in memory only.
 func openLedger(path string) (*ledger, error) {
 	l := &ledger{}
 	if path == "" {
@@ -46,7 +46,7 @@
 	}
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR|os.O_APPEND, 0o644)
 	if err != nil {
-		return nil, eris.Wrap(err, "open journal")
+		return nil, eris.Wrapf(err, "open journal %q", path)
 	}
 	lines := bufio.NewScanner(file)
 	for lines.Scan() {
@@ -56,13 +56,13 @@
 		}
 	}
 	if err := lines.Err(); err != nil {
-		return nil, eris.Wrap(err, "read journal")
+		return nil, eris.Wrapf(err, "read journal %q", path)
 	}
 	l.file = file
 	return l, nil
 }
 
-// add records a run and syncs it before it returns.
+// add records a run. The journal is synced before add returns.
 func (l *ledger) add(run Run) error {
 	if l.file != nil {
 		line, _ := json.Marshal(run)
--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -7,22 +7,24 @@
 	"endiveplank/protocol/upstreamapi"
 )
 
-// CacheEntry is one message's worth of cached prefix.
+// CacheEntry is one message of a cached prefix.
 type CacheEntry struct {
 	Hash chat.ChainHash `json:"hash"`
-	// Tokens is the length of the message alone, without what precedes it.
+	// Tokens is the length of the message, without the messages before it.
 	Tokens int `json:"tokens"`
-	// Parent is the prefix before the message; zero at the start of a chat.
+	// Parent is the hash of the prefix before the message, or zero for the first
+	// message of a chat.
 	Parent chat.ChainHash `json:"parent"`
 }
 
-// prefixCache holds prompt prefixes up to a number of tokens. An entry is
-// useful only while its parents are present. Both store and lookup touch a
-// chain from its end to its start, so a parent is always more recent than its
-// children and eviction from the old end never orphans an entry.
+// prefixCache holds prompt prefixes up to a total number of tokens. It evicts the
+// least recently used entry first. An entry is usable only while its parents are
+// present. Both store and lookup therefore mark a chain as used from its end to its
+// start: a parent is always more recently used than its children, and eviction
+// never removes a parent before them.
 type prefixCache struct {
 	capacity int
-	used     int
+	used     int // tokens in the cache
 	entries  map[chat.ChainHash]*list.Element
 	recent   *list.List // of CacheEntry, most recent first
 	changed  func(op upstreamapi.CacheOp, hash chat.ChainHash)
@@ -37,26 +39,27 @@
 	}
 }
 
-// lookup returns the tokens of the longest cached prefix of a chat and marks
-// it as used.
+// lookup returns the number of tokens in the longest cached prefix of a chat and
+// marks the prefix as used.
 func (c *prefixCache) lookup(links []chat.Link) int {
-	held := 0
-	for held < len(links) && c.entries[links[held].Hash] != nil {
-		held++
+	cached := 0
+	for cached < len(links) && c.entries[links[cached].Hash] != nil {
+		cached++
 	}
-	if held == 0 {
+	if cached == 0 {
 		return 0
 	}
-	c.touch(links[:held])
-	return links[held-1].Tokens
+	c.touch(links[:cached])
+	return links[cached-1].Tokens
 }
 
-// store adds the whole chain of a chat and evicts what no longer fits.
+// store adds all messages of a chat and evicts entries until the cache is within
+// its capacity.
 func (c *prefixCache) store(links []chat.Link) {
 	c.storeEntries(entriesOf(links))
 }
 
-// storeEntries adds a chain given as entries, start of the chat first.
+// storeEntries adds a chain of entries, which begins at the start of the chat.
 func (c *prefixCache) storeEntries(entries []CacheEntry) {
 	for _, entry := range entries {
 		if c.entries[entry.Hash] != nil {
@@ -74,8 +77,8 @@
 	}
 }
 
-// chain returns the entries from the start of the chat to hash, or nil when
-// the prefix is not cached.
+// chain returns the entries from the start of the chat to hash, or nil if that
+// prefix is not cached.
 func (c *prefixCache) chain(hash chat.ChainHash) []CacheEntry {
 	var reversed []CacheEntry
 	for hash != 0 {
@@ -108,7 +111,8 @@
 	c.changed(upstreamapi.CacheEvicted, entry.Hash)
 }
 
-// entriesOf turns the running totals of a chain into single messages.
+// entriesOf converts a chain, whose links count tokens from the start of the chat,
+// to entries, which count the tokens of one message.
 func entriesOf(links []chat.Link) []CacheEntry {
 	entries := make([]CacheEntry, len(links))
 	before := chat.Link{}
--- a/standin/engine/control.go
+++ b/standin/engine/control.go
@@ -12,8 +12,9 @@
 	"endiveplank/standin/host"
 )
 
-// cancel serves CancelPath: 200 when the request was in flight, 404 when not.
-func (s *Server) cancel(w http.ResponseWriter, r *http.Request) {
+// serveCancel serves CancelPath: status 200 if the request was in flight, 404 if
+// not.
+func (s *Server) serveCancel(w http.ResponseWriter, r *http.Request) {
 	var request upstreamapi.CancelRequest
 	if !host.ReadJSON(w, r, &request) {
 		return
@@ -35,14 +36,14 @@
 	host.WriteJSON(w, http.StatusOK, struct{}{})
 }
 
-// Blob is the body that ExportPath answers with and ImportPath takes: a chain
-// of cache entries, start of the chat first.
+// Blob is the body of replies at ExportPath and of requests at ImportPath: a chain
+// of cache entries from the start of the chat.
 type Blob struct {
 	Entries []CacheEntry `json:"entries"`
 }
 
-// export serves ExportPath: 404 when the prefix is not cached.
-func (s *Server) export(w http.ResponseWriter, r *http.Request) {
+// serveExport serves ExportPath: status 404 if the prefix is not cached.
+func (s *Server) serveExport(w http.ResponseWriter, r *http.Request) {
 	var request upstreamapi.KVExport
 	if !host.ReadJSON(w, r, &request) {
 		return
@@ -59,26 +60,26 @@
 		host.WriteError(w, http.StatusNotFound, "not-cached", "the prefix is not in the cache")
 		return
 	}
-	s.transfer(r, entries)
+	s.delayTransfer(r, entries)
 	host.WriteJSON(w, http.StatusOK, Blob{Entries: entries})
 }
 
-// importCache serves ImportPath.
-func (s *Server) importCache(w http.ResponseWriter, r *http.Request) {
+// serveImport serves ImportPath.
+func (s *Server) serveImport(w http.ResponseWriter, r *http.Request) {
 	var blob Blob
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, host.MaxBody)).Decode(&blob); err != nil || !linked(blob.Entries) {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, host.MaxBody)).Decode(&blob); err != nil || !formChain(blob.Entries) {
 		host.WriteError(w, http.StatusBadRequest, "bad-blob", "the body is no exported cache")
 		return
 	}
-	s.transfer(r, blob.Entries)
+	s.delayTransfer(r, blob.Entries)
 	s.mu.Lock()
 	s.core.Import(s.now(), blob.Entries)
 	s.mu.Unlock()
 	host.WriteJSON(w, http.StatusOK, struct{}{})
 }
 
-// linked says whether entries form one chain from the start of a chat.
-func linked(entries []CacheEntry) bool {
+// formChain reports whether entries form one chain from the start of a chat.
+func formChain(entries []CacheEntry) bool {
 	parent := chat.ChainHash(0)
 	for _, entry := range entries {
 		if entry.Parent != parent || entry.Tokens < 0 {
@@ -89,8 +90,9 @@
 	return len(entries) > 0
 }
 
-// transfer takes the time that moving the entries' cache costs.
-func (s *Server) transfer(r *http.Request, entries []CacheEntry) {
+// delayTransfer waits for the time that the transfer of the entries takes, or until
+// the client disconnects.
+func (s *Server) delayTransfer(r *http.Request, entries []CacheEntry) {
 	tokens := 0
 	for _, entry := range entries {
 		tokens += entry.Tokens
@@ -101,13 +103,14 @@
 	}
 }
 
-// order serves OrderPath: 202 when taken, 409 when fenced.
-func (s *Server) order(w http.ResponseWriter, r *http.Request) {
+// serveOrder serves OrderPath: status 202 if the order is accepted, 409 if it is
+// fenced, 400 if the action is unknown.
+func (s *Server) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var order upstreamapi.EngineOrder
 	if !host.ReadJSON(w, r, &order) {
 		return
 	}
-	result, state := s.carryOut(order)
+	result, state := s.applyOrder(order)
 	switch result {
 	case OrderFenced:
 		w.Header().Set(protocol.RunOutcomeHeader, string(protocol.NotRun))
@@ -119,21 +122,21 @@
 	}
 }
 
-// carryOut gives an order to the core, and fetches the model that a load then
-// waits for.
-func (s *Server) carryOut(order upstreamapi.EngineOrder) (OrderResult, upstreamapi.EngineState) {
+// applyOrder gives an order to the core. If the order makes the engine wait for a
+// model from the weight store, applyOrder starts to fetch it.
+func (s *Server) applyOrder(order upstreamapi.EngineOrder) (OrderResult, upstreamapi.EngineState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	waited := s.core.Loading(order.Model, order.Version)
+	waitedBefore := s.core.AwaitsTransfer(order.Model, order.Version)
 	result := s.core.Order(s.now(), order)
-	if !waited && s.core.Loading(order.Model, order.Version) {
-		go s.fetch(s.ctx, order)
+	if !waitedBefore && s.core.AwaitsTransfer(order.Model, order.Version) {
+		go s.fetchWeights(s.ctx, order)
 	}
 	return result, s.core.State(s.now())
 }
 
-// state serves StatePath.
-func (s *Server) state(w http.ResponseWriter, _ *http.Request) {
+// serveState serves StatePath.
+func (s *Server) serveState(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	state := s.core.State(s.now())
 	s.mu.Unlock()
--- a/standin/engine/core.go
+++ b/standin/engine/core.go
@@ -10,40 +10,40 @@
 	"endiveplank/protocol/upstreamapi"
 )
 
-// JobID names one request inside an engine.
+// JobID identifies one request within an engine.
 type JobID uint64
 
-// Job is one chat request as the core sees it.
+// Job is one chat request to the core.
 type Job struct {
 	Request  protocol.RequestID
 	Attempt  int
 	Priority int
 	// Prompt is the chain of the request's messages.
 	Prompt []chat.Link
-	// Whole is the chain of the prompt and the answer, which the cache holds
-	// once the request has finished.
-	Whole []chat.Link
-	// Tokens is the length of the answer and ResumeAt the tokens of it that the
-	// caller already has.
+	// PromptAndAnswer is the chain of the prompt's messages and the answer. The
+	// cache holds it once the request has finished.
+	PromptAndAnswer []chat.Link
+	// Tokens is the length of the answer. ResumeAt is the number of its tokens that
+	// the caller already has.
 	Tokens   int
 	ResumeAt int
-	// Marked crashes the engine once the request has been prefilled.
-	Marked bool
+	// CrashMarked makes the request crash the engine once its prompt is prefilled.
+	CrashMarked bool
 }
 
-// EventKind says what happened to a job.
+// EventKind is what happened to a job.
 type EventKind int
 
 const (
-	// TokenReady means that the answer's token Index is there.
+	// TokenReady means that token Index of the answer has been decoded.
 	TokenReady EventKind = iota
 	// JobDone means that the answer is complete.
 	JobDone
-	// EngineCrashed means that the job took the engine down.
+	// EngineCrashed means that the job crashed the engine.
 	EngineCrashed
 )
 
-// Event is one outcome of an iteration.
+// Event is one result of an iteration.
 type Event struct {
 	Kind  EventKind
 	Job   JobID
@@ -57,38 +57,40 @@
 	Job
 	id      JobID
 	prefill int // prompt tokens still to prefill
-	chunk   int // of these, in the current iteration
+	chunk   int // prompt tokens that the current iteration prefills
 	next    int // index of the next token
-	cached  int
+	cached  int // prompt tokens that came from the cache
 }
 
-// Core is the engine's model. It is not safe for concurrent use.
+// Core simulates an engine. Its caller passes the time since the engine's start. It
+// is not safe for concurrent use.
 type Core struct {
-	model   CostModel
-	faults  Faults
-	control control
-	// sharedStore leaves the end of a load to Loaded.
-	sharedStore bool
-	cache       *prefixCache
-	events      eventLog
-	lagged      loadHistory
-	rng         *rand.Rand
-	now         time.Duration
-	lastID      JobID
-	waiting     []*job
-	running     []*job
-	busy        bool // an iteration is in progress and ends at endsAt
-	endsAt      time.Duration
-	crashed     bool // the core does nothing more
-	counters    Counters
+	model      CostModel
+	faults     Faults
+	orderState orderState
+	// usesWeightStore means that a load ends with FinishTransfer and not after
+	// LoadTime.
+	usesWeightStore bool
+	cache           *prefixCache
+	events          eventLog
+	loadHistory     loadHistory
+	rng             *rand.Rand
+	now             time.Duration
+	lastID          JobID
+	waiting         []*job
+	running         []*job
+	busy            bool // an iteration is in progress and ends at endsAt
+	endsAt          time.Duration
+	crashed         bool // the core does nothing more
+	counters        Counters
 }
 
-// NewCore returns an engine that holds the given models.
+// NewCore returns the core of an engine that has loaded the given models.
 func NewCore(model CostModel, faults Faults, models []protocol.Model, role string, rng *rand.Rand) *Core {
 	c := &Core{model: model, faults: faults, rng: rng}
-	c.control.role = role
+	c.orderState.role = role
 	for _, name := range models {
-		c.control.models = append(c.control.models, heldModel{model: name})
+		c.orderState.models = append(c.orderState.models, heldModel{model: name})
 	}
 	c.events.first = 1
 	c.cache = newPrefixCache(model.CacheTokens, func(op upstreamapi.CacheOp, hash chat.ChainHash) {
@@ -97,9 +99,9 @@
 	return c
 }
 
-// Submit queues a job behind all of the same or a more urgent priority. It
-// returns false when too many wait already; the job is then not run.
-func (c *Core) Submit(now time.Duration, work Job) (JobID, bool) {
+// Submit queues a job after all jobs of the same or a more urgent priority. It
+// returns false, and doesn't run the job, if MaxWaiting jobs wait already.
+func (c *Core) Submit(now time.Duration, request Job) (JobID, bool) {
 	c.now = now
 	if len(c.waiting) >= c.model.MaxWaiting {
 		c.counters.Refused++
@@ -107,15 +109,15 @@
 	}
 	c.lastID++
 	c.counters.Requests++
-	c.waiting = insertByPriority(c.waiting, &job{Job: work, id: c.lastID, next: work.ResumeAt})
+	c.waiting = insertByPriority(c.waiting, &job{Job: request, id: c.lastID, next: request.ResumeAt})
 	if !c.busy {
 		c.begin(now)
 	}
-	c.noteLoad(now)
+	c.recordLoad(now)
 	return c.lastID, true
 }
 
-// Cancel removes a job. It returns false when the job is not there any more.
+// Cancel removes a job. It returns false if the job has already ended.
 func (c *Core) Cancel(now time.Duration, id JobID) bool {
 	c.now = now
 	before := len(c.waiting) + len(c.running)
@@ -125,18 +127,19 @@
 	found := len(c.waiting)+len(c.running) < before
 	if found {
 		c.counters.Cancelled++
-		c.noteLoad(now)
+		c.recordLoad(now)
 	}
 	return found
 }
 
-// Next returns when the current iteration ends. ok is false while the engine
-// has nothing to do, is stalled or has crashed.
+// Next returns when the current iteration ends. ok is false while the engine is
+// idle or stalled, and after a crash.
 func (c *Core) Next() (at time.Duration, ok bool) {
 	return c.endsAt, c.busy && !c.faults.Stall && !c.crashed
 }
 
-// Advance ends every iteration that is due and returns what they produced.
+// Advance completes all iterations that end at now or earlier and returns their
+// events.
 func (c *Core) Advance(now time.Duration) []Event {
 	var events []Event
 	for {
@@ -150,12 +153,12 @@
 			return events
 		}
 		c.begin(at)
-		c.noteLoad(at)
+		c.recordLoad(at)
 	}
 }
 
-// SetFaults switches the faults. The end of a stall ends the iteration that it
-// held up.
+// SetFaults replaces the faults. When a stall ends, the iteration that it delayed
+// ends at now or later.
 func (c *Core) SetFaults(now time.Duration, faults Faults) {
 	if c.faults.Stall && !faults.Stall {
 		c.endsAt = max(c.endsAt, now)
@@ -166,20 +169,21 @@
 	}
 }
 
-// begin lets waiting jobs join the batch and starts an iteration.
+// begin moves waiting jobs to the batch and starts an iteration.
 func (c *Core) begin(now time.Duration) {
 	for len(c.waiting) > 0 && len(c.running) < c.model.MaxBatch {
 		c.join(c.waiting[0])
 		c.waiting = c.waiting[1:]
 	}
-	cost, work := c.plan()
-	c.busy = work
+	cost, ok := c.plan()
+	c.busy = ok
 	c.endsAt = now + time.Duration(float64(cost)*max(c.faults.SlowFactor, 1))
 }
 
-// join puts a job into the batch, behind all of the same or a more urgent
-// priority, and looks its prompt up in the cache. A resumed job prefills the tokens that its caller already has, too. At least
-// one token is always prefilled, because the first output needs it.
+// join adds a job to the batch, after all jobs of the same or a more urgent
+// priority, and looks up its prompt in the cache. A resumed job also prefills the
+// tokens that its caller already has. At least one token is always prefilled,
+// because the first output token needs it.
 func (c *Core) join(j *job) {
 	prompt := tokensOf(j.Prompt)
 	j.cached = min(c.cache.lookup(j.Prompt), max(prompt-1, 0))
@@ -189,15 +193,15 @@
 	c.running = insertByPriority(c.running, j)
 }
 
-// plan shares the iteration's prefill budget out and returns its cost. work is
-// false when no job can make progress.
-func (c *Core) plan() (cost time.Duration, work bool) {
+// plan divides the iteration's prefill budget among the jobs and returns how long
+// the iteration takes. ok is false if no job can make progress.
+func (c *Core) plan() (cost time.Duration, ok bool) {
 	budget := c.model.PrefillChunk
 	decoding := 0
 	for _, j := range c.running {
 		j.chunk = min(j.prefill, budget)
 		budget -= j.chunk
-		if j.prefill == 0 && !c.held(j) {
+		if j.prefill == 0 && !c.stalled(j) {
 			decoding++
 		}
 	}
@@ -208,21 +212,21 @@
 	return cost, prefilled+decoding > 0
 }
 
-// held says that a job's stream is stalled by a fault.
-func (c *Core) held(j *job) bool {
+// stalled reports whether the fault StallAfterTokens stops a job.
+func (c *Core) stalled(j *job) bool {
 	limit := c.faults.StallAfterTokens
 	return limit > 0 && j.next-j.ResumeAt >= limit
 }
 
-// finish ends the current iteration.
+// finish completes the current iteration and appends its events to events.
 func (c *Core) finish(events []Event) []Event {
 	remaining := c.running[:0:0]
 	for _, j := range c.running {
 		j.prefill -= j.chunk
-		decodes := j.prefill == 0 && !c.held(j)
+		decodes := j.prefill == 0 && !c.stalled(j)
 		if j.chunk > 0 && j.prefill == 0 {
 			c.cache.store(j.Prompt)
-			if j.Marked {
+			if j.CrashMarked {
 				c.counters.Crashes++
 				c.crashed = true
 				return append(events, Event{Kind: EngineCrashed, Job: j.id})
@@ -234,7 +238,7 @@
 			c.counters.GeneratedTokens++
 		}
 		if j.prefill == 0 && j.next >= j.Tokens {
-			c.cache.store(j.Whole)
+			c.cache.store(j.PromptAndAnswer)
 			c.counters.Completed++
 			events = append(events, Event{Kind: JobDone, Job: j.id, Index: j.next, Cached: j.cached})
 			continue
@@ -245,7 +249,8 @@
 	return events
 }
 
-// insertByPriority puts a job behind all of the same or a more urgent priority.
+// insertByPriority inserts a job after all jobs of the same or a more urgent
+// priority. A lower number is more urgent.
 func insertByPriority(jobs []*job, j *job) []*job {
 	at := len(jobs)
 	for at > 0 && jobs[at-1].Priority > j.Priority {
@@ -254,7 +259,7 @@
 	return slices.Insert(jobs, at, j)
 }
 
-// tokensOf returns the length of a chain.
+// tokensOf returns the length of a chain in tokens.
 func tokensOf(links []chat.Link) int {
 	if len(links) == 0 {
 		return 0
--- a/standin/engine/core_test.go
+++ b/standin/engine/core_test.go
@@ -20,25 +20,26 @@
 	return NewCore(model, faults, []protocol.Model{"m1"}, "serve", rand.New(rand.NewPCG(1, 2)))
 }
 
-// testJob is a chat whose messages have the given texts, with a short answer.
+// testJob returns a chat whose messages have the given texts. Its answer counts
+// as tokens tokens.
 func testJob(name string, priority, tokens int, texts ...string) Job {
 	messages := make([]chat.Message, len(texts))
 	for i, text := range texts {
 		messages[i] = chat.Message{Role: "user", Content: text}
 	}
-	whole := append(messages[:len(messages):len(messages)], chat.Message{Role: "assistant", Content: "fine"})
+	full := append(messages[:len(messages):len(messages)], chat.Message{Role: "assistant", Content: "fine"})
 	return Job{
-		Request:  protocol.RequestID(name),
-		Priority: priority,
-		Prompt:   chat.Chain("m1", messages),
-		Whole:    chat.Chain("m1", whole),
-		Tokens:   tokens,
+		Request:         protocol.RequestID(name),
+		Priority:        priority,
+		Prompt:          chat.Chain("m1", messages),
+		PromptAndAnswer: chat.Chain("m1", full),
+		Tokens:          tokens,
 	}
 }
 
-// The golden session pins the timing of the model: joining by priority, chunked
-// prefill beside decoding, a returning chat served from the cache, a slow
-// factor and a stall.
+// The golden file fixes the timing of the simulated engine: jobs join the batch by
+// priority, prefill runs in chunks beside decoding, a returning chat is served from
+// the cache, and a slow factor and a stall delay iterations.
 func TestGoldenSession(t *testing.T) {
 	model := DefaultCostModel()
 	model.MaxBatch, model.PrefillChunk = 2, 100
@@ -76,8 +77,9 @@
 	golden.Assert(t, log.String(), "session.golden")
 }
 
-// A router mirrors the cache from the events. Whatever chats come, the mirror
-// equals the cache, no entry has lost its parent, and the cache keeps its size.
+// A router reconstructs the cache from its events. For any sequence of chats, that
+// copy must equal the cache, no entry may be without its parent, and the cache must
+// stay within its capacity.
 func TestEventsMirrorTheCache(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := DefaultCostModel()
@@ -106,8 +108,8 @@
 				assert.Assert(t, core.cache.chain(hash) != nil, "orphan")
 				delete(mirror, FormatHash(hash))
 			}
-			for hash, held := range mirror {
-				assert.Assert(t, !held, hash)
+			for hash, cached := range mirror {
+				assert.Assert(t, !cached, hash)
 			}
 			for hash := range core.cache.entries {
 				mirror[FormatHash(hash)] = true
@@ -116,8 +118,8 @@
 	})
 }
 
-// A router sees a gap as a batch whose First is not the number it expected,
-// and an event never before its age.
+// A router detects lost events by a batch whose First is not the number that it
+// expects. No event may be published before it has the configured age.
 func TestEventsComeLateAndWithGaps(t *testing.T) {
 	const delay = 500
 	core := newTestCore(DefaultCostModel(), Faults{EventDelayMs: delay, EventGap: 0.3})
@@ -138,8 +140,8 @@
 	assert.Assert(t, gaps > 5 && batches > 20, "%d gaps, %d batches", gaps, batches)
 }
 
-// No router is reachable for long: the engine keeps a bounded number of events
-// and says by the number of the next one how many are missing.
+// While no router is reachable for a long time, the engine must keep only a bounded
+// number of events. The number of the next event shows how many were dropped.
 func TestUnpublishedEventsAreBounded(t *testing.T) {
 	log := eventLog{first: 1}
 	for i := range maxPending + 1 {
@@ -151,6 +153,8 @@
 	assert.Equal(t, len(log.pending)+len(batch.Events), maxPending/2+1)
 }
 
+// Announcements report the load as it was LoadLagMs ago. The history that this
+// needs must not grow without bound.
 func TestLoadIsReportedWithLag(t *testing.T) {
 	core := newTestCore(DefaultCostModel(), Faults{LoadLagMs: 100})
 	_, _ = core.Submit(0, testJob("r", 1, 1000, "hi"))
@@ -158,22 +162,22 @@
 	assert.Equal(t, core.LaggedLoad(100*time.Millisecond).Running, 1)
 	core.Advance(time.Second)
 	assert.Equal(t, core.LaggedLoad(time.Second).OutstandingTokens > core.Load().OutstandingTokens, true)
-	assert.Assert(t, len(core.lagged.samples) < 40, "history grows without bound")
+	assert.Assert(t, len(core.loadHistory.samples) < 40, "history grows without bound")
 }
 
-// A replaced issuer that does not know it yet sends an order with its old
-// number. One kind of engine refuses it; the other obeys, and only reading the
-// state back shows that.
+// A router that issued engine orders has been replaced, doesn't know it yet, and
+// sends an order with its old fencing number. A normal engine refuses it. An engine
+// with IgnoreFence applies it, which only its state shows.
 func TestFencingKeptOrIgnored(t *testing.T) {
 	for _, ignore := range []bool{false, true} {
 		core := newTestCore(DefaultCostModel(), Faults{IgnoreFence: ignore})
-		fresh := upstreamapi.EngineOrder{Fence: 7, Action: upstreamapi.ActionRole, Role: "prefill"}
+		current := upstreamapi.EngineOrder{Fence: 7, Action: upstreamapi.ActionRole, Role: "prefill"}
 		stale := upstreamapi.EngineOrder{Fence: 6, Action: upstreamapi.ActionRole, Role: "decode"}
-		assert.Equal(t, core.Order(0, fresh), OrderTaken)
-		assert.Equal(t, core.Order(0, fresh), OrderTaken, "the same number again")
+		assert.Equal(t, core.Order(0, current), OrderAccepted)
+		assert.Equal(t, core.Order(0, current), OrderAccepted, "the same number again")
 		want, role, fence := OrderFenced, "prefill", protocol.Fence(7)
 		if ignore {
-			want, role, fence = OrderTaken, "decode", 6
+			want, role, fence = OrderAccepted, "decode", 6
 		}
 		assert.Equal(t, core.Order(0, stale), want)
 		assert.Equal(t, core.State(0).Role, role)
@@ -181,12 +185,14 @@
 	}
 }
 
-func TestLoadsFollowEachOther(t *testing.T) {
+// An engine that gets several load orders at once loads one model at a time. An
+// order that repeats an earlier one must not start a second load.
+func TestModelLoadsRunOneAfterAnother(t *testing.T) {
 	core := newTestCore(DefaultCostModel(), Faults{})
 	for _, model := range []protocol.Model{"m2", "m3", "m3"} {
 		core.Order(time.Second, upstreamapi.EngineOrder{Action: upstreamapi.ActionLoad, Model: model})
 	}
-	ready := func(at time.Duration) []protocol.Model { return core.control.readyModels(at) }
+	ready := func(at time.Duration) []protocol.Model { return core.orderState.readyModels(at) }
 	assert.DeepEqual(t, ready(6*time.Second-1), []protocol.Model{"m1"})
 	assert.DeepEqual(t, ready(6*time.Second), []protocol.Model{"m1", "m2"})
 	assert.DeepEqual(t, ready(11*time.Second), []protocol.Model{"m1", "m2", "m3"})
--- a/standin/engine/events.go
+++ b/standin/engine/events.go
@@ -9,15 +9,16 @@
 	"endiveplank/protocol/upstreamapi"
 )
 
-// maxEventsPerBatch bounds the cache events of one announcement to some 10 kB.
+// maxEventsPerBatch limits the cache events in one announcement, to about 10 kB.
 const maxEventsPerBatch = 200
 
-// maxPending bounds the events that wait for publication, some 1 MB. An engine
-// whose announcements reach nobody drops the older half, and the next batch's
+// maxPending limits the events that wait for publication, to about 1 MB. An engine
+// whose announcements reach no router drops the older half, and the next batch's
 // First shows the gap.
 const maxPending = 10_000
 
-// eventLog numbers the changes of the cache from 1 and publishes them late.
+// eventLog numbers the changes of the cache from 1 and keeps them until they are
+// published.
 type eventLog struct {
 	first   uint64 // number of pending[0]
 	pending []stampedEvent
@@ -36,34 +37,35 @@
 	}
 }
 
-// drop forgets the oldest events.
+// drop removes the n oldest events.
 func (l *eventLog) drop(n int) {
 	l.pending = append(l.pending[:0], l.pending[n:]...)
 	l.first += uint64(n)
 }
 
-// take removes and returns the events of at least the given age. With
-// probability gap they are lost instead, and the next batch's First shows it.
+// take removes and returns the events that are at least as old as age, at most
+// maxEventsPerBatch. With probability gap it loses them and returns nil, and the
+// next batch's First shows the gap.
 func (l *eventLog) take(now, age time.Duration, gap float64, rng *rand.Rand) *upstreamapi.CacheBatch {
-	ripe := 0
-	for ripe < len(l.pending) && ripe < maxEventsPerBatch && l.pending[ripe].at+age <= now {
-		ripe++
+	due := 0
+	for due < len(l.pending) && due < maxEventsPerBatch && l.pending[due].at+age <= now {
+		due++
 	}
-	if ripe == 0 {
+	if due == 0 {
 		return nil
 	}
 	batch := &upstreamapi.CacheBatch{First: l.first}
-	for _, stamped := range l.pending[:ripe] {
+	for _, stamped := range l.pending[:due] {
 		batch.Events = append(batch.Events, stamped.event)
 	}
-	l.drop(ripe)
+	l.drop(due)
 	if rng.Float64() < gap {
 		return nil
 	}
 	return batch
 }
 
-// FormatHash writes a prefix hash as cache events carry it.
+// FormatHash formats the hash of a prefix as cache events carry it.
 func FormatHash(hash chat.ChainHash) string {
 	return fmt.Sprintf("%016x", uint64(hash))
 }
--- a/standin/engine/fetch.go
+++ b/standin/engine/fetch.go
@@ -11,16 +11,16 @@
 	"endiveplank/standin/weights"
 )
 
-// fetchRetry is the pause before a failed transfer is asked for again.
+// fetchRetry is the pause before the engine requests a failed transfer again.
 const fetchRetry = 500 * time.Millisecond
 
-// fetch loads a model from the weight store until it has it, another order
-// takes the model away, or the engine ends.
-func (s *Server) fetch(ctx context.Context, order upstreamapi.EngineOrder) {
-	for s.wanted(order) {
+// fetchWeights requests a model from the weight store until it has been transferred,
+// another order makes it unnecessary, or the engine ends.
+func (s *Server) fetchWeights(ctx context.Context, order upstreamapi.EngineOrder) {
+	for s.awaitsWeights(order) {
 		if s.transferWeights(ctx, order) {
 			s.mu.Lock()
-			s.core.Loaded(s.now(), order.Model, order.Version)
+			s.core.FinishTransfer(s.now(), order.Model, order.Version)
 			s.mu.Unlock()
 			return
 		}
@@ -32,14 +32,16 @@
 	}
 }
 
-// wanted says whether the engine still waits for the model in that version.
-func (s *Server) wanted(order upstreamapi.EngineOrder) bool {
+// awaitsWeights reports whether the engine still waits for the model in the order's
+// version.
+func (s *Server) awaitsWeights(order upstreamapi.EngineOrder) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.core.Loading(order.Model, order.Version)
+	return s.core.AwaitsTransfer(order.Model, order.Version)
 }
 
-// transferWeights asks the store for the weights and says whether they came.
+// transferWeights requests the weights from the store and reports whether the
+// transfer succeeded.
 func (s *Server) transferWeights(ctx context.Context, order upstreamapi.EngineOrder) bool {
 	query := url.Values{"model": {string(order.Model)}, "version": {order.Version}}
 	address := "http://" + s.settings.WeightStore + weights.Path + "?" + query.Encode()
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -9,90 +9,95 @@
 	"endiveplank/protocol/upstreamapi"
 )
 
-// OrderResult says what became of an engine order.
+// OrderResult is the outcome of an engine order.
 type OrderResult int
 
 const (
-	// OrderTaken means the order is being carried out.
-	OrderTaken OrderResult = iota
-	// OrderFenced means the order carried an old fencing number and changed
-	// nothing.
+	// OrderAccepted means that the engine applies the order.
+	OrderAccepted OrderResult = iota
+	// OrderFenced means that the order had a fencing number older than the highest
+	// one seen and changed nothing.
 	OrderFenced
-	// OrderUnknown means the action is none that the engine knows.
+	// OrderUnknown means that the engine doesn't know the action.
 	OrderUnknown
 )
 
-// notYet is when a model is ready whose transfer has no known end.
-const notYet = time.Duration(math.MaxInt64)
+// unknownReadyTime is the ready time of a model whose transfer has not ended. The
+// weight store decides when it ends.
+const unknownReadyTime = time.Duration(math.MaxInt64)
 
-// control is what engine orders change: the models, the role and the highest
+// orderState holds what engine orders change: the models, the role and the highest
 // fencing number seen.
-type control struct {
-	fence     protocol.Fence
-	role      string
-	models    []heldModel
-	storeFree time.Duration
+type orderState struct {
+	fence  protocol.Fence
+	role   string
+	models []heldModel
+	// storeFreeAt is when the last load ends if the engine has no weight store.
+	storeFreeAt time.Duration
 }
 
+// heldModel is a model that the engine has or is loading.
 type heldModel struct {
 	model   protocol.Model
 	version string
 	readyAt time.Duration
 }
 
-// Order carries out an engine order unless its fencing number is older than
-// one seen before. An engine that ignores the number runs it all the same, and
-// its highest number moves back with it, so that a reader of the state sees
-// whose order won.
+// Order applies an engine order unless its fencing number is older than the
+// highest one seen. With the fault IgnoreFence the engine applies it anyway and
+// takes its number as the highest, so that a reader of the state sees which order
+// was applied last.
 func (c *Core) Order(now time.Duration, order upstreamapi.EngineOrder) OrderResult {
-	if order.Fence < c.control.fence && !c.faults.IgnoreFence {
+	if order.Fence < c.orderState.fence && !c.faults.IgnoreFence {
 		return OrderFenced
 	}
 	switch order.Action {
 	case upstreamapi.ActionLoad:
 		c.load(now, order)
 	case upstreamapi.ActionUnload:
-		c.control.unload(order.Model)
+		c.orderState.unload(order.Model)
 	case upstreamapi.ActionRole:
-		c.control.role = order.Role
+		c.orderState.role = order.Role
 	default:
 		return OrderUnknown
 	}
-	c.control.fence = order.Fence
-	return OrderTaken
+	c.orderState.fence = order.Fence
+	return OrderAccepted
 }
 
-// load begins to load a model: behind the engine's other loads, or, with a
-// shared weight store, until Loaded. A model that is held in the wanted version
-// stays as it is.
+// load starts to load a model. Without a weight store, the load ends LoadTime after
+// the engine's other loads; with one, it ends with FinishTransfer. A model that the
+// engine already has in the wanted version stays as it is.
 func (c *Core) load(now time.Duration, order upstreamapi.EngineOrder) {
-	if c.control.find(order.Model, order.Version) != nil {
+	if c.orderState.find(order.Model, order.Version) != nil {
 		return
 	}
-	c.control.unload(order.Model)
-	held := heldModel{model: order.Model, version: order.Version, readyAt: notYet}
-	if !c.sharedStore {
-		c.control.storeFree = max(c.control.storeFree, now) + c.model.LoadTime
-		held.readyAt = c.control.storeFree
+	c.orderState.unload(order.Model)
+	held := heldModel{model: order.Model, version: order.Version, readyAt: unknownReadyTime}
+	if !c.usesWeightStore {
+		c.orderState.storeFreeAt = max(c.orderState.storeFreeAt, now) + c.model.LoadTime
+		held.readyAt = c.orderState.storeFreeAt
 	}
-	c.control.models = append(c.control.models, held)
+	c.orderState.models = append(c.orderState.models, held)
 }
 
-// Loading says whether a transfer from the shared store is awaited.
-func (c *Core) Loading(model protocol.Model, version string) bool {
-	held := c.control.find(model, version)
-	return held != nil && held.readyAt == notYet
+// AwaitsTransfer reports whether the engine waits for the transfer of a model from
+// the weight store.
+func (c *Core) AwaitsTransfer(model protocol.Model, version string) bool {
+	held := c.orderState.find(model, version)
+	return held != nil && held.readyAt == unknownReadyTime
 }
 
-// Loaded ends a transfer from the shared store.
-func (c *Core) Loaded(now time.Duration, model protocol.Model, version string) {
-	if c.Loading(model, version) {
-		c.control.find(model, version).readyAt = now
+// FinishTransfer marks a model as ready whose transfer from the weight store has
+// ended.
+func (c *Core) FinishTransfer(now time.Duration, model protocol.Model, version string) {
+	if c.AwaitsTransfer(model, version) {
+		c.orderState.find(model, version).readyAt = now
 	}
 }
 
-// find returns a model that is held in a version, or nil.
-func (s *control) find(model protocol.Model, version string) *heldModel {
+// find returns a model that the engine has in the given version, or nil.
+func (s *orderState) find(model protocol.Model, version string) *heldModel {
 	for i := range s.models {
 		if s.models[i].model == model && s.models[i].version == version {
 			return &s.models[i]
@@ -101,13 +106,13 @@
 	return nil
 }
 
-func (s *control) unload(model protocol.Model) {
+func (s *orderState) unload(model protocol.Model) {
 	s.models = slices.DeleteFunc(s.models, func(held heldModel) bool { return held.model == model })
 }
 
-// Ready says whether a model is held, and whether its load is complete.
+// Ready reports whether the engine has a model, and whether its load is complete.
 func (c *Core) Ready(now time.Duration, model protocol.Model) (held, ready bool) {
-	for _, m := range c.control.models {
+	for _, m := range c.orderState.models {
 		if m.model == model {
 			return true, m.readyAt <= now
 		}
@@ -115,18 +120,19 @@
 	return false, false
 }
 
-// State reads the outcome of engine orders back.
+// State returns what engine orders have set: the models, the role and the fencing
+// number.
 func (c *Core) State(now time.Duration) upstreamapi.EngineState {
-	state := upstreamapi.EngineState{Fence: c.control.fence, Role: c.control.role}
-	for _, m := range c.control.models {
+	state := upstreamapi.EngineState{Fence: c.orderState.fence, Role: c.orderState.role}
+	for _, m := range c.orderState.models {
 		loaded := upstreamapi.LoadedModel{Model: m.model, Version: m.version, Ready: m.readyAt <= now}
 		state.Models = append(state.Models, loaded)
 	}
 	return state
 }
 
-// readyModels lists the models that the engine can serve now.
-func (s *control) readyModels(now time.Duration) []protocol.Model {
+// readyModels returns the models that the engine can serve now.
+func (s *orderState) readyModels(now time.Duration) []protocol.Model {
 	var ready []protocol.Model
 	for _, m := range s.models {
 		if m.readyAt <= now {
--- a/standin/engine/server.go
+++ b/standin/engine/server.go
@@ -12,17 +12,17 @@
 	"endiveplank/standin/host"
 )
 
-// Server is an engine behind HTTP.
+// Server serves an engine over HTTP.
 type Server struct {
-	settings Settings
-	host     *host.Host
-	life     *host.Life
-	ready    chan struct{} // closed once host is set
-	epoch    time.Time
-	wake     chan struct{}   // tells the driver that the core has changed
-	ctx      context.Context // ends with Close
-	stop     context.CancelFunc
-	stopped  sync.WaitGroup
+	settings  Settings
+	host      *host.Host
+	lifecycle *host.Lifecycle
+	ready     chan struct{} // closed once host is set
+	epoch     time.Time
+	wake      chan struct{}   // wakes the driver when the core has changed
+	ctx       context.Context // ends with Close
+	stop      context.CancelFunc
+	stopped   sync.WaitGroup
 
 	mu      sync.Mutex
 	core    *Core
@@ -30,7 +30,7 @@
 	streams map[JobID]*stream
 }
 
-// Start serves an engine and announces it until Close.
+// Start serves an engine and announces it to the routers until Close.
 func Start(settings Settings) (*Server, error) {
 	ctx, stop := context.WithCancel(context.Background())
 	s := &Server{
@@ -49,7 +49,7 @@
 		return nil, err
 	}
 	s.host = h
-	s.life = host.NewLife(h, settings.OnCrash, settings.RestartAfter)
+	s.lifecycle = host.NewLifecycle(h, settings.OnCrash, settings.RestartAfter)
 	h.SetSilent(settings.Faults.Silent)
 	close(s.ready)
 	s.stopped.Add(2)
@@ -61,25 +61,25 @@
 // Address returns the host:port that the engine serves on.
 func (s *Server) Address() string { return s.host.Address() }
 
-// Close ends the engine at once, as the end of a process does.
+// Close stops the engine immediately, as when its process dies.
 func (s *Server) Close() {
 	s.stop()
-	s.host.Drop()
+	s.host.Close()
 	s.stopped.Wait()
 }
 
-// Shutdown ends the engine gracefully: it announces that it is leaving, waits
-// for the requests in flight until ctx ends, and says goodbye.
+// Shutdown stops the engine gracefully: it announces that the engine is leaving,
+// waits for the requests in flight until ctx ends, and sends the leave message.
 func (s *Server) Shutdown(ctx context.Context) {
 	faults := s.Faults()
 	faults.Leaving = true
 	s.SetFaults(faults)
-	announcer := host.Announcer{Targets: s.settings.Announce, Build: s.announcement}
-	announcer.Depart(ctx, s.drain)
+	announcer := host.Announcer{Routers: s.settings.Announce, BuildAnnouncement: s.announcement}
+	announcer.DrainAndLeave(ctx, s.drain)
 	s.Close()
 }
 
-// drain waits until no request is in flight.
+// drain waits until no request is in flight or ctx ends.
 func (s *Server) drain(ctx context.Context) {
 	ticker := time.NewTicker(drainPoll)
 	defer ticker.Stop()
@@ -92,7 +92,7 @@
 	}
 }
 
-// drainPoll is how often a graceful end looks whether the work has ended.
+// drainPoll is how often drain checks whether requests are still in flight.
 const drainPoll = 20 * time.Millisecond
 
 func (s *Server) inFlight() int {
@@ -101,10 +101,11 @@
 	return len(s.streams)
 }
 
-// now is the time since the server's start, on the monotonic clock.
+// now returns the time since the server's start, on the monotonic clock.
 func (s *Server) now() time.Duration { return time.Since(s.epoch) }
 
-// reset makes a new core, as a new process has one.
+// reset replaces the core by a new one, as a new process has it. Only the counters
+// are kept. The caller holds the mutex, except in Start.
 func (s *Server) reset() {
 	var counters Counters
 	if s.core != nil {
@@ -112,12 +113,12 @@
 	}
 	rng := rand.New(rand.NewPCG(s.settings.Seed, 0))
 	s.core = NewCore(s.settings.Model, s.faults, s.settings.Models, s.settings.Role, rng)
-	s.core.sharedStore = s.settings.WeightStore != ""
+	s.core.usesWeightStore = s.settings.WeightStore != ""
 	s.core.counters = counters
 	s.streams = make(map[JobID]*stream)
 }
 
-// drive ends the core's iterations when they are due.
+// drive completes the core's iterations when they are due, until ctx ends.
 func (s *Server) drive(ctx context.Context) {
 	defer s.stopped.Done()
 	timer := time.NewTimer(time.Hour)
@@ -138,8 +139,8 @@
 	}
 }
 
-// step advances the core and hands its events to the streams. It returns when
-// the next iteration ends.
+// step advances the core and passes its events to the streams. It returns when the
+// next iteration ends, and false if there is none.
 func (s *Server) step() (time.Duration, bool) {
 	s.mu.Lock()
 	crashed := false
@@ -149,7 +150,7 @@
 			continue
 		}
 		if target := s.streams[event.Job]; target != nil {
-			target.progress(event)
+			target.update(event)
 		}
 	}
 	at, ok := s.core.Next()
@@ -161,34 +162,34 @@
 	return at, ok
 }
 
-// crash ends the process, or drops everything and may come back later.
+// crash simulates a crash of the engine's process, as Settings.OnCrash describes.
 func (s *Server) crash() {
-	s.life.Crash(func() {
+	s.lifecycle.Crash(func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.reset()
 	})
 }
 
-// nudge makes the driver look at the core again.
-func (s *Server) nudge() {
+// wakeDriver makes the driver check the core again.
+func (s *Server) wakeDriver() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// announce tells the routers about the engine until ctx ends.
+// announce announces the engine to the routers until ctx ends.
 func (s *Server) announce(ctx context.Context) {
 	defer s.stopped.Done()
-	announcer := host.Announcer{Targets: s.settings.Announce, Build: s.announcement}
+	announcer := host.Announcer{Routers: s.settings.Announce, BuildAnnouncement: s.announcement}
 	announcer.Run(ctx)
 }
 
-// announcement builds the next announcement; ok is false while the engine is
-// mute or down.
+// announcement builds the next announcement. It returns false while the engine is
+// muted or down.
 func (s *Server) announcement() (upstreamapi.Announcement, bool) {
-	incarnation, sequence, up := s.life.Stamp()
+	incarnation, sequence, up := s.lifecycle.NextSequence()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.Mute || !up {
@@ -202,8 +203,8 @@
 		Kind:          upstreamapi.KindEngine,
 		Address:       s.host.Address(),
 		DataCentre:    s.settings.DataCentre,
-		Models:        s.core.control.readyModels(now),
-		Role:          s.core.control.role,
+		Models:        s.core.orderState.readyModels(now),
+		Role:          s.core.orderState.role,
 		Capacity:      s.settings.Model.Capacity(),
 		MaxConcurrent: s.settings.Model.MaxBatch,
 		ChecksFence:   !s.faults.IgnoreFence,
@@ -220,7 +221,7 @@
 	return s.faults
 }
 
-// SetFaults puts faults in force.
+// SetFaults replaces the faults in force.
 func (s *Server) SetFaults(faults Faults) {
 	crash, forget := faults.Crash, faults.ForgetOpen
 	faults.Crash, faults.ForgetOpen = false, false
@@ -236,19 +237,19 @@
 		s.crash()
 		return
 	}
-	s.nudge()
+	s.wakeDriver()
 }
 
-// Stats is the answer to GET /stats.
+// Stats is the reply to GET /stats.
 type Stats struct {
 	ID       protocol.UpstreamID `json:"id"`
 	Load     upstreamapi.Load    `json:"load"`
 	Counters Counters            `json:"counters"`
-	// CacheTokens is what the cache holds now.
+	// CacheTokens is the number of tokens in the cache.
 	CacheTokens int `json:"cache_tokens"`
 }
 
-// Stats returns the engine's load and totals at this moment, without lag.
+// Stats returns the engine's current load and totals, without lag.
 func (s *Server) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -260,8 +261,8 @@
 	}
 }
 
-// routes maps the engine's paths. Those that tests steer by stay reachable
-// while the engine is silent.
+// routes returns the handler of the engine's paths. The paths by which tests control
+// the engine stay reachable while it is silent.
 func (s *Server) routes() http.Handler {
 	mux := http.NewServeMux()
 	gated := func(pattern string, handler http.HandlerFunc) {
@@ -270,12 +271,12 @@
 			s.host.Gated(handler)(w, r)
 		})
 	}
-	gated("POST "+upstreamapi.CompletionsPath, s.complete)
-	gated("POST "+upstreamapi.CancelPath, s.cancel)
-	gated("POST "+upstreamapi.ExportPath, s.export)
-	gated("POST "+upstreamapi.ImportPath, s.importCache)
-	gated("POST "+upstreamapi.OrderPath, s.order)
-	gated("GET "+upstreamapi.StatePath, s.state)
+	gated("POST "+upstreamapi.CompletionsPath, s.serveCompletions)
+	gated("POST "+upstreamapi.CancelPath, s.serveCancel)
+	gated("POST "+upstreamapi.ExportPath, s.serveExport)
+	gated("POST "+upstreamapi.ImportPath, s.serveImport)
+	gated("POST "+upstreamapi.OrderPath, s.serveOrder)
+	gated("GET "+upstreamapi.StatePath, s.serveState)
 	mux.HandleFunc("GET /stats", func(w http.ResponseWriter, _ *http.Request) {
 		host.WriteJSON(w, http.StatusOK, s.Stats())
 	})
--- a/standin/engine/server_test.go
+++ b/standin/engine/server_test.go
@@ -38,8 +38,8 @@
 	return chat.Request{Model: "m1", Messages: []chat.Message{{Role: "user", Content: content}}, MaxTokens: tokens}
 }
 
-// post sends a body and reads the whole reply. An error means that the
-// connection ended or ctx did.
+// post sends a body and reads the complete reply. An error means that the
+// connection or ctx ended before.
 func post(ctx context.Context, server *Server, path string, body any, headers ...string) (int, []byte, error) {
 	encoded, _ := json.Marshal(body)
 	request, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+server.Address()+path, bytes.NewReader(encoded))
@@ -55,7 +55,7 @@
 	return reply.StatusCode, read, err
 }
 
-// complete returns the completion of a request that is not streamed.
+// complete sends a request that is not streamed and returns its completion.
 func complete(t *testing.T, server *Server, request chat.Request, headers ...string) chat.Completion {
 	t.Helper()
 	status, body, err := post(t.Context(), server, upstreamapi.CompletionsPath, request, headers...)
@@ -66,7 +66,8 @@
 	return completion
 }
 
-// streamText joins the tokens of a streamed answer and checks their numbers.
+// streamText joins the tokens of a streamed answer and checks that their event IDs
+// count up from first.
 func streamText(t *testing.T, body []byte, first int) string {
 	t.Helper()
 	var text strings.Builder
@@ -85,9 +86,9 @@
 	return text.String()
 }
 
-// A caller's stream breaks at any token and is resumed there, on this engine or
-// another. The two parts joined must be the whole answer, byte for byte.
-func TestResumeGivesTheSameRest(t *testing.T) {
+// A caller's stream breaks after any token and is resumed there, on this engine or
+// another one. The two parts joined must be the complete answer, byte for byte.
+func TestResumedStreamCompletesTheAnswer(t *testing.T) {
 	server := startTest(t, nil)
 	request := testRequest("delivery note 12", 6)
 	request.Stream = true
@@ -103,9 +104,9 @@
 	assert.Equal(t, complete(t, server, request).Choices[0].Message.Content, want.Text())
 }
 
-// One request takes the engine down, and with it every neighbour in the batch:
-// connections end, the cache is cold, and the engine that comes back says by a
-// higher incarnation that it is a new one.
+// One request crashes the engine, and with it all other requests in the batch:
+// their connections end. The restarted engine must have an empty cache and announce
+// a higher incarnation.
 func TestMarkedRequestCrashesTheEngine(t *testing.T) {
 	server := startTest(t, func(s *Settings) { s.RestartAfter = time.Millisecond })
 	complete(t, server, testRequest("warm", 1))
@@ -127,8 +128,9 @@
 	assert.Equal(t, complete(t, server, testRequest("warm", 1)).Usage.Details.CachedTokens, 0)
 }
 
-// Two ways to cancel: the caller closes its connection, or the router says so
-// on CancelPath and the stream is cut without its end marker.
+// A request is cancelled when the caller closes its connection, or when the router
+// posts to CancelPath; the stream then ends without its end marker. In both cases
+// the request must leave the batch.
 func TestCancelFreesTheBatch(t *testing.T) {
 	server := startTest(t, nil)
 	request := testRequest("long", maxAnswerTokens)
@@ -162,8 +164,9 @@
 	assert.Equal(t, server.Stats().Counters.Cancelled, uint64(2))
 }
 
-// A leaving engine's hot chat moves: what one engine exports, another serves
-// from its cache.
+// Before an engine leaves, the cached prefix of an active chat can move to another
+// engine: what one engine exports and the other imports, the other serves from its
+// cache.
 func TestExportedCacheServesElsewhere(t *testing.T) {
 	from, to := startTest(t, nil), startTest(t, nil)
 	request := testRequest(strings.Repeat("history ", 100), 1)
@@ -182,8 +185,8 @@
 	assert.Equal(t, status, http.StatusNotFound)
 }
 
-// A stream stops in its middle and nothing closes; once the fault ends, the
-// rest comes and joins without a seam.
+// A stream stalls in its middle without being closed. After the fault ends, the
+// rest of the answer must follow, without a missing or repeated token.
 func TestStallInMidStream(t *testing.T) {
 	server := startTest(t, func(s *Settings) { s.Faults.StallAfterTokens = 3 })
 	request := testRequest("hi", 8)
@@ -202,9 +205,9 @@
 	assert.Equal(t, streamText(t, <-body, 0), answer.For(request).Text())
 }
 
-// Two engines are told at once to load from a shared store. Neither serves the
-// model before its transfer is done, and an order repeated meanwhile does not
-// ask for a second transfer.
+// Two engines get orders at the same time to load a model from a shared weight
+// store. Neither may serve the model before its transfer has ended, and a load
+// order that is repeated during a transfer must not request a second one.
 func TestModelComesFromTheSharedStore(t *testing.T) {
 	store, err := weights.Start("127.0.0.1:0", 20*time.Millisecond)
 	assert.NilError(t, err)
@@ -232,9 +235,9 @@
 }
 
 // Requests hang without an error while the engine is silent or stalled, and
-// end once the fault does. Connections forgotten while open stay dead; new
-// ones work.
-func TestSilenceAndStallHang(t *testing.T) {
+// complete once the fault ends. Connections that were open at ForgetOpen hang for
+// good, while new ones work.
+func TestSilentOrStalledEngineHangsRequests(t *testing.T) {
 	server := startTest(t, nil)
 	url := "http://" + server.Address()
 	for _, fault := range []string{"silent", "stall"} {
@@ -270,7 +273,7 @@
 	assert.Equal(t, reply.StatusCode, http.StatusOK)
 }
 
-// eventually polls a condition that becomes true without a further action.
+// eventually returns a check that polls until a condition holds.
 func eventually(what string, holds func() bool) poll.Check {
 	return func(poll.LogT) poll.Result {
 		if holds() {
--- a/standin/engine/settings.go
+++ b/standin/engine/settings.go
@@ -1,21 +1,22 @@
-// Package engine is a small model of a model engine, for tests, demonstrations
-// and measurements of the router fleet.
+// Package engine is a stand-in for an engine that serves language models. It is
+// used for tests, demonstrations and measurements of the router fleet.
 //
-// Core is the model itself, a pure step function over a passed clock. It works
-// in iterations, as engines with continuous batching do. At the start of an
-// iteration, waiting requests join the batch, the most urgent priority first.
-// An iteration costs a fixed time, a time for each prompt token that it
-// prefills (at most PrefillChunk of them) and a time for each sequence that it
-// decodes; at its end each decoded sequence has one more token. Prompt prefixes
-// stay in a cache of limited size, evicted least recently used first, and a
-// request prefills only what the cache lacks. Every change of the cache is a
-// numbered event; events are published late and, by setting, with gaps. Load
-// is reported as it was some time ago.
+// Core simulates the engine's timing. It reads no clock: its caller passes the
+// time. It works in iterations, as engines with continuous batching do. At the
+// start of an iteration, waiting requests join the batch, the most urgent priority
+// first. An iteration takes a fixed time, plus a time for each prompt token that it
+// prefills (at most PrefillChunk tokens), plus a time for each sequence that it
+// decodes. At its end each decoded sequence has one more token. Prompt prefixes
+// stay in a cache of limited size, which evicts the least recently used first, and
+// a request prefills only the tokens that are not cached. Every change of the cache
+// is a numbered event. Faults can make the engine publish events late or with gaps,
+// and report its load with a lag.
 //
-// Server puts HTTP around the core: the chat API, cancellation, resumption,
-// export and import of cache, engine orders with fencing, announcements, and
-// faults that POST /faults switches at run time. The text of an answer comes
-// from package answer, so a checker knows every byte in advance.
+// Server serves the core over HTTP: the chat API, cancellation, resumption, export
+// and import of cache entries, engine orders with fencing, and the faults, which
+// POST /faults changes at run time. It also announces the engine to the routers.
+// The text of an answer comes from the package answer, so a checker can compute
+// every byte in advance.
 //
 // docs/STANDIN.md documents the costs, the faults and the endpoints.
 package engine
@@ -26,60 +27,62 @@
 	"endiveplank/protocol"
 )
 
-// Settings describe one engine. Start from DefaultSettings.
+// Settings are the settings of one engine. DefaultSettings returns usable ones.
 type Settings struct {
 	ID         protocol.UpstreamID
 	DataCentre protocol.DataCentre
 	// Listen is the host:port to serve on.
 	Listen string
-	// Announce holds the routers' upstream addresses, host:port.
+	// Announce holds the addresses at which routers take announcements, host:port.
 	Announce []string
 	// WeightStore is the address, host:port, of a weight store that the engine
-	// shares with others. When it is empty, a load takes CostModel.LoadTime.
+	// shares with others. If it is empty, a load takes CostModel.LoadTime.
 	WeightStore string
-	// Models are loaded at the start.
+	// Models are the models that the engine has when it starts.
 	Models []protocol.Model
 	Role   string
-	// Seed drives the gaps in cache events.
+	// Seed seeds the random source of the gaps in cache events.
 	Seed  uint64
 	Model CostModel
-	// Faults in force at the start.
+	// Faults are the faults in force when the engine starts.
 	Faults Faults
-	// OnCrash is called when a marked request crashes the engine. When it is
-	// nil the server drops everything instead, as the end of a process would.
+	// OnCrash is called when the engine crashes, by Faults.Crash or by a request
+	// with CrashMarker. If it is nil, the server closes its listener and its
+	// connections instead, as when a process dies.
 	OnCrash func()
-	// RestartAfter brings a server that dropped everything back, with an empty
-	// cache and a higher incarnation. Zero leaves it down.
+	// RestartAfter is the time after which a crashed server restarts, with an empty
+	// cache and a higher incarnation. Zero means that it stays down.
 	RestartAfter time.Duration
 }
 
-// CostModel holds what the engine's work costs. The defaults give a full batch
-// of 16 about 2,000 tokens a second and a token every 8 ms.
+// CostModel holds the limits of the engine and the time that its work takes. With
+// the defaults, a full batch of 16 decodes about 2,000 tokens per second, and each
+// of its sequences gets a token every 8 ms.
 type CostModel struct {
-	// MaxBatch is the number of requests that run at once.
+	// MaxBatch is the largest number of requests that run at once.
 	MaxBatch int
-	// MaxWaiting is the number of requests that may wait for the batch; more
-	// are refused as not run.
+	// MaxWaiting is the largest number of requests that wait to join the batch. The
+	// engine refuses further ones as not run.
 	MaxWaiting int
-	// IterationBase is the fixed cost of one iteration.
+	// IterationBase is the fixed time of one iteration.
 	IterationBase time.Duration
-	// DecodePerSequence is the cost of one token of one sequence.
+	// DecodePerSequence is the time to decode one token of one sequence.
 	DecodePerSequence time.Duration
-	// PrefillPerToken is the cost of one prompt token that is not cached.
+	// PrefillPerToken is the time to prefill one prompt token that is not cached.
 	PrefillPerToken time.Duration
-	// PrefillChunk bounds the prompt tokens of one iteration, so that a long
-	// prompt does not hold up the tokens of its neighbours.
+	// PrefillChunk is the most prompt tokens that one iteration prefills, so that a
+	// long prompt doesn't delay the tokens of the other requests in the batch.
 	PrefillChunk int
 	// CacheTokens is the size of the prefix cache, in tokens.
 	CacheTokens int
-	// TransferPerToken is the cost of one token of exported or imported cache.
+	// TransferPerToken is the time to export or import one cached token.
 	TransferPerToken time.Duration
-	// LoadTime is what the weight store needs for one model. Loads of one
-	// engine follow each other.
+	// LoadTime is how long one model takes to load without a shared weight store.
+	// An engine loads one model at a time.
 	LoadTime time.Duration
 }
 
-// DefaultCostModel returns the costs that docs/STANDIN.md documents.
+// DefaultCostModel returns the default costs, which docs/STANDIN.md documents.
 func DefaultCostModel() CostModel {
 	return CostModel{
 		MaxBatch:          16,
@@ -94,13 +97,14 @@
 	}
 }
 
-// Capacity returns the tokens a second that a full batch decodes.
+// Capacity returns the number of tokens that a full batch decodes per second.
 func (m CostModel) Capacity() float64 {
 	iteration := m.IterationBase + time.Duration(m.MaxBatch)*m.DecodePerSequence
 	return float64(m.MaxBatch) / iteration.Seconds()
 }
 
-// DefaultSettings returns an engine on a free loopback port.
+// DefaultSettings returns the settings of an engine that listens on a free loopback
+// port and simulates no faults.
 func DefaultSettings(id protocol.UpstreamID, models ...protocol.Model) Settings {
 	return Settings{
 		ID:         id,
@@ -114,31 +118,33 @@
 	}
 }
 
-// Faults are what an engine can be made to do wrong. POST /faults takes any
-// subset of the fields as JSON and GET /faults returns them all. Durations are
+// Faults are the failures that an engine can simulate. POST /faults takes any
+// subset of the fields as JSON, and GET /faults returns all of them. Durations are
 // in milliseconds.
 type Faults struct {
-	// SlowFactor multiplies the cost of iterations that begin from now on.
+	// SlowFactor multiplies the time of iterations that start from now on. A value
+	// below 1 counts as 1.
 	SlowFactor float64 `json:"slow_factor"`
-	// Stall stops all tokens; requests are still taken.
+	// Stall stops all tokens. The engine still accepts requests.
 	Stall bool `json:"stall"`
-	// StallAfterTokens stops each stream for good once it sent this many
-	// tokens. Zero switches it off.
+	// StallAfterTokens stalls each request once it has sent this many tokens, for
+	// as long as the fault is in force. Zero turns it off.
 	StallAfterTokens int `json:"stall_after_tokens"`
-	// Silent hangs every request on every connection without closing.
+	// Silent makes every request on every connection hang without closing it.
 	Silent bool `json:"silent"`
-	// ForgetOpen hangs the connections open at this moment for good; new ones
-	// work. It reads back as false.
+	// ForgetOpen makes the connections that are open at this moment hang for good
+	// while new ones work. It is an action, not a state, and reads back as false.
 	ForgetOpen bool `json:"forget_open,omitempty"`
 	// Mute stops the announcements.
 	Mute bool `json:"mute"`
-	// Crash drops everything now, or ends the process. It reads back as false.
+	// Crash crashes the engine now, as Settings.OnCrash describes. It is an action,
+	// not a state, and reads back as false.
 	Crash bool `json:"crash,omitempty"`
-	// Leaving announces that the engine takes no more work.
+	// Leaving announces that the engine accepts no more requests.
 	Leaving bool `json:"leaving"`
-	// IgnoreFence runs engine orders that carry an old fencing number.
+	// IgnoreFence makes the engine apply engine orders with an old fencing number.
 	IgnoreFence bool `json:"ignore_fence"`
-	// EventDelayMs is the age at which a cache event is published.
+	// EventDelayMs is the age that a cache event must have to be published.
 	EventDelayMs int `json:"event_delay_ms"`
 	// EventGap is the probability that a batch of cache events is lost.
 	EventGap float64 `json:"event_gap"`
--- a/standin/engine/stream.go
+++ b/standin/engine/stream.go
@@ -17,28 +17,28 @@
 	"endiveplank/standin/host"
 )
 
-// CrashMarker in a prompt crashes the engine that runs it.
+// CrashMarker in the last message of a chat crashes the engine that runs it.
 const CrashMarker = "[[crash]]"
 
-// defaultPriority is the class of a request that names none.
+// defaultPriority is the priority of a request without a priority header.
 const defaultPriority = 1
 
-// maxAnswerTokens bounds what one request may ask for.
+// maxAnswerTokens limits the number of tokens that one request may ask for.
 const maxAnswerTokens = 1 << 16
 
-// stream carries a job's progress from the driver to its handler. The tokens'
-// text follows from the request, so their number is all that is passed.
+// stream passes a job's progress from the driver to the request's handler. It
+// passes only the number of tokens, since their text follows from the request.
 type stream struct {
 	key    string
-	ready  atomic.Int64 // tokens that may be sent, as an index into the answer
-	cached atomic.Int64
+	ready  atomic.Int64 // the tokens of the answer before this index may be sent
+	cached atomic.Int64 // prompt tokens that came from the cache
 	done   atomic.Bool
 	wake   chan struct{}
 	cancel context.CancelFunc
 }
 
-// progress is called by the driver.
-func (s *stream) progress(event Event) {
+// update records an event of the job and wakes the handler. The driver calls it.
+func (s *stream) update(event Event) {
 	s.cached.Store(int64(event.Cached))
 	if event.Kind == TokenReady {
 		s.ready.Store(int64(event.Index + 1))
@@ -56,13 +56,13 @@
 	request  chat.Request
 	answer   answer.Answer
 	resumeAt int
-	prompt   int
+	prompt   int // length of the prompt in tokens
 	stream   *stream
 	id       JobID
 }
 
-// complete serves CompletionsPath.
-func (s *Server) complete(w http.ResponseWriter, r *http.Request) {
+// serveCompletions serves CompletionsPath.
+func (s *Server) serveCompletions(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, host.MaxBody))
 	if err != nil {
 		return
@@ -85,16 +85,16 @@
 	if !s.admit(w, r, c) {
 		return
 	}
-	s.nudge()
+	s.wakeDriver()
 	defer s.release(c)
 	if c.request.Stream {
 		s.sendStream(ctx, w, r, c)
 		return
 	}
-	s.sendWhole(ctx, w, r, c)
+	s.sendCompletion(ctx, w, r, c)
 }
 
-// admit submits the call to the core or refuses it as not run.
+// admit submits the call to the core, or refuses it as not run and returns false.
 func (s *Server) admit(w http.ResponseWriter, r *http.Request, c *call) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,27 +107,27 @@
 		refuse(w, http.StatusServiceUnavailable, "model-loading", "the model is being loaded")
 		return false
 	}
-	work := c.job(r)
-	id, ok := s.core.Submit(s.now(), work)
+	job := c.job(r)
+	id, ok := s.core.Submit(s.now(), job)
 	if !ok {
 		refuse(w, http.StatusServiceUnavailable, "engine-full", "too many requests wait at this engine")
 		return false
 	}
 	c.id = id
-	c.prompt = tokensOf(work.Prompt)
-	c.stream.key = streamKey(work.Request, work.Attempt)
+	c.prompt = tokensOf(job.Prompt)
+	c.stream.key = streamKey(job.Request, job.Attempt)
 	c.stream.ready.Store(int64(c.resumeAt))
 	s.streams[id] = c.stream
 	return true
 }
 
-// release forgets a call. One that has not finished is cancelled, which is
-// what a caller that closes its connection asks for.
+// release removes a call. If it has not finished, because the caller has closed its
+// connection or the router has cancelled it, release cancels its job.
 func (s *Server) release(c *call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.streams[c.id] != c.stream {
-		return // the engine crashed in between
+		return // the engine has crashed and restarted since
 	}
 	delete(s.streams, c.id)
 	if !c.stream.done.Load() {
@@ -135,30 +135,31 @@
 	}
 }
 
-// job describes the call to the core.
+// job returns the call as a job for the core.
 func (c *call) job(r *http.Request) Job {
 	prompt := chat.Chain(c.request.Model, c.request.Messages)
 	reply := chat.Message{Role: "assistant", Content: c.answer.Text()}
 	messages := append(c.request.Messages[:len(c.request.Messages):len(c.request.Messages)], reply)
 	return Job{
-		Request:  protocol.RequestID(r.Header.Get(protocol.RequestIDHeader)),
-		Attempt:  headerInt(r, protocol.AttemptHeader, 1),
-		Priority: headerInt(r, protocol.PriorityHeader, defaultPriority),
-		Prompt:   prompt,
-		Whole:    chat.Chain(c.request.Model, messages),
-		Tokens:   c.answer.Len(),
-		ResumeAt: c.resumeAt,
-		Marked:   marked(c.request.Messages),
+		Request:         protocol.RequestID(r.Header.Get(protocol.RequestIDHeader)),
+		Attempt:         headerInt(r, protocol.AttemptHeader, 1),
+		Priority:        headerInt(r, protocol.PriorityHeader, defaultPriority),
+		Prompt:          prompt,
+		PromptAndAnswer: chat.Chain(c.request.Model, messages),
+		Tokens:          c.answer.Len(),
+		ResumeAt:        c.resumeAt,
+		CrashMarked:     hasCrashMarker(c.request.Messages),
 	}
 }
 
-// next waits until more than sent tokens may be sent, or the job is done.
-func (s *Server) next(ctx context.Context, c *call, sent int) (ready int, done bool, err error) {
+// awaitTokens waits until more tokens than sent may be sent, or the job is done. It
+// returns an error if the call ends first.
+func (s *Server) awaitTokens(ctx context.Context, c *call, sent int) (ready int, done bool, err error) {
 	for {
 		done = c.stream.done.Load()
 		ready = int(c.stream.ready.Load())
 		if ready > sent || done {
-			return ready, done, s.host.Pass(ctx)
+			return ready, done, s.host.WaitWhileSilent(ctx)
 		}
 		select {
 		case <-ctx.Done():
@@ -168,12 +169,12 @@
 	}
 }
 
-// sendWhole answers with one JSON document.
-func (s *Server) sendWhole(ctx context.Context, w http.ResponseWriter, r *http.Request, c *call) {
+// sendCompletion replies with one JSON document.
+func (s *Server) sendCompletion(ctx context.Context, w http.ResponseWriter, r *http.Request, c *call) {
 	sent, done := c.resumeAt, false
 	for !done {
 		var err error
-		if sent, done, err = s.next(ctx, c, sent); err != nil {
+		if sent, done, err = s.awaitTokens(ctx, c, sent); err != nil {
 			abort(r)
 			return
 		}
@@ -190,10 +191,10 @@
 	})
 }
 
-// finishStop is the finish reason of every whole answer.
+// finishStop is the finish reason of every complete answer.
 const finishStop = "stop"
 
-// sendStream answers with server-sent events, one for each token.
+// sendStream replies with server-sent events, one for each token.
 func (s *Server) sendStream(ctx context.Context, w http.ResponseWriter, r *http.Request, c *call) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-cache")
@@ -203,7 +204,7 @@
 	chunk := chat.Chunk{ID: completionID(r), Object: "chat.completion.chunk", Model: c.request.Model}
 	sent, done := c.resumeAt, false
 	for !done {
-		ready, finished, err := s.next(ctx, c, sent)
+		ready, finished, err := s.awaitTokens(ctx, c, sent)
 		if err != nil {
 			abort(r)
 			return
@@ -229,13 +230,13 @@
 	_ = controller.Flush()
 }
 
-// usage counts the tokens of a finished call.
+// usage returns the token counts of a finished call.
 func (c *call) usage() chat.Usage {
-	made := c.answer.Len() - c.resumeAt
+	generated := c.answer.Len() - c.resumeAt
 	return chat.Usage{
 		PromptTokens:     c.prompt,
-		CompletionTokens: made,
-		TotalTokens:      c.prompt + made,
+		CompletionTokens: generated,
+		TotalTokens:      c.prompt + generated,
 		Details:          chat.PromptDetail{CachedTokens: int(c.stream.cached.Load())},
 	}
 }
@@ -245,15 +246,16 @@
 	_, _ = fmt.Fprintf(w, "id: %d\ndata: %s\n\n", id, data)
 }
 
-// abort drops the connection of a cancelled call, so that its reader sees a
-// cut answer and not a whole one.
+// abort closes the connection of a call that was cancelled or lost in a crash,
+// unless the client has closed it. The client then sees that the answer is
+// incomplete.
 func abort(r *http.Request) {
 	if r.Context().Err() == nil {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// refuse answers with an error and attests that the request did not run.
+// refuse replies with an error and states that the request did not run.
 func refuse(w http.ResponseWriter, status int, code, message string) {
 	w.Header().Set(protocol.RunOutcomeHeader, string(protocol.NotRun))
 	if status == http.StatusServiceUnavailable {
@@ -271,26 +273,27 @@
 	return int(at), err
 }
 
-func headerInt(r *http.Request, name string, missing int) int {
+func headerInt(r *http.Request, name string, fallback int) int {
 	value, err := strconv.Atoi(r.Header.Get(name))
 	if err != nil {
-		return missing
+		return fallback
 	}
 	return value
 }
 
-// marked says whether the last message carries the crash marker. A chat that
-// goes on after a crash carries the marker in its past only.
-func marked(messages []chat.Message) bool {
+// hasCrashMarker reports whether the last message contains the crash marker. A chat
+// that continues after a crash has the marker only in earlier messages.
+func hasCrashMarker(messages []chat.Message) bool {
 	return strings.Contains(messages[len(messages)-1].Content, CrashMarker)
 }
 
+// streamKey returns the key by which serveCancel finds the stream of an attempt.
 func streamKey(request protocol.RequestID, attempt int) string {
 	return fmt.Sprintf("%s/%d", request, attempt)
 }
 
-// completionID names an answer after its request, or after the time when the
-// caller gave the request no name.
+// completionID derives the ID of an answer from the request ID, or from the time
+// if the request has none.
 func completionID(r *http.Request) string {
 	if id := r.Header.Get(protocol.RequestIDHeader); id != "" {
 		return "chatcmpl-" + id
--- a/standin/host/announcer.go
+++ b/standin/host/announcer.go
@@ -13,32 +13,35 @@
 	"endiveplank/protocol/upstreamapi"
 )
 
-// announceTimeout bounds one announcement, so that a silent router costs less
-// than one interval before the next router is tried.
+// announceTimeout limits one attempt to send a message. It is shorter than
+// AnnounceInterval, so a silent router delays the attempt at the next router by
+// less than one interval.
 const announceTimeout = 400 * time.Millisecond
 
-// Announcer repeats an upstream's announcement to one of the routers. When a
-// router does not answer, the next one in the list is tried in the same round.
-// It is not safe for concurrent use.
+// Announcer sends an upstream's announcements to one of the routers, at regular
+// intervals. If that router doesn't accept a message, the Announcer tries the next
+// one in the list at once and stays with the one that accepts. It is not safe for
+// concurrent use.
 type Announcer struct {
-	// Targets are the routers' upstream addresses, host:port.
-	Targets []string
-	// Build makes the next announcement. ok false skips the round.
-	Build func() (announcement upstreamapi.Announcement, ok bool)
+	// Routers are the addresses at which routers take announcements, host:port.
+	Routers []string
+	// BuildAnnouncement returns the next announcement. If ok is false, none is
+	// sent in this interval.
+	BuildAnnouncement func() (announcement upstreamapi.Announcement, ok bool)
 
-	current int
+	current int // index of the router to try first, modulo their number
 	client  http.Client
 }
 
 // Run announces at once and then every AnnounceInterval until ctx ends.
 func (a *Announcer) Run(ctx context.Context) {
-	if len(a.Targets) == 0 {
+	if len(a.Routers) == 0 {
 		return
 	}
 	ticker := time.NewTicker(upstreamapi.AnnounceInterval)
 	defer ticker.Stop()
 	for {
-		if announcement, ok := a.Build(); ok {
+		if announcement, ok := a.BuildAnnouncement(); ok {
 			a.Announce(ctx, announcement)
 		}
 		select {
@@ -49,42 +52,43 @@
 	}
 }
 
-// Announce sends one announcement out of turn.
+// Announce sends one announcement immediately.
 func (a *Announcer) Announce(ctx context.Context, announcement upstreamapi.Announcement) {
 	a.deliver(ctx, upstreamapi.AnnouncePath, announcement)
 }
 
-// Leave says goodbye to one router.
+// Leave tells one router that the upstream has left.
 func (a *Announcer) Leave(ctx context.Context, leave upstreamapi.Leave) {
 	a.deliver(ctx, upstreamapi.LeavePath, leave)
 }
 
-// Depart ends an upstream gracefully: it announces that it is leaving, if there is
-// an announcement to make, lets drain end the work in hand, and says goodbye.
-func (a *Announcer) Depart(ctx context.Context, drain func(context.Context)) {
-	announcement, known := a.Build()
-	if known {
+// DrainAndLeave withdraws an upstream gracefully: it sends an announcement, which
+// the caller has marked as leaving, calls drain to finish the requests in flight,
+// and sends the leave message. Without an announcement it only calls drain.
+func (a *Announcer) DrainAndLeave(ctx context.Context, drain func(context.Context)) {
+	announcement, ok := a.BuildAnnouncement()
+	if ok {
 		a.Announce(ctx, announcement)
 	}
 	drain(ctx)
-	if known {
+	if ok {
 		a.Leave(ctx, upstreamapi.Leave{ID: announcement.ID, Incarnation: announcement.Incarnation})
 	}
 }
 
-// deliver posts a message to the first router that takes it.
+// deliver posts a message to the first router that accepts it.
 func (a *Announcer) deliver(ctx context.Context, path string, message any) {
-	for range a.Targets {
-		target := a.Targets[a.current%len(a.Targets)]
-		if err := a.post(ctx, "http://"+target+path, message); err == nil {
+	for range a.Routers {
+		router := a.Routers[a.current%len(a.Routers)]
+		if err := a.post(ctx, "http://"+router+path, message); err == nil {
 			return
 		}
 		a.current++
 	}
 }
 
-// post sends one message and reads the reply to its end, so that the
-// connection is used again.
+// post sends one message. It reads the reply to its end, so that the connection
+// is reused.
 func (a *Announcer) post(ctx context.Context, url string, message any) error {
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
--- a/standin/host/announcer_test.go
+++ b/standin/host/announcer_test.go
@@ -14,9 +14,10 @@
 	"endiveplank/standin/host"
 )
 
-// One router is gone and the next refuses: the announcement reaches the third
-// in the same round, and the goodbye goes there too.
-func TestAnnouncementFindsALivingRouter(t *testing.T) {
+// The first router is down and the second replies with 503. The announcement must
+// reach the third one without waiting for the next interval, and the leave message
+// must go to the third one directly.
+func TestAnnouncementFallsBackToTheNextRouter(t *testing.T) {
 	var paths []string
 	router := func(status int) string {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -28,14 +29,14 @@
 		t.Cleanup(server.Close)
 		return strings.TrimPrefix(server.URL, "http://")
 	}
-	gone := httptest.NewServer(nil)
-	gone.Close()
+	down := httptest.NewServer(nil)
+	down.Close()
 	targets := []string{
-		strings.TrimPrefix(gone.URL, "http://"),
+		strings.TrimPrefix(down.URL, "http://"),
 		router(http.StatusServiceUnavailable),
 		router(http.StatusOK),
 	}
-	announcer := host.Announcer{Targets: targets}
+	announcer := host.Announcer{Routers: targets}
 	announcer.Announce(context.Background(), upstreamapi.Announcement{ID: "e1"})
 	announcer.Leave(context.Background(), upstreamapi.Leave{ID: "e1"})
 	assert.DeepEqual(t, paths, []string{
--- a/standin/host/host.go
+++ b/standin/host/host.go
@@ -1,13 +1,14 @@
-// Package host is the HTTP shell that the stand-ins share: a listener whose
-// connections can be silenced or dropped, and the loop that announces an
-// upstream to the routers.
+// Package host has what the stand-ins share: Host is an HTTP server whose
+// connections can be made silent or closed, Lifecycle simulates crashes and
+// restarts, and Announcer announces an upstream to the routers.
 //
-// Silence is the fault in which one end has lost track of a connection: bytes
-// stop, and nothing closes. The package knows two kinds of it. In the first,
-// every request on every connection hangs. In the second, the connections open
-// at that moment hang for good while new ones work, which is what a router
-// meets when something between the two ends forgot them. Paths under /faults
-// and the other control paths stay reachable, so that a test can end the fault.
+// A silent connection carries no more bytes, but neither end closes it, as when
+// one end or a device between the two has lost the connection's state. There are
+// two variants. With SetSilent, every request on every connection hangs until the
+// fault is lifted. With ForgetOpen, the connections that are open at that moment
+// hang for good while new ones work. Only handlers that call WaitWhileSilent are
+// affected: /faults and the other control paths stay reachable, so a test can end
+// the fault.
 package host
 
 import (
@@ -20,10 +21,11 @@
 	"github.com/rotisserie/eris"
 )
 
-// headerTimeout bounds how long a caller may take over its request header.
+// headerTimeout limits how long a client may take to send its request header.
 const headerTimeout = 10 * time.Second
 
-// Host serves HTTP on one address and can play dead.
+// Host serves HTTP on one address. It can make connections silent, and it can
+// close and reopen its listener as a crashed process does.
 type Host struct {
 	handler http.Handler
 	address string
@@ -31,11 +33,12 @@
 	mu         sync.Mutex
 	server     *http.Server
 	silent     bool
-	generation int
-	changed    chan struct{}
+	generation int           // how often ForgetOpen was called
+	changed    chan struct{} // closed and replaced when silent or generation changes
 }
 
-// generationKey is the context key of the connection's generation.
+// generationKey is the context key of the host's generation at the time when the
+// connection was opened.
 type generationKey struct{}
 
 // Listen starts to serve handler on address (host:port, port 0 for any).
@@ -54,7 +57,7 @@
 	return h.address
 }
 
-// Reopen listens again, on the same address, after Drop.
+// Reopen listens on the same address again after Close.
 func (h *Host) Reopen() error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -66,22 +69,22 @@
 	h.server = &http.Server{
 		Handler:           h.handler,
 		ReadHeaderTimeout: headerTimeout,
-		ConnContext:       h.tag,
+		ConnContext:       h.connContext,
 	}
 	go func(server *http.Server) { _ = server.Serve(listener) }(h.server)
 	return nil
 }
 
-// Drop closes the listener and every connection at once, as the end of a
-// process does.
-func (h *Host) Drop() {
+// Close closes the listener and all connections immediately, as when a process
+// dies.
+func (h *Host) Close() {
 	h.mu.Lock()
 	server := h.server
 	h.mu.Unlock()
 	_ = server.Close()
 }
 
-// Shutdown stops accepting and waits for the requests in flight.
+// Shutdown stops accepting connections and waits for the requests in flight.
 func (h *Host) Shutdown(ctx context.Context) error {
 	h.mu.Lock()
 	server := h.server
@@ -89,27 +92,28 @@
 	return server.Shutdown(ctx)
 }
 
-// SetSilent makes every request hang, or lets them go on.
+// SetSilent makes every request hang, or lets the hanging requests continue.
 func (h *Host) SetSilent(silent bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.silent = silent
-	h.signal()
+	h.wakeWaiters()
 }
 
-// ForgetOpen makes the connections that are open now hang for good. New ones
-// work.
+// ForgetOpen makes the connections that are open now hang for good. New
+// connections work.
 func (h *Host) ForgetOpen() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.generation++
-	h.signal()
+	h.wakeWaiters()
 }
 
-// Pass returns nil once the request's connection is not silent, or the
-// context's error when the other end closes first. A handler calls it before
-// it reads and before each write.
-func (h *Host) Pass(ctx context.Context) error {
+// WaitWhileSilent waits until the request's connection is no longer silent. It
+// returns the context's error if the other end closes the connection first. A
+// handler calls it before it reads and before each write. ctx must be the context
+// of the request or derived from it.
+func (h *Host) WaitWhileSilent(ctx context.Context) error {
 	generation, _ := ctx.Value(generationKey{}).(int)
 	for {
 		h.mu.Lock()
@@ -127,25 +131,26 @@
 	}
 }
 
-// Gated returns handler behind Pass.
+// Gated returns a handler that waits while the connection is silent and then
+// calls handler.
 func (h *Host) Gated(handler http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if h.Pass(r.Context()) == nil {
+		if h.WaitWhileSilent(r.Context()) == nil {
 			handler(w, r)
 		}
 	}
 }
 
-// tag notes on a new connection how many times the host had forgotten its
-// open connections before.
-func (h *Host) tag(ctx context.Context, _ net.Conn) context.Context {
+// connContext records the current generation in a new connection's context, so
+// that WaitWhileSilent finds the connections that are older than a ForgetOpen.
+func (h *Host) connContext(ctx context.Context, _ net.Conn) context.Context {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return context.WithValue(ctx, generationKey{}, h.generation)
 }
 
-// signal wakes all that wait in Pass. The caller holds the mutex.
-func (h *Host) signal() {
+// wakeWaiters wakes all handlers in WaitWhileSilent. The caller holds the mutex.
+func (h *Host) wakeWaiters() {
 	close(h.changed)
 	h.changed = make(chan struct{})
 }
--- a/standin/host/json.go
+++ b/standin/host/json.go
@@ -7,26 +7,26 @@
 	"endiveplank/protocol/chat"
 )
 
-// MaxBody bounds the request bodies that a stand-in reads, in bytes.
+// MaxBody is the largest request body that a stand-in reads, in bytes.
 const MaxBody = 8 << 20
 
-// WriteJSON answers with one JSON document.
+// WriteJSON replies with one JSON document.
 func WriteJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// WriteError answers with an error body in the shape that chat API clients
-// expect.
+// WriteError replies with an error body in the format that clients of the chat
+// API expect.
 func WriteError(w http.ResponseWriter, status int, code, message string) {
 	detail := chat.ErrorDetail{Message: message, Type: errorType(status), Code: code}
 	WriteJSON(w, status, chat.ErrorBody{Error: detail})
 }
 
-// ReadJSON decodes the request body into target. Fields that the body leaves
-// out keep the value they have in target. It answers 400 itself and returns
-// false when the body is no JSON.
+// ReadJSON decodes the request body into target. Fields that are not in the body
+// keep their value in target. If the body can't be decoded, ReadJSON replies with
+// status 400 and returns false.
 func ReadJSON(w http.ResponseWriter, r *http.Request, target any) bool {
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, MaxBody)).Decode(target)
 	if err != nil {
@@ -36,7 +36,7 @@
 	return true
 }
 
-// errorType groups a status as chat API clients do.
+// errorType returns the error type that the chat API uses for a status.
 func errorType(status int) string {
 	switch {
 	case status == http.StatusServiceUnavailable:
--- a/standin/host/life.go
+++ b/standin/host/life.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// Life follows one upstream through crashes and restarts.
-type Life struct {
+// Lifecycle simulates the crashes and restarts of one upstream and numbers its
+// announcements.
+type Lifecycle struct {
 	host *Host
-	// onCrash, when set, ends the process.
+	// onCrash, if set, ends the process.
 	onCrash      func()
 	restartAfter time.Duration
 
@@ -18,22 +19,23 @@
 	sequence    uint64
 }
 
-// NewLife begins a life. A crash calls onCrash, or drops everything when that
-// is nil; the upstream is then back after restartAfter, or never when that is
-// zero.
-func NewLife(host *Host, onCrash func(), restartAfter time.Duration) *Life {
-	return &Life{
+// NewLifecycle returns the lifecycle of an upstream that is up. A crash calls
+// onCrash. If that is nil, a crash closes host, and the upstream restarts after
+// restartAfter, or never if that is zero.
+func NewLifecycle(host *Host, onCrash func(), restartAfter time.Duration) *Lifecycle {
+	return &Lifecycle{
 		host:         host,
 		onCrash:      onCrash,
 		restartAfter: restartAfter,
-		// A restarted process must have a higher incarnation than before.
+		// A restarted process must have a higher incarnation than the one before
+		// it, which it doesn't know.
 		incarnation: uint64(time.Now().UnixMilli()),
 	}
 }
 
-// Crash ends the process or drops everything. reset forgets what a new process
-// would not know.
-func (l *Life) Crash(reset func()) {
+// Crash simulates a crash of the upstream's process, as NewLifecycle describes. It
+// calls reset to discard the state that a new process would not have.
+func (l *Lifecycle) Crash(reset func()) {
 	if l.onCrash != nil {
 		l.onCrash()
 		return
@@ -45,18 +47,19 @@
 	}
 	l.down = true
 	reset()
-	l.host.Drop()
+	l.host.Close()
 	if l.restartAfter > 0 {
-		time.AfterFunc(l.restartAfter, l.comeBack)
+		time.AfterFunc(l.restartAfter, l.restart)
 	}
 }
 
-// comeBack ends the downtime after a crash.
-func (l *Life) comeBack() {
+// restart brings the upstream back after a crash. While the address can't be
+// listened on, it tries again after restartAfter.
+func (l *Lifecycle) restart() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.host.Reopen() != nil {
-		time.AfterFunc(l.restartAfter, l.comeBack)
+		time.AfterFunc(l.restartAfter, l.restart)
 		return
 	}
 	l.down = false
@@ -64,9 +67,9 @@
 	l.sequence = 0
 }
 
-// Stamp returns the incarnation and the sequence of the next announcement. ok
-// is false while the upstream is down.
-func (l *Life) Stamp() (incarnation, sequence uint64, ok bool) {
+// NextSequence returns the incarnation and the sequence number of the next
+// announcement. ok is false while the upstream is down.
+func (l *Lifecycle) NextSequence() (incarnation, sequence uint64, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sequence++
--- a/standin/relay/control.go
+++ b/standin/relay/control.go
@@ -11,8 +11,8 @@
 	Direction Direction `json:"direction"`
 }
 
-// Handler steers the relay over HTTP: GET and POST /faults with Faults as
-// JSON, POST /forget with a direction, and POST /cut.
+// Handler returns the HTTP handler that controls the relay: GET and POST /faults
+// with Faults as JSON, POST /forget with a direction, and POST /cut.
 func (r *Relay) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /faults", func(w http.ResponseWriter, _ *http.Request) {
@@ -20,7 +20,7 @@
 	})
 	mux.HandleFunc("POST /faults", func(w http.ResponseWriter, request *http.Request) {
 		faults := r.Faults()
-		if !host.ReadJSON(w, request, &faults) || !known(w, faults.Silent, "") {
+		if !host.ReadJSON(w, request, &faults) || !checkDirection(w, faults.Silent, "") {
 			return
 		}
 		r.Set(faults)
@@ -28,7 +28,7 @@
 	})
 	mux.HandleFunc("POST /forget", func(w http.ResponseWriter, request *http.Request) {
 		forget := forgetRequest{Direction: Both}
-		if !host.ReadJSON(w, request, &forget) || !known(w, forget.Direction) {
+		if !host.ReadJSON(w, request, &forget) || !checkDirection(w, forget.Direction) {
 			return
 		}
 		r.Forget(forget.Direction)
@@ -41,10 +41,10 @@
 	return mux
 }
 
-// known answers 400 and returns false unless the direction is one that the
-// relay knows or one of those allowed besides.
-func known(w http.ResponseWriter, direction Direction, besides ...Direction) bool {
-	for _, allowed := range append(besides, Forward, Backward, Both) {
+// checkDirection returns true if the direction is Forward, Backward, Both or one of
+// extra. Otherwise it replies with status 400.
+func checkDirection(w http.ResponseWriter, direction Direction, extra ...Direction) bool {
+	for _, allowed := range append(extra, Forward, Backward, Both) {
 		if direction == allowed {
 			return true
 		}
--- a/standin/relay/pipe.go
+++ b/standin/relay/pipe.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// chunk is bytes on their way, or the end of a direction when it is empty.
+// chunk holds bytes that the relay has read and not yet written. An empty chunk
+// marks the end of the stream in one direction.
 type chunk struct {
 	bytes []byte
-	due   time.Time
+	due   time.Time // when the bytes may be written
 }
 
-// pipe forwards one direction of a link. One goroutine reads and another
-// writes, so that a delay holds up no bytes behind the delayed ones.
+// pipe forwards one direction of a link. Reading and writing run in separate
+// goroutines, so that a delay adds latency without reducing the throughput.
 func (r *Relay) pipe(l *link, direction Direction, from, to net.Conn) {
 	queue := make(chan chunk, queueLength)
 	go r.read(l, direction, from, queue)
 	for c := range queue {
-		if !l.wait(time.Until(c.due)) || !r.pass(l, direction) {
+		if !l.wait(time.Until(c.due)) || !r.waitWhileSilent(l, direction) {
 			continue
 		}
 		if len(c.bytes) == 0 {
@@ -30,10 +31,11 @@
 	}
 }
 
-// read fills the queue until its end closes, and closes it then.
+// read reads from a connection into the queue until the connection ends or the
+// link is cut. Then it closes the queue.
 func (r *Relay) read(l *link, direction Direction, from net.Conn, queue chan<- chunk) {
 	defer close(queue)
-	for r.pass(l, direction) {
+	for r.waitWhileSilent(l, direction) {
 		buffer := make([]byte, chunkSize)
 		n, err := from.Read(buffer)
 		due := time.Now().Add(r.Faults().Delay)
@@ -47,13 +49,13 @@
 	}
 }
 
-// pass waits while the direction is silent. It returns false once the link has
-// been cut. Both the reader and the writer call it, so that bytes which the
-// relay already holds when the silence begins do not come through either.
-func (r *Relay) pass(l *link, direction Direction) bool {
+// waitWhileSilent waits while the direction is silent. It returns false once the
+// link has been cut. The reader and the writer both call it, so that bytes which
+// the relay has read before the silence starts aren't written during it.
+func (r *Relay) waitWhileSilent(l *link, direction Direction) bool {
 	for {
 		r.mu.Lock()
-		silent := covers(l.forgotten, direction) || covers(r.faults.Silent, direction)
+		silent := includes(l.silenced, direction) || includes(r.faults.Silent, direction)
 		changed := r.changed
 		r.mu.Unlock()
 		if !silent {
@@ -67,7 +69,7 @@
 	}
 }
 
-// wait lets a delay pass. It returns false when the link is cut before.
+// wait waits for a delay. It returns false if the link is cut meanwhile.
 func (l *link) wait(delay time.Duration) bool {
 	if delay <= 0 {
 		return true
@@ -82,12 +84,12 @@
 	}
 }
 
-// covers says whether a fault's direction takes in another.
-func covers(fault, direction Direction) bool {
+// includes reports whether a fault in the direction fault affects direction.
+func includes(fault, direction Direction) bool {
 	return fault == Both || fault == direction
 }
 
-// closeWrite passes the end of a direction on.
+// closeWrite forwards the end of the stream in one direction.
 func closeWrite(conn net.Conn) {
 	if half, ok := conn.(interface{ CloseWrite() error }); ok {
 		_ = half.CloseWrite()
--- a/standin/relay/relay.go
+++ b/standin/relay/relay.go
@@ -1,14 +1,15 @@
-// Package relay is a small TCP relay that plays a faulty network between two
-// ends, for tests and demonstrations.
+// Package relay is a TCP relay that simulates a faulty network between a client
+// and one target, for tests and demonstrations.
 //
-// Its faults are those that an end cannot see from its own socket. In a silent
-// direction the relay stops reading: nothing arrives, nothing closes, and the
-// sender notices only when its buffers are full. The closing of an end is not
-// passed on either, as when a device between the two has lost track of the
-// connection. Silence can hold for the connections that are open at that
-// moment, for good, while new ones work; or for all, until it is lifted, as in
-// a silent network partition. Delay adds latency without a loss of bandwidth.
-// Cut closes connections, and Refuse closes new ones at once.
+// Relay forwards the connections; Faults and the methods Forget and Cut make them
+// fail. In a silent direction the relay stops reading: nothing arrives, no
+// connection is closed, and the sender notices only when its buffers are full. The
+// relay doesn't forward the closing of a connection either, as when a device
+// between the two ends has lost the connection's state. Forget makes the
+// connections that are open at that moment silent for good while new ones work.
+// Faults.Silent makes all connections silent until it is lifted, as in a network
+// partition. Faults.Delay adds latency without reducing the bandwidth. Cut closes
+// connections, and Faults.Refuse closes new ones at once.
 package relay
 
 import (
@@ -19,39 +20,39 @@
 	"github.com/rotisserie/eris"
 )
 
-// Direction names a way through the relay.
+// Direction is a direction of traffic through the relay.
 type Direction string
 
 const (
-	// Forward is from the end that connected to the target.
+	// Forward is from the client, which connected to the relay, to the target.
 	Forward Direction = "forward"
-	// Backward is from the target to the end that connected.
+	// Backward is from the target to the client.
 	Backward Direction = "backward"
-	// Both is either way.
+	// Both is Forward and Backward.
 	Both Direction = "both"
 )
 
-// chunkSize is what the relay reads at once, in bytes, and queueLength the
-// chunks that wait for their delay in one direction.
+// chunkSize is the most that the relay reads at once, in bytes. queueLength is the
+// largest number of chunks that wait for their delay in one direction.
 const (
 	chunkSize   = 16 << 10
 	queueLength = 256
 )
 
-// Faults are the faults that hold for all connections until they are changed.
+// Faults are the faults that apply to all connections until they are changed.
 type Faults struct {
-	// Silent names the silent direction; empty for none.
+	// Silent is the silent direction, or empty for none.
 	Silent Direction `json:"silent"`
-	// Delay is added to each direction, in nanoseconds in JSON.
+	// Delay is added in each direction. In JSON it is in nanoseconds.
 	Delay time.Duration `json:"delay_ns"`
-	// Refuse closes new connections at once.
+	// Refuse makes the relay close new connections at once.
 	Refuse bool `json:"refuse"`
 }
 
 // Relay forwards TCP connections to one target.
 type Relay struct {
 	listener net.Listener
-	to       string
+	target   string
 	done     sync.WaitGroup
 
 	mu      sync.Mutex
@@ -63,23 +64,25 @@
 
 // link is one connection through the relay.
 type link struct {
-	near, far net.Conn
-	// forgotten is the direction that is silent for good; empty for none.
-	forgotten Direction
-	// closed tells pipes that wait in silence that the link has been cut.
+	client, target net.Conn
+	// silenced is the direction that is silent for good, or empty for none.
+	silenced Direction
+	// closed is closed when the link has been cut, which wakes pipes that wait
+	// while their direction is silent.
 	closed chan struct{}
 	once   sync.Once
 }
 
-// Start relays from listen (host:port, port 0 for any) to the address to.
-func Start(listen, to string) (*Relay, error) {
+// Start relays connections from listen (host:port, port 0 for any) to the address
+// target.
+func Start(listen, target string) (*Relay, error) {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
 		return nil, eris.Wrapf(err, "listen on %s", listen)
 	}
 	r := &Relay{
 		listener: listener,
-		to:       to,
+		target:   target,
 		links:    make(map[*link]struct{}),
 		changed:  make(chan struct{}),
 	}
@@ -91,12 +94,12 @@
 // Address returns the host:port that the relay listens on.
 func (r *Relay) Address() string { return r.listener.Addr().String() }
 
-// Set puts faults in force for all connections.
+// Set replaces the faults that apply to all connections.
 func (r *Relay) Set(faults Faults) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faults = faults
-	r.signal()
+	r.wakeWaiters()
 }
 
 // Faults returns the faults in force.
@@ -106,15 +109,15 @@
 	return r.faults
 }
 
-// Forget silences the connections that are open now for good, in one direction
-// or both. New ones work.
+// Forget makes the connections that are open now silent for good, in one direction
+// or both. New connections work.
 func (r *Relay) Forget(direction Direction) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for l := range r.links {
-		l.forgotten = direction
+		l.silenced = direction
 	}
-	r.signal()
+	r.wakeWaiters()
 }
 
 // Cut closes all connections at both ends.
@@ -133,7 +136,7 @@
 	return len(r.links)
 }
 
-// Close ends the relay and its connections.
+// Close stops the relay and closes its connections.
 func (r *Relay) Close() {
 	r.mu.Lock()
 	r.closed = true
@@ -146,64 +149,66 @@
 func (r *Relay) accept() {
 	defer r.done.Done()
 	for {
-		near, err := r.listener.Accept()
+		client, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
 		r.done.Add(1)
-		go r.serve(near)
+		go r.serve(client)
 	}
 }
 
 // serve relays one connection until both directions have ended.
-func (r *Relay) serve(near net.Conn) {
+func (r *Relay) serve(client net.Conn) {
 	defer r.done.Done()
 	if r.Faults().Refuse {
-		_ = near.Close()
+		_ = client.Close()
 		return
 	}
-	far, err := net.Dial("tcp", r.to)
+	target, err := net.Dial("tcp", r.target)
 	if err != nil {
-		_ = near.Close()
+		_ = client.Close()
 		return
 	}
-	l := &link{near: near, far: far, closed: make(chan struct{})}
-	if !r.add(l) {
+	l := &link{client: client, target: target, closed: make(chan struct{})}
+	if !r.addLink(l) {
 		l.cut()
 		return
 	}
 	var pipes sync.WaitGroup
-	pipes.Go(func() { r.pipe(l, Forward, near, far) })
-	pipes.Go(func() { r.pipe(l, Backward, far, near) })
+	pipes.Go(func() { r.pipe(l, Forward, client, target) })
+	pipes.Go(func() { r.pipe(l, Backward, target, client) })
 	pipes.Wait()
 	l.cut()
-	r.remove(l)
+	r.removeLink(l)
 }
 
-func (r *Relay) add(l *link) bool {
+// addLink registers a link. It returns false if the relay is closed, and the link
+// must then be cut.
+func (r *Relay) addLink(l *link) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.links[l] = struct{}{}
 	return !r.closed
 }
 
-func (r *Relay) remove(l *link) {
+func (r *Relay) removeLink(l *link) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.links, l)
 }
 
-// signal wakes the pipes that wait in silence. The caller holds the mutex.
-func (r *Relay) signal() {
+// wakeWaiters wakes the pipes in waitWhileSilent. The caller holds the mutex.
+func (r *Relay) wakeWaiters() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// cut closes both ends.
+// cut closes both connections of the link.
 func (l *link) cut() {
 	l.once.Do(func() {
 		close(l.closed)
-		_ = l.near.Close()
-		_ = l.far.Close()
+		_ = l.client.Close()
+		_ = l.target.Close()
 	})
 }
--- a/standin/relay/relay_test.go
+++ b/standin/relay/relay_test.go
@@ -16,7 +16,7 @@
 	"endiveplank/standin/relay"
 )
 
-// quiet is how long a test listens for bytes that must not come.
+// quiet is how long a test waits to see that no bytes arrive.
 const quiet = 20 * time.Millisecond
 
 // startEcho relays to a server that sends back each line it reads.
@@ -63,7 +63,7 @@
 	return client{Conn: conn, lines: bufio.NewReader(conn)}
 }
 
-// echo sends a line and returns what came back within the deadline.
+// echo sends a line and returns the line that comes back within the given time.
 func (c client) echo(line string, within time.Duration) (string, error) {
 	if _, err := c.Write([]byte(line + "\n")); err != nil {
 		return "", err
@@ -77,9 +77,9 @@
 	return strings.TrimSuffix(line, "\n"), err
 }
 
-// An open connection goes silent: writes still succeed, nothing comes back and
-// nothing closes. A new connection works at the same time. The old one stays
-// dead for good.
+// An open connection goes silent: writes still succeed, but nothing comes back and
+// the connection isn't closed. A new connection works at the same time. The old
+// one stays silent even after the faults are reset.
 func TestForgottenConnectionStaysSilent(t *testing.T) {
 	for _, direction := range []relay.Direction{relay.Forward, relay.Backward, relay.Both} {
 		r := startEcho(t)
@@ -99,8 +99,9 @@
 	}
 }
 
-// A partition holds for old and new connections. When it is lifted, what was
-// sent into it arrives, as TCP sends it again.
+// A partition affects old and new connections. When it is lifted, the bytes that
+// were sent during it arrive, as they do when TCP retransmits them. An unknown
+// direction is refused and changes nothing.
 func TestPartitionHoldsAndLifts(t *testing.T) {
 	r := startEcho(t)
 	control := httptest.NewServer(r.Handler())
@@ -113,14 +114,14 @@
 	}
 	old := dial(t, r)
 	set("/faults", `{"silent":"both"}`, http.StatusOK)
-	fresh := dial(t, r)
-	for _, c := range []client{old, fresh} {
+	opened := dial(t, r)
+	for _, c := range []client{old, opened} {
 		_, err := c.echo("held", quiet)
 		assert.Assert(t, errors.Is(err, os.ErrDeadlineExceeded))
 	}
 	set("/faults", `{"silent":"sideways"}`, http.StatusBadRequest)
 	set("/faults", `{"silent":""}`, http.StatusOK)
-	for _, c := range []client{old, fresh} {
+	for _, c := range []client{old, opened} {
 		line, err := c.read(time.Minute)
 		assert.NilError(t, err)
 		assert.Equal(t, line, "held")
@@ -130,6 +131,8 @@
 	assert.Assert(t, err != nil && !errors.Is(err, os.ErrDeadlineExceeded), "cut closes: %v", err)
 }
 
+// A delay applies to each direction, so a round trip takes at least twice as long.
+// A refused connection is closed, not silent.
 func TestDelayAndRefuse(t *testing.T) {
 	r := startEcho(t)
 	c := dial(t, r)
--- a/standin/weights/weights.go
+++ b/standin/weights/weights.go
@@ -1,10 +1,11 @@
-// Package weights is a stand-in for the deployment's weight store: every engine
-// loads its models from it, and it serves at a limited rate.
+// Package weights is a stand-in for the deployment's weight store, from which
+// all engines load their models. Store serves it over HTTP at a limited rate;
+// Queue computes when each transfer ends.
 //
-// Transfers are served one after the other in the order in which they were
-// asked for. When many engines load at once, as after a restart of a rack, the
-// last of them waits for all the others; that is the stampede which a fleet
-// must avoid by spreading its orders over time.
+// The store serves one transfer at a time, in the order of the requests. When
+// many engines load at once, for example after a rack has restarted, the last
+// engine waits for all others. The fleet must avoid this thundering herd by
+// spreading its load orders over time.
 package weights
 
 import (
@@ -15,53 +16,56 @@
 	"endiveplank/standin/host"
 )
 
-// Path answers GET with Transfer once the weights have been transferred. The
-// query names the model and the version; the store serves any.
+// Path is where an engine gets weights: GET replies with a Transfer after the
+// time of the transfer. The query names the model and the version; the store
+// accepts any.
 const Path = "/weights"
 
-// Transfer is the answer to GET Path.
+// Transfer is the reply to GET Path.
 type Transfer struct {
 	Model   string `json:"model"`
 	Version string `json:"version"`
 }
 
-// Totals is the answer to GET /stats.
+// Totals is the reply to GET /stats.
 type Totals struct {
-	// Done and Waiting count transfers; PeakWaiting is the highest Waiting.
+	// Done counts the transfers that ended, Waiting those that are queued or in
+	// progress now. PeakWaiting is the highest Waiting so far.
 	Done        int `json:"done"`
 	Waiting     int `json:"waiting"`
 	PeakWaiting int `json:"peak_waiting"`
 }
 
-// Line is the order in which transfers are served. It is a pure model over a
-// passed clock and not safe for concurrent use.
-type Line struct {
-	// Each is the time of one transfer.
-	Each time.Duration
-	free time.Duration
+// Queue schedules transfers one after the other. The caller passes the time, so
+// it needs no clock. It is not safe for concurrent use.
+type Queue struct {
+	// TransferTime is how long one transfer takes.
+	TransferTime time.Duration
+	// freeAt is when the last transfer that was added ends.
+	freeAt time.Duration
 }
 
-// Join returns when a transfer that is asked for now will be done.
-func (l *Line) Join(now time.Duration) time.Duration {
-	l.free = max(l.free, now) + l.Each
-	return l.free
+// Add queues a transfer that is requested now and returns when it will end.
+func (l *Queue) Add(now time.Duration) time.Duration {
+	l.freeAt = max(l.freeAt, now) + l.TransferTime
+	return l.freeAt
 }
 
-// Store is a weight store behind HTTP.
+// Store is a weight store that is served over HTTP.
 type Store struct {
 	host  *host.Host
 	epoch time.Time
 
 	mu     sync.Mutex
-	line   Line
+	queue  Queue
 	totals Totals
 }
 
-// Start serves a store on listen (host:port) whose transfers take each.
-func Start(listen string, each time.Duration) (*Store, error) {
-	s := &Store{epoch: time.Now(), line: Line{Each: each}}
+// Start serves a store on listen (host:port). Each transfer takes transferTime.
+func Start(listen string, transferTime time.Duration) (*Store, error) {
+	s := &Store{epoch: time.Now(), queue: Queue{TransferTime: transferTime}}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+Path, s.transfer)
+	mux.HandleFunc("GET "+Path, s.serveTransfer)
 	mux.HandleFunc("GET /stats", func(w http.ResponseWriter, _ *http.Request) {
 		host.WriteJSON(w, http.StatusOK, s.Totals())
 	})
@@ -76,8 +80,8 @@
 // Address returns the host:port that the store serves on.
 func (s *Store) Address() string { return s.host.Address() }
 
-// Close ends the store and its transfers.
-func (s *Store) Close() { s.host.Drop() }
+// Close stops the store and aborts its transfers.
+func (s *Store) Close() { s.host.Close() }
 
 // Totals returns the counts so far.
 func (s *Store) Totals() Totals {
@@ -86,11 +90,11 @@
 	return s.totals
 }
 
-// transfer serves Path. A transfer that its engine gives up keeps its place in
-// the line, since the store has begun to read it.
-func (s *Store) transfer(w http.ResponseWriter, r *http.Request) {
-	done := s.join()
-	defer s.leave()
+// serveTransfer serves Path. A transfer whose engine disconnects still takes its
+// time in the queue, since the store has started to read the weights.
+func (s *Store) serveTransfer(w http.ResponseWriter, r *http.Request) {
+	done := s.beginTransfer()
+	defer s.endTransfer()
 	timer := time.NewTimer(done - time.Since(s.epoch))
 	defer timer.Stop()
 	select {
@@ -105,15 +109,16 @@
 	host.WriteJSON(w, http.StatusOK, Transfer{Model: query.Get("model"), Version: query.Get("version")})
 }
 
-func (s *Store) join() time.Duration {
+// beginTransfer queues a transfer and returns when it will end.
+func (s *Store) beginTransfer() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.totals.Waiting++
 	s.totals.PeakWaiting = max(s.totals.PeakWaiting, s.totals.Waiting)
-	return s.line.Join(time.Since(s.epoch))
+	return s.queue.Add(time.Since(s.epoch))
 }
 
-func (s *Store) leave() {
+func (s *Store) endTransfer() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.totals.Waiting--
