--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -19,65 +19,66 @@
 // callerPause is the mean time between two requests of one caller.
 const callerPause = 15 * time.Millisecond
 
-// What callers present and how long they wait.
+// The host and the key that callers send, and the deadline of their requests.
 const (
-	callersHost     = "caller.example"
-	callersKey      = "key"
-	callersPatience = 3 * time.Second
+	callerHost    = "caller.example"
+	callerKey     = "key"
+	callerTimeout = 3 * time.Second
 )
 
-// caller sends requests one after the other over connections that it keeps, and
-// uses them until the process at the other end is gone.
+// caller sends requests one after the other to a random router. It keeps its
+// connection until the router closes it or a request fails.
 type caller struct {
-	world  *world
-	name   string
-	path   string
-	number int
-	router *process
-	conn   net.Conn
-	reader *bufio.Reader
-	// opened is when the connection was made.
+	harness *harness
+	name    string
+	path    string
+	number  int
+	router  *process
+	conn    net.Conn
+	reader  *bufio.Reader
+	// opened is when the connection was opened.
 	opened time.Time
 }
 
-// call starts n callers of a path.
-func (w *world) call(n int, path string) {
+// startCallers starts n callers that send requests to a path.
+func (h *harness) startCallers(n int, path string) {
 	for i := range n {
-		c := &caller{world: w, name: fmt.Sprintf("%s-%d", strings.Trim(path, "/"), i), path: path}
-		w.done.Go(c.run)
+		c := &caller{harness: h, name: fmt.Sprintf("%s-%d", strings.Trim(path, "/"), i), path: path}
+		h.done.Go(c.run)
 	}
 }
 
 func (c *caller) run() {
-	defer c.hangUp()
+	defer c.disconnect()
 	for {
 		select {
-		case <-c.world.quit:
+		case <-c.harness.quit:
 			return
-		case <-time.After(time.Duration(c.world.intN(2 * int(callerPause)))):
+		case <-time.After(time.Duration(c.harness.intN(2 * int(callerPause)))):
 		}
 		c.number++
-		c.once(fmt.Sprintf("%s-%d", c.name, c.number))
+		c.send(fmt.Sprintf("%s-%d", c.name, c.number))
 	}
 }
 
-func (c *caller) hangUp() {
+func (c *caller) disconnect() {
 	if c.conn != nil {
 		_ = c.conn.Close()
 	}
 	c.conn = nil
 }
 
-// connect opens a connection to a router that is ready.
+// connect opens a connection to a random router unless there is one. It returns
+// false if that router isn't running or doesn't accept the connection.
 func (c *caller) connect() bool {
 	if c.conn != nil {
 		return true
 	}
-	c.router = c.world.fronts[c.world.intN(routers)]
+	c.router = c.harness.routers[c.harness.intN(routerCount)]
 	if !c.router.isRunning() {
 		return false
 	}
-	conn, err := c.world.dial(c.router)
+	conn, err := c.harness.dial(c.router)
 	if err != nil {
 		return false
 	}
@@ -85,83 +86,84 @@
 	return true
 }
 
-// once sends a request and judges its answer.
-func (c *caller) once(id string) {
+// send sends a request and checks its answer.
+func (c *caller) send(id string) {
 	if !c.connect() {
 		return
 	}
-	body := id + strings.Repeat(".", c.world.intN(3000))
-	request, err := http.NewRequest(http.MethodPost, "http://"+callersHost+c.path+"x", strings.NewReader(body))
+	body := id + strings.Repeat(".", c.harness.intN(3000))
+	request, err := http.NewRequest(http.MethodPost, "http://"+callerHost+c.path+"x", strings.NewReader(body))
 	if err != nil {
-		panic("soak: a request that can't be made: " + err.Error())
+		panic("soak: cannot build a request: " + err.Error())
 	}
-	platform.WriteCall(request.Header, dialect.Call{ID: protocol.RequestID(id), Key: callersKey, Left: callersPatience})
+	platform.WriteCall(request.Header, dialect.Call{ID: protocol.RequestID(id), Key: callerKey, Left: callerTimeout})
 	began := time.Now()
-	planned := c.plannedStop()
+	stopping := c.routerStopping()
 	_ = c.conn.SetDeadline(began.Add(5 * time.Second))
 	if err := request.Write(c.conn); err != nil {
-		c.hangUp()
+		c.disconnect()
 		return
 	}
 	response, err := http.ReadResponse(c.reader, request)
 	if err != nil {
-		c.lost(id, began, planned)
+		c.checkUnanswered(id, began, stopping)
 		return
 	}
 	answer, err := io.ReadAll(response.Body)
-	c.judge(id, response, answer, err)
+	c.checkAnswer(id, response, answer, err)
 	if err != nil || response.Close {
-		c.hangUp()
+		c.disconnect()
 	}
 }
 
-// plannedStop reports whether the router is about to stop as planned.
-func (c *caller) plannedStop() bool { return !c.router.isRunning() }
+// routerStopping reports whether the test has stopped or paused the router.
+func (c *caller) routerStopping() bool { return !c.router.isRunning() }
 
-// lost judges a request without an answer. A router that nobody has harmed
-// answers what it has read.
-func (c *caller) lost(id string, began time.Time, planned bool) {
-	c.hangUp()
-	c.world.count("lost")
-	if c.world.isCalm() && c.router.isRunning() && !planned && time.Since(began) < 4*time.Second {
-		c.world.broken("request %s to %s ended without an answer in calm", id, c.router.settings.Name)
+// checkUnanswered checks a request that got no answer. A router must answer every
+// request that it has read, unless a fault prevents it.
+func (c *caller) checkUnanswered(id string, began time.Time, stopping bool) {
+	c.disconnect()
+	c.harness.count("lost")
+	if c.harness.isCalm() && c.router.isRunning() && !stopping && time.Since(began) < 4*time.Second {
+		c.harness.violation("request %s to %s got no answer although no fault was active", id, c.router.settings.Name)
 	}
 }
 
-// judge checks an answer against the promises.
-func (c *caller) judge(id string, response *http.Response, body []byte, err error) {
-	c.world.count(fmt.Sprint(response.StatusCode))
+// checkAnswer checks an answer: it must belong to the request, a refused request
+// must not have run, and no request may be denied by its key or its path.
+func (c *caller) checkAnswer(id string, response *http.Response, body []byte, err error) {
+	c.harness.count(fmt.Sprint(response.StatusCode))
 	signature := platform.Signature(response.Header)
 	switch {
 	case response.StatusCode == http.StatusOK && !strings.HasSuffix(signature, "."+id):
-		c.world.broken("request %s got an answer signed %q", id, signature)
+		c.harness.violation("request %s got an answer signed %q", id, signature)
 	case response.StatusCode == http.StatusOK:
 		c.checkBody(id, body, err)
 	case response.StatusCode == http.StatusServiceUnavailable || response.StatusCode == http.StatusTooManyRequests:
-		if c.world.hasRun(id) {
-			c.world.broken("request %s was refused as not run, and has run", id)
+		if c.harness.hasRun(id) {
+			c.harness.violation("request %s was refused as not run but has run", id)
 		}
 	case response.StatusCode == http.StatusUnauthorized || response.StatusCode == http.StatusNotFound:
-		c.world.broken("request %s was denied with %d", id, response.StatusCode)
+		c.harness.violation("request %s was denied with status %d", id, response.StatusCode)
 	}
 }
 
-// checkBody checks that the answer is the request's own and whole, or visibly
-// broken.
+// checkBody checks that the body is the complete body for this request, or a prefix
+// of it with an error that the caller sees.
 func (c *caller) checkBody(id string, body []byte, err error) {
 	want := bytes.Repeat([]byte(id+"\n"), 20)
 	if strings.HasPrefix(c.path, "/chat/") {
 		want = nil
-		for n := 1; n <= eventsOfStream; n++ {
+		for n := 1; n <= eventsPerStream; n++ {
 			want = fmt.Appendf(want, "id: %d\ndata: %s %d\n\n", n, id, n)
 		}
 	}
 	broken := err != nil && errors.Is(err, io.ErrUnexpectedEOF) || err != nil
 	switch {
 	case broken && !bytes.HasPrefix(want, body):
-		c.world.broken("request %s got other bytes before its answer broke: %q", id, clip(body))
+		c.harness.violation("request %s got wrong bytes before its answer broke off: %q", id, clip(body))
 	case !broken && !bytes.Equal(want, body):
-		c.world.broken("request %s got another answer: %q", id, clip(body))
+		c.harness.violation("request %s got a wrong answer: %q", id, clip(body))
 	}
 }
 
--- a/soak/explain_test.go
+++ b/soak/explain_test.go
@@ -18,18 +18,19 @@
 	"endiveplank/protocol/dialect"
 )
 
-// explained returns what the operators' tool makes of a request from the logs of
-// all processes: also that no line is about it, as long as none is written.
-func (w *world) explained(id string) string {
-	w.t.Helper()
-	folder := w.t.TempDir()
+// explainLogs returns the output of the operators' tool for a request, given the
+// logs of all processes. While the logs have no line about the request, that is the
+// tool's message that there is none.
+func (h *harness) explainLogs(id string) string {
+	h.t.Helper()
+	folder := h.t.TempDir()
 	arguments := []string{"run", "endiveplank/cmd/endiveplank", "explain", "logs", id}
-	for _, p := range w.processes() {
+	for _, p := range h.processes() {
 		file := filepath.Join(folder, p.settings.Name+".log")
 		p.mu.Lock()
 		text := append([]byte(nil), p.log.Bytes()...)
 		p.mu.Unlock()
-		assert.NilError(w.t, os.WriteFile(file, text, 0o600))
+		assert.NilError(h.t, os.WriteFile(file, text, 0o600))
 		arguments = append(arguments, file)
 	}
 	output, err := exec.Command("go", arguments...).CombinedOutput()
@@ -39,13 +40,14 @@
 	return string(output)
 }
 
-// ask sends one request to a router and returns the status, 0 for no answer.
-func (w *world) ask(p *process, id, path, key string) int {
+// sendRequest sends one request to a router and returns the status of the answer, or
+// 0 if there was no answer.
+func (h *harness) sendRequest(p *process, id, path, key string) int {
 	request, err := http.NewRequest(http.MethodPost, "http://"+p.settings.Listen.Callers+path, strings.NewReader(id))
-	assert.NilError(w.t, err)
-	request.Host = callersHost
-	platform.WriteCall(request.Header, dialect.Call{ID: protocol.RequestID(id), Key: key, Left: callersPatience})
-	response, err := w.client.Do(request)
+	assert.NilError(h.t, err)
+	request.Host = callerHost
+	platform.WriteCall(request.Header, dialect.Call{ID: protocol.RequestID(id), Key: key, Left: callerTimeout})
+	response, err := h.client.Do(request)
 	if err != nil {
 		return 0
 	}
@@ -53,86 +55,90 @@
 	return response.StatusCode
 }
 
-// eventually waits for what the logs have to say, which is written a moment after
-// the answer.
-func (w *world) eventually(id string, want ...string) {
-	w.t.Helper()
-	var story string
+// awaitExplanation waits until the tool's output for a request contains all texts in
+// want. The processes write some log lines shortly after the answer.
+func (h *harness) awaitExplanation(id string, want ...string) {
+	h.t.Helper()
+	var timeline string
 	for range 20 {
-		story = w.explained(id)
+		timeline = h.explainLogs(id)
 		missing := false
 		for _, text := range want {
-			missing = missing || !strings.Contains(story, text)
+			missing = missing || !strings.Contains(timeline, text)
 		}
 		if !missing {
 			return
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	w.t.Errorf("the story of %s lacks one of %q:\n%s", id, want, story)
+	h.t.Errorf("the timeline of request %s lacks one of %q:\n%s", id, want, timeline)
 }
 
+// A caller reports a failed request by its ID. An operator then has only the logs
+// of the processes and the tool. For each kind of failed request, the tool's output
+// must name the cause.
 func TestFailedRequestsAreExplainedFromTheLogsAlone(t *testing.T) {
-	// A caller complains and gives a request's id. Whoever is on call has the
-	// processes' output and the tool, no debugger and nobody to ask: each kind of
-	// failed request must lead to its cause.
-	w := newWorld(t, 1)
-	defer w.end()
-	w.settledTable()
-	router := w.fronts[0]
+	h := newHarness(t, 1)
+	defer h.stop()
+	h.putFirstTable()
+	router := h.routers[0]
 
-	// Refused at the door: a key that no customer holds.
-	assert.Equal(t, w.ask(router, "door-1", "/again/x", "no-such-key"), http.StatusUnauthorized)
-	w.eventually("door-1", "* ", "reason=unknown-key", "status=401", "table=1", "table-in-force")
+	// The router refuses a request whose key belongs to no customer.
+	assert.Equal(t, h.sendRequest(router, "door-1", "/again/x", "no-such-key"), http.StatusUnauthorized)
+	h.awaitExplanation("door-1", "* ", "reason=unknown-key", "status=401", "table=1", "table-in-force")
 
-	// Sent and lost with its upstream, which broke off in mid-run.
-	assert.Equal(t, w.ask(router, "lost-1", "/once/"+pathBreaks, callersKey), http.StatusBadGateway)
-	w.eventually("lost-1", " sent ", "reason=outcome-unknown", "upstream=u", `"result":"failed"`, `"cause":`)
+	// The upstream closes the connection while it runs the request.
+	assert.Equal(t, h.sendRequest(router, "lost-1", "/once/"+pathBreaks, callerKey), http.StatusBadGateway)
+	h.awaitExplanation("lost-1", " sent ", "reason=outcome-unknown", "upstream=u", `"result":"failed"`, `"cause":`)
 
-	// Late: the first upstream took it and fell silent, the second answered.
-	assert.Equal(t, w.ask(router, "late-1", "/again/"+pathHangsOnce, callersKey), http.StatusOK)
-	w.eventually("late-1", "attempt=1", "attempt=2", `"cause":"silent for too long`, `"result":"served"`)
+	// The first upstream accepts the request and goes silent, the second one
+	// answers.
+	assert.Equal(t, h.sendRequest(router, "late-1", "/again/"+pathHangsOnce, callerKey), http.StatusOK)
+	h.awaitExplanation("late-1", "attempt=1", "attempt=2", `"cause":"silent for too long`, `"result":"served"`)
 
-	// Its router was killed while it ran: no line tells its end.
-	go w.ask(router, "gone-1", "/once/"+pathHangsOnce, callersKey)
-	for w.timesRun("gone-1") == 0 {
+	// The router is killed while the request is in flight, so no line logs its end.
+	go h.sendRequest(router, "gone-1", "/once/"+pathHangsOnce, callerKey)
+	for h.timesRun("gone-1") == 0 {
 		time.Sleep(10 * time.Millisecond)
 	}
 	time.Sleep(200 * time.Millisecond)
-	w.restart(router, syscall.SIGKILL, 0)
-	w.eventually("gone-1", " sent ", "no end was logged; "+router.settings.Name+" started again at ")
+	h.restart(router, syscall.SIGKILL, 0)
+	h.awaitExplanation("gone-1", " sent ", "no end was logged; "+router.settings.Name+" started again at ")
 
-	// No upstream is left: each one's leaving stands beside the refusal.
-	w.leaveAll(deskService)
-	other := w.fronts[1]
-	assert.Equal(t, w.ask(other, "none-1", "/again/x", callersKey), http.StatusServiceUnavailable)
-	w.eventually("none-1", "reason=no-upstream", "state=gone")
+	// No upstream is left. The output must show beside the refusal that the
+	// upstreams have left.
+	h.withdrawUpstreams(deskService)
+	other := h.routers[1]
+	assert.Equal(t, h.sendRequest(other, "none-1", "/again/x", callerKey), http.StatusServiceUnavailable)
+	h.awaitExplanation("none-1", "reason=no-upstream", "state=gone")
 }
 
-// settledTable puts the first table and waits until all routers are ready.
-func (w *world) settledTable() {
-	deadline := time.Now().Add(settleWithin)
-	for !w.tellControl(http.MethodPut, platform.TablePath, tableOf(1)) {
-		assert.Assert(w.t, time.Now().Before(deadline), "no disk VM takes a table")
+// putFirstTable puts the first table and waits until all routers are ready and serve
+// requests.
+func (h *harness) putFirstTable() {
+	deadline := time.Now().Add(readyWithin)
+	for !h.callDiskVM(http.MethodPut, platform.TablePath, tableOf(1)) {
+		assert.Assert(h.t, time.Now().Before(deadline), "no disk VM accepts a table")
 		time.Sleep(50 * time.Millisecond)
 	}
-	w.settled(settleWithin)
-	for _, p := range w.fronts {
-		for n := 0; w.ask(p, fmt.Sprintf("first-%d", n), "/again/x", callersKey) != http.StatusOK; n++ {
-			assert.Assert(w.t, time.Now().Before(deadline), "%s serves nobody", p.settings.Name)
+	h.awaitRouters(readyWithin)
+	for _, p := range h.routers {
+		for n := 0; h.sendRequest(p, fmt.Sprintf("first-%d", n), "/again/x", callerKey) != http.StatusOK; n++ {
+			assert.Assert(h.t, time.Now().Before(deadline), "%s serves no request", p.settings.Name)
 			time.Sleep(50 * time.Millisecond)
 		}
 	}
 }
 
-// leaveAll lets all upstreams of a service leave as planned.
-func (w *world) leaveAll(service protocol.Service) {
-	for _, u := range w.upstreams {
+// withdrawUpstreams stops all upstreams of a service and removes them from the
+// roster.
+func (h *harness) withdrawUpstreams(service protocol.Service) {
+	for _, u := range h.upstreams {
 		if u.service != service {
 			continue
 		}
-		u.end()
-		assert.Assert(w.t, w.tellControl(http.MethodDelete, platform.UpstreamPath(u.id), nil))
+		u.stop()
+		assert.Assert(h.t, h.callDiskVM(http.MethodDelete, platform.UpstreamPath(u.id), nil))
 	}
 	time.Sleep(leaveWithin)
 }
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -11,149 +11,153 @@
 	"endiveplank/standin/relay"
 )
 
-// fault is one disturbance. It returns when what it did is undone.
+// fault is one failure that the test injects.
 type fault struct {
 	name string
-	do   func(w *world)
+	// do injects the fault and returns once its effect is undone.
+	do func(h *harness)
 }
 
-// faults are drawn at random; several may overlap. A wiped disk or a second disk
-// VM out of three would take the quorum, so faults of disk VMs wait for each
-// other.
+// faults are the faults from which the test selects at random. Several may overlap.
+// Faults that stop, pause or wipe disk VMs wait for each other: while one disk VM of
+// three is down, or is catching up after it was wiped, the loss of a second one would
+// lose the quorum.
 var faults = []fault{
-	{"kill a router", func(w *world) { w.restart(w.front(), syscall.SIGKILL, 0) }},
-	{"stop a router", func(w *world) { w.restart(w.front(), syscall.SIGTERM, 0) }},
-	{"pause a router", func(w *world) { w.freeze(w.front()) }},
-	{"reload a router", func(w *world) { w.front().reload() }},
-	{"kill all routers", func(w *world) {
-		for _, p := range w.fronts {
-			w.restart(p, syscall.SIGKILL, 0)
+	{"kill a router", func(h *harness) { h.restart(h.randomRouter(), syscall.SIGKILL, 0) }},
+	{"stop a router", func(h *harness) { h.restart(h.randomRouter(), syscall.SIGTERM, 0) }},
+	{"pause a router", func(h *harness) { h.pauseForAWhile(h.randomRouter()) }},
+	{"reload a router", func(h *harness) { h.randomRouter().reload() }},
+	{"kill all routers", func(h *harness) {
+		for _, p := range h.routers {
+			h.restart(p, syscall.SIGKILL, 0)
 		}
 	}},
-	{"kill a disk VM", func(w *world) { w.oneVM(func(p *process) { w.restart(p, syscall.SIGKILL, 0) }) }},
-	{"stop a disk VM", func(w *world) { w.oneVM(func(p *process) { w.restart(p, syscall.SIGTERM, 0) }) }},
-	{"pause a disk VM", func(w *world) { w.oneVM(w.freeze) }},
-	{"wipe a disk VM", func(w *world) { w.oneVM(w.wipe) }},
-	{"kill all disk VMs", func(w *world) {
-		w.vmsBusy.Lock()
-		defer w.vmsBusy.Unlock()
-		for _, p := range w.vms {
+	{"kill a disk VM", func(h *harness) { h.withRandomDiskVM(func(p *process) { h.restart(p, syscall.SIGKILL, 0) }) }},
+	{"stop a disk VM", func(h *harness) { h.withRandomDiskVM(func(p *process) { h.restart(p, syscall.SIGTERM, 0) }) }},
+	{"pause a disk VM", func(h *harness) { h.withRandomDiskVM(h.pauseForAWhile) }},
+	{"wipe a disk VM", func(h *harness) { h.withRandomDiskVM(h.wipe) }},
+	{"kill all disk VMs", func(h *harness) {
+		h.diskVMsMu.Lock()
+		defer h.diskVMsMu.Unlock()
+		for _, p := range h.diskVMs {
 			p.stop(syscall.SIGKILL)
 		}
-		for _, p := range w.vms {
+		for _, p := range h.diskVMs {
 			p.start()
 		}
 	}},
-	{"delay a process's connections", func(w *world) {
-		w.way(relay.Faults{Delay: 40 * time.Millisecond}, time.Second)
+	{"delay a process's connections", func(h *harness) {
+		h.impairConnections(relay.Faults{Delay: 40 * time.Millisecond}, time.Second)
 	}},
-	{"silence a process's connections", func(w *world) { w.anyProcess().way.Forget(relay.Both) }},
-	{"silence one direction", func(w *world) { w.anyProcess().way.Forget(relay.Backward) }},
-	{"cut a process's connections", func(w *world) { w.anyProcess().way.Cut() }},
-	{"reset an upstream's connections", func(w *world) { w.anyUpstream(func(u *upstream) { u.way.Cut() }) }},
-	{"silence an upstream's connections", func(w *world) { w.anyUpstream(func(u *upstream) { u.way.Forget(relay.Both) }) }},
-	{"make an upstream sick", func(w *world) {
-		w.anyUpstream(func(u *upstream) {
-			u.setSick(true)
+	{"silence a process's connections", func(h *harness) { h.randomProcess().proxy.Forget(relay.Both) }},
+	{"silence one direction", func(h *harness) { h.randomProcess().proxy.Forget(relay.Backward) }},
+	{"cut a process's connections", func(h *harness) { h.randomProcess().proxy.Cut() }},
+	{"reset an upstream's connections", func(h *harness) { h.withRandomUpstream(func(u *upstream) { u.proxy.Cut() }) }},
+	{"silence an upstream's connections", func(h *harness) { h.withRandomUpstream(func(u *upstream) { u.proxy.Forget(relay.Both) }) }},
+	{"make an upstream faulty", func(h *harness) {
+		h.withRandomUpstream(func(u *upstream) {
+			u.setFaulty(true)
 			time.Sleep(1500 * time.Millisecond)
-			u.setSick(false)
+			u.setFaulty(false)
 		})
 	}},
-	{"crash an upstream", func(w *world) {
-		w.anyUpstream(func(u *upstream) {
-			u.end()
-			w.startUpstream(u.service)
+	{"crash an upstream", func(h *harness) {
+		h.withRandomUpstream(func(u *upstream) {
+			u.stop()
+			h.startUpstream(u.service)
 		})
 	}},
-	{"drain an upstream", func(w *world) {
-		w.anyUpstream(func(u *upstream) {
-			w.startUpstream(u.service)
+	{"drain an upstream", func(h *harness) {
+		h.withRandomUpstream(func(u *upstream) {
+			h.startUpstream(u.service)
 			u.drain()
 		})
 	}},
 }
 
-// troubleUntil injects faults until a time, and waits until all are undone.
-func (w *world) troubleUntil(end <-chan struct{}, pause time.Duration) {
+// injectFaultsUntil injects faults until end is closed, and waits until all are
+// undone. pause is the mean time between two faults.
+func (h *harness) injectFaultsUntil(end <-chan struct{}, pause time.Duration) {
 	var active sync.WaitGroup
 	defer active.Wait()
 	for {
-		f := faults[w.intN(len(faults))]
+		f := faults[h.intN(len(faults))]
 		active.Go(func() {
-			w.disturb()
-			w.count(f.name)
-			f.do(w)
-			w.disturb()
+			h.noteFault()
+			h.count(f.name)
+			f.do(h)
+			h.noteFault()
 		})
 		select {
 		case <-end:
 			return
-		case <-time.After(pause/2 + time.Duration(w.intN(int(pause)))):
+		case <-time.After(pause/2 + time.Duration(h.intN(int(pause)))):
 		}
 	}
 }
 
-func (w *world) front() *process { return w.fronts[w.intN(routers)] }
+func (h *harness) randomRouter() *process { return h.routers[h.intN(routerCount)] }
 
-func (w *world) anyProcess() *process {
-	all := w.processes()
-	return all[w.intN(len(all))]
+func (h *harness) randomProcess() *process {
+	all := h.processes()
+	return all[h.intN(len(all))]
 }
 
-// anyUpstream does something to an upstream that is there, as long as another
-// one of its service is there as well.
-func (w *world) anyUpstream(do func(*upstream)) {
-	w.upstreamsBusy.Lock()
-	defer w.upstreamsBusy.Unlock()
-	var there []*upstream
-	w.mu.Lock()
-	for _, u := range w.upstreams {
+// withRandomUpstream calls do with a random upstream that is neither stopped nor
+// draining. Only one call runs at a time.
+func (h *harness) withRandomUpstream(do func(*upstream)) {
+	h.upstreamsMu.Lock()
+	defer h.upstreamsMu.Unlock()
+	var serving []*upstream
+	h.mu.Lock()
+	for _, u := range h.upstreams {
 		u.mu.Lock()
 		if !u.ended && u.draining.IsZero() {
-			there = append(there, u)
+			serving = append(serving, u)
 		}
 		u.mu.Unlock()
 	}
-	w.mu.Unlock()
-	if len(there) > 0 {
-		do(there[w.intN(len(there))])
+	h.mu.Unlock()
+	if len(serving) > 0 {
+		do(serving[h.intN(len(serving))])
 	}
 }
 
-func (u *upstream) setSick(sick bool) {
+func (u *upstream) setFaulty(faulty bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.sick = sick
+	u.faulty = faulty
 }
 
-// oneVM does something to one disk VM while the others are left alone.
-func (w *world) oneVM(do func(*process)) {
-	w.vmsBusy.Lock()
-	defer w.vmsBusy.Unlock()
-	do(w.vms[w.intN(diskVMs)])
+// withRandomDiskVM calls do with a random disk VM, and then gives it three seconds to
+// recover. Meanwhile no other disk VM gets a fault.
+func (h *harness) withRandomDiskVM(do func(*process)) {
+	h.diskVMsMu.Lock()
+	defer h.diskVMsMu.Unlock()
+	do(h.diskVMs[h.intN(diskVMCount)])
 	time.Sleep(3 * time.Second)
 }
 
-// rejoinWithin is how long a wiped disk VM may take to vote again while other
-// faults go on: some repairs' time, of three seconds each.
+// rejoinWithin is how long a wiped disk VM may take to become a voter again while
+// other faults continue. It allows for several repairs of three seconds each.
 const rejoinWithin = 40 * time.Second
 
-// awaitVoter waits until a wiped disk VM is a voter again, by what the others log.
-// A second disk lost before that is a second loss of three, which nothing bears.
-// lives is how often its member had started before.
-func (w *world) awaitVoter(wiped *process, lives int) {
+// awaitVoter waits until the logs of the disk VMs show that a wiped one is a voter
+// again. If a second disk of three were lost before that, the table would be lost.
+// earlierStarts is how often the member on the wiped disk VM had started before.
+func (h *harness) awaitVoter(wiped *process, earlierStarts int) {
 	for until := time.Now().Add(rejoinWithin); time.Now().Before(until); time.Sleep(50 * time.Millisecond) {
 		started := wiped.lines("member-started")
-		if len(started) > lives && w.promoted(started[len(started)-1]["member"]) {
+		if len(started) > earlierStarts && h.isVoter(started[len(started)-1]["member"]) {
 			return
 		}
 	}
-	w.broken("%s lost its disk and isn't a voter again after %s", wiped.settings.Name, rejoinWithin)
+	h.violation("%s lost its disk and is not a voter again after %s", wiped.settings.Name, rejoinWithin)
 }
 
-// promoted reports whether a disk VM has logged that a member votes.
-func (w *world) promoted(member any) bool {
-	for _, vm := range w.vms {
+// isVoter reports whether a disk VM has logged that a member was promoted to voter.
+func (h *harness) isVoter(member any) bool {
+	for _, vm := range h.diskVMs {
 		for _, line := range vm.lines("configuration-changed") {
 			if line["member"] == member && strings.HasPrefix(fmt.Sprint(line["reason"]), "promote") {
 				return true
@@ -163,42 +167,44 @@
 	return false
 }
 
-// restart ends a process and starts it again.
-func (w *world) restart(p *process, s syscall.Signal, wait time.Duration) {
-	p.busy.Lock()
-	defer p.busy.Unlock()
+// restart ends a process with a signal, waits, and starts it again.
+func (h *harness) restart(p *process, s syscall.Signal, wait time.Duration) {
+	p.faultMu.Lock()
+	defer p.faultMu.Unlock()
 	p.stop(s)
 	time.Sleep(wait)
 	p.start()
 }
 
-// wipe ends a process, empties its disk and starts it again.
-func (w *world) wipe(p *process) {
-	p.busy.Lock()
-	defer p.busy.Unlock()
+// wipe kills a process, removes its data folder and starts it again. It waits until
+// the process is a voter again.
+func (h *harness) wipe(p *process) {
+	p.faultMu.Lock()
+	defer p.faultMu.Unlock()
 	p.stop(syscall.SIGKILL)
 	if err := os.RemoveAll(p.settings.DataFolder); err != nil {
-		w.broken("the data folder can't be emptied: %v", err)
+		h.violation("cannot remove the data folder: %v", err)
 	}
 	p.settings.FirstStart = false
-	lives := len(p.lines("member-started"))
+	earlierStarts := len(p.lines("member-started"))
 	p.start()
-	w.awaitVoter(p, lives)
+	h.awaitVoter(p, earlierStarts)
 }
 
-// freeze pauses a process for a while.
-func (w *world) freeze(p *process) {
-	p.busy.Lock()
-	defer p.busy.Unlock()
+// pauseForAWhile pauses a process for 0.5 to 2 seconds.
+func (h *harness) pauseForAWhile(p *process) {
+	p.faultMu.Lock()
+	defer p.faultMu.Unlock()
 	p.pause()
-	time.Sleep(500*time.Millisecond + time.Duration(w.intN(int(1500*time.Millisecond))))
+	time.Sleep(500*time.Millisecond + time.Duration(h.intN(int(1500*time.Millisecond))))
 	p.resume()
 }
 
-// way puts faults on a process's connections for a while.
-func (w *world) way(f relay.Faults, d time.Duration) {
-	p := w.anyProcess()
-	p.way.Set(f)
+// impairConnections puts relay faults on a random process's connections for the
+// given time.
+func (h *harness) impairConnections(f relay.Faults, d time.Duration) {
+	p := h.randomProcess()
+	p.proxy.Set(f)
 	time.Sleep(d)
-	p.way.Set(relay.Faults{})
+	p.proxy.Set(relay.Faults{})
 }
--- a/soak/operator_test.go
+++ b/soak/operator_test.go
@@ -12,15 +12,15 @@
 	"endiveplank/protocol/dialect"
 )
 
-// operatorPause is the time between two changes.
+// operatorPause is the time between two changes of the table.
 const operatorPause = 400 * time.Millisecond
 
-// tableOf returns the table of a version: the routes of all callers, and one that
-// only this version has.
+// tableOf returns the table with the given version. It has the routes of all callers
+// and one route that only this version has.
 func tableOf(version uint64) []byte {
 	route := func(name string, repeat routing.Repeat, service protocol.Service, stream bool) routing.Route {
 		return routing.Route{
-			Name: name, Host: callersHost, PathPrefix: "/" + name + "/", Repeat: repeat, Stream: stream, Resumable: stream,
+			Name: name, Host: callerHost, PathPrefix: "/" + name + "/", Repeat: repeat, Stream: stream, Resumable: stream,
 			Split:   []routing.Share{{Service: service, Weight: 1}},
 			Timeout: 3 * time.Second, Objective: 300 * time.Millisecond, LongestPause: 200 * time.Millisecond, MaxAttempts: 2,
 		}
@@ -34,42 +34,42 @@
 			route(fmt.Sprintf("only-%d", version), routing.Idempotent, deskService, false),
 		},
 		Services:  []routing.Service{{Name: chatService, HealthPath: "/h"}, {Name: deskService, HealthPath: "/h"}},
-		Customers: []routing.Customer{{Name: "acme", Keys: []string{callersKey}}},
+		Customers: []routing.Customer{{Name: "acme", Keys: []string{callerKey}}},
 	})
 	if err != nil {
-		panic("soak: a table that doesn't encode: " + err.Error())
+		panic("soak: cannot encode the table: " + err.Error())
 	}
 	return text
 }
 
-// operate changes the table again and again, reads it back, and looks whether it
-// is in force.
-func (w *world) operate() {
+// runOperator repeatedly puts a new table, checks that it comes into force, and reads
+// it back, until the test ends.
+func (h *harness) runOperator() {
 	for version := uint64(1); ; version++ {
-		if w.tellControl(http.MethodPut, platform.TablePath, tableOf(version)) {
-			w.count("accepted")
-			w.mu.Lock()
-			w.accepted = max(w.accepted, version)
-			w.mu.Unlock()
-			w.checkInForce(version)
+		if h.callDiskVM(http.MethodPut, platform.TablePath, tableOf(version)) {
+			h.count("accepted")
+			h.mu.Lock()
+			h.accepted = max(h.accepted, version)
+			h.mu.Unlock()
+			h.checkInForce(version)
 		}
-		w.readBack()
+		h.readBack()
 		select {
-		case <-w.quit:
+		case <-h.quit:
 			return
 		case <-time.After(operatorPause):
 		}
 	}
 }
 
-// readBack reads the table at one disk VM. What it says must not be older than
-// what was accepted before.
-func (w *world) readBack() {
-	w.mu.Lock()
-	floor := w.accepted
-	w.mu.Unlock()
-	n := w.intN(diskVMs) + 1
-	response, err := w.client.Get("http://" + ownAddress(n, w.ports.control) + platform.TablePath)
+// readBack reads the table from a random disk VM. Its version must not be lower than
+// the highest version that was accepted before the read.
+func (h *harness) readBack() {
+	h.mu.Lock()
+	accepted := h.accepted
+	h.mu.Unlock()
+	n := h.intN(diskVMCount) + 1
+	response, err := h.client.Get("http://" + bindAddress(n, h.ports.control) + platform.TablePath)
 	if err != nil {
 		return
 	}
@@ -85,19 +85,20 @@
 	if err != nil {
 		return
 	}
-	w.count("read")
-	if read < floor {
-		w.broken("disk VM %d read back version %d after %d was accepted", n, read, floor)
+	h.count("read")
+	if read < accepted {
+		h.violation("disk VM %d returned table version %d after version %d was accepted", n, read, accepted)
 	}
 }
 
-// checkInForce looks whether every router that was left alone has the new route.
-func (w *world) checkInForce(version uint64) {
+// checkInForce checks that every running router has the new version's own route
+// within applyWithin, as long as no fault is active.
+func (h *harness) checkInForce(version uint64) {
 	deadline := time.Now().Add(applyWithin)
-	for _, p := range w.fronts {
-		for w.isCalm() && p.isRunning() && w.status(p, fmt.Sprintf("/only-%d/x", version)) == http.StatusNotFound {
+	for _, p := range h.routers {
+		for h.isCalm() && p.isRunning() && h.status(p, fmt.Sprintf("/only-%d/x", version)) == http.StatusNotFound {
 			if time.Now().After(deadline) {
-				w.broken("%s lacks version %d %s after it was accepted", p.settings.Name, version, applyWithin)
+				h.violation("%s lacks table version %d %s after it was accepted", p.settings.Name, version, applyWithin)
 				break
 			}
 			time.Sleep(50 * time.Millisecond)
@@ -105,15 +106,16 @@
 	}
 }
 
-// status sends a probe and returns the status of its answer, 0 for none.
-func (w *world) status(p *process, path string) int {
+// status sends a request with a deadline of 1 ms, which only shows whether the router
+// has a route for path. It returns the status of the answer, or 0 if there was none.
+func (h *harness) status(p *process, path string) int {
 	request, err := http.NewRequest(http.MethodGet, "http://"+p.settings.Listen.Callers+path, nil)
 	if err != nil {
-		panic("soak: a request that can't be made: " + err.Error())
+		panic("soak: cannot build a request: " + err.Error())
 	}
-	request.Host = callersHost
-	platform.WriteCall(request.Header, dialect.Call{Key: callersKey, Left: time.Millisecond})
-	response, err := w.client.Do(request)
+	request.Host = callerHost
+	platform.WriteCall(request.Header, dialect.Call{Key: callerKey, Left: time.Millisecond})
+	response, err := h.client.Do(request)
 	if err != nil {
 		return 0
 	}
--- a/soak/process_test.go
+++ b/soak/process_test.go
@@ -19,7 +19,7 @@
 	"endiveplank/standin/relay"
 )
 
-// build compiles the daemon once for all runs.
+// build compiles endiveplankd once for all runs.
 var build = sync.OnceValues(func() (string, error) {
 	folder, err := os.MkdirTemp("", "endiveplank-soak")
 	if err != nil {
@@ -37,88 +37,91 @@
 	return program, nil
 })
 
-// process is one endiveplankd, which is started again whenever it ends.
+// process is one endiveplankd of the fleet. Faults stop it and start it again.
 type process struct {
-	world    *world
+	harness  *harness
 	settings direct.Settings
 	file     string
-	// way carries the fleet's own connections to it.
-	way *relay.Relay
+	// proxy forwards the connections that other processes of the fleet open to it.
+	proxy *relay.Relay
 
-	// busy keeps faults of this process apart.
-	busy    sync.Mutex
+	// faultMu allows one fault of this process at a time.
+	faultMu sync.Mutex
 	mu      sync.Mutex
 	command *exec.Cmd
 	done    chan struct{}
-	// signalled says that the soak has ended or is ending this start.
+	// signalled is set once the test has sent a signal that ends the process since
+	// its last start.
 	signalled bool
 	paused    bool
 	down      bool
-	// spoke says that this start has written a line.
-	spoke bool
-	log   bytes.Buffer
+	// hasLogged is set once the process has written output since its last start.
+	hasLogged bool
+	log       bytes.Buffer
 }
 
-// addresses of a process: its own and the one under which the others know it.
-func ownAddress(n, port int) string  { return fmt.Sprintf("127.0.0.%d:%d", n, port) }
+// bindAddress returns an address at which process n listens. peerAddress returns
+// the address of its proxy, to which the other processes connect.
+func bindAddress(n, port int) string { return fmt.Sprintf("127.0.0.%d:%d", n, port) }
 func peerAddress(n, port int) string { return fmt.Sprintf("127.1.0.%d:%d", n, port) }
 
-// ports of every process, drawn once for each run.
+// ports are the ports that every process of a run uses, each on its own address.
 type ports struct{ peers, control, callers, readiness int }
 
-// freePorts draws ports that are free on the first address.
+// freePorts selects ports that are free on 127.0.0.1.
 func freePorts(t *testing.T) ports {
 	t.Helper()
-	var drawn [4]int
-	for i := range drawn {
+	var free [4]int
+	for i := range free {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		assert.NilError(t, err)
 		defer func() { _ = listener.Close() }()
-		drawn[i] = listener.Addr().(*net.TCPAddr).Port
+		free[i] = listener.Addr().(*net.TCPAddr).Port
 	}
-	return ports{drawn[0], drawn[1], drawn[2], drawn[3]}
+	return ports{free[0], free[1], free[2], free[3]}
 }
 
-// newProcess prepares process n of a role.
-func (w *world) newProcess(n int, role direct.Role) *process {
-	p := &process{world: w, file: filepath.Join(w.folder, fmt.Sprintf("settings-%d.json", n))}
+// newProcess returns process n with the settings of its role and starts its proxy,
+// but not the process.
+func (h *harness) newProcess(n int, role direct.Role) *process {
+	p := &process{harness: h, file: filepath.Join(h.folder, fmt.Sprintf("settings-%d.json", n))}
 	s := direct.Defaults()
 	s.Role = role
 	s.Name = fmt.Sprintf("%s-%d", role, n)
 	s.DataCentre = "here"
-	s.Listen.Peers = peerAddress(n, w.ports.peers)
-	s.Listen.PeersBind = ownAddress(n, w.ports.peers)
-	s.Seeds = []string{peerAddress(1, w.ports.control), peerAddress(2, w.ports.control), peerAddress(3, w.ports.control)}
+	s.Listen.Peers = peerAddress(n, h.ports.peers)
+	s.Listen.PeersBind = bindAddress(n, h.ports.peers)
+	s.Seeds = []string{peerAddress(1, h.ports.control), peerAddress(2, h.ports.control), peerAddress(3, h.ports.control)}
 	s.Retries = direct.Retries{Ratio: 0.2, WindowMS: 10_000, Slack: 50}
 	s.Stop = direct.Stop{UnreadyMS: 500, GraceMS: 4000}
 	s.Log.LinesPerSecond = 2000
 	switch role {
 	case direct.RoleRouter:
-		s.Listen.Callers = ownAddress(n, w.ports.callers)
-		s.Listen.Readiness = ownAddress(n, w.ports.readiness)
+		s.Listen.Callers = bindAddress(n, h.ports.callers)
+		s.Listen.Readiness = bindAddress(n, h.ports.readiness)
 	case direct.RoleDiskVM:
-		s.Listen.Control = ownAddress(n, w.ports.control)
+		s.Listen.Control = bindAddress(n, h.ports.control)
 		s.FirstStart = true
-		s.DataFolder = filepath.Join(w.folder, fmt.Sprintf("data-%d", n))
+		s.DataFolder = filepath.Join(h.folder, fmt.Sprintf("data-%d", n))
 	}
 	p.settings = s
-	way, err := relay.Start(s.Listen.Peers, s.Listen.PeersBind)
-	assert.NilError(w.t, err)
-	p.way = way
+	proxy, err := relay.Start(s.Listen.Peers, s.Listen.PeersBind)
+	assert.NilError(h.t, err)
+	p.proxy = proxy
 	return p
 }
 
-// writeSettings writes the settings file as it stands.
+// writeSettings writes the settings to the process's settings file.
 func (p *process) writeSettings() {
 	text, err := json.Marshal(p.settings)
-	assert.NilError(p.world.t, err)
-	assert.NilError(p.world.t, os.WriteFile(p.file, text, 0o600))
+	assert.NilError(p.harness.t, err)
+	assert.NilError(p.harness.t, os.WriteFile(p.file, text, 0o600))
 }
 
-// start runs the process and watches for its end.
+// start starts the process and watches for its end.
 func (p *process) start() {
 	program, err := build()
-	assert.NilError(p.world.t, err)
+	assert.NilError(p.harness.t, err)
 	p.writeSettings()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -126,23 +129,23 @@
 	command.Stdout = &lockedLog{p}
 	command.Stderr = &lockedLog{p}
 	command.Env = append(os.Environ(), "GORACE=halt_on_error=1")
-	assert.NilError(p.world.t, command.Start())
-	p.command, p.done, p.signalled, p.down, p.spoke = command, make(chan struct{}), false, false, false
-	go p.await(command, p.done)
+	assert.NilError(p.harness.t, command.Start())
+	p.command, p.done, p.signalled, p.down, p.hasLogged = command, make(chan struct{}), false, false, false
+	go p.watch(command, p.done)
 }
 
-// lockedLog keeps what a process writes.
+// lockedLog appends the output of a process to its log.
 type lockedLog struct{ p *process }
 
 // Write implements io.Writer.
 func (l *lockedLog) Write(data []byte) (int, error) {
 	l.p.mu.Lock()
 	defer l.p.mu.Unlock()
-	l.p.spoke = true
+	l.p.hasLogged = true
 	return l.p.log.Write(data)
 }
 
-// lines returns what a process has logged of an event.
+// lines returns the log lines of the process with the given event.
 func (p *process) lines(event string) []map[string]any {
 	p.mu.Lock()
 	text := bytes.Clone(p.log.Bytes())
@@ -160,20 +163,21 @@
 	return found
 }
 
-// await notes a process that has ended by itself, which none may.
-func (p *process) await(command *exec.Cmd, done chan struct{}) {
+// watch waits for the end of the process. It records a violation if the process
+// ended without a signal from the test.
+func (p *process) watch(command *exec.Cmd, done chan struct{}) {
 	err := command.Wait()
 	p.mu.Lock()
-	wanted := p.signalled
+	expected := p.signalled
 	p.down = true
 	p.mu.Unlock()
-	if !wanted {
-		p.world.broken("process %s ended by itself: %v", p.settings.Name, err)
+	if !expected {
+		p.harness.violation("process %s ended without a signal: %v", p.settings.Name, err)
 	}
 	close(done)
 }
 
-// signal sends a signal to the process, if it runs.
+// signal sends a signal to the process if it is running.
 func (p *process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -182,11 +186,12 @@
 	}
 	ends := s == syscall.SIGKILL || s == syscall.SIGTERM
 	p.signalled = p.signalled || ends
-	// One that has just ended takes no signal.
+	// The error is ignored: the process may just have ended.
 	_ = p.command.Process.Signal(s)
 }
 
-// stop ends the process and waits for it.
+// stop ends the process with a signal and waits for its end. It records a violation
+// if the process takes longer than its grace time, and kills it then.
 func (p *process) stop(s syscall.Signal) {
 	if p.isPaused() {
 		p.resume()
@@ -195,19 +200,19 @@
 	select {
 	case <-p.done:
 	case <-time.After(p.settings.Stop.Grace() + time.Second):
-		p.world.broken("process %s hasn't ended in its grace", p.settings.Name)
+		p.harness.violation("process %s has not ended within its grace time", p.settings.Name)
 		p.signal(syscall.SIGKILL)
 		<-p.done
 	}
 }
 
-// reload hangs up on a process that has written a line. One that hasn't may not have
-// asked for signals yet, and the kernel ends it.
+// reload sends SIGHUP to the process if it has written output. Before that, it may
+// not have installed its signal handler yet, and SIGHUP would end it.
 func (p *process) reload() {
 	p.mu.Lock()
-	spoke := p.spoke
+	hasLogged := p.hasLogged
 	p.mu.Unlock()
-	if spoke {
+	if hasLogged {
 		p.signal(syscall.SIGHUP)
 	}
 }
@@ -232,7 +237,7 @@
 	p.paused = false
 }
 
-// isRunning reports whether the process should answer at the moment.
+// isRunning reports whether the process is up, not paused, and not being stopped.
 func (p *process) isRunning() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -7,53 +7,59 @@
 )
 
 var (
-	seedCount   = flag.Int("soak.seeds", 1, "how many seeds to play")
-	firstSeed   = flag.Uint64("soak.first", 1, "the first of them")
-	playSeconds = flag.Int("soak.seconds", 6, "how long each of them plays, in seconds")
-	withRace    = flag.Bool("soak.race", false, "build the programs with the race detector, which ends one that has a data race")
+	seedCount      = flag.Int("soak.seeds", 1, "how many seeds to run")
+	firstSeed      = flag.Uint64("soak.first", 1, "the first of them")
+	secondsPerSeed = flag.Int("soak.seconds", 6, "how long each of them runs, in seconds")
+	withRace       = flag.Bool("soak.race", false, "build the programs with the race detector, which ends a program that has a data race")
 )
 
-// regressionSeeds failed once; each has a line on the cause.
+// regressionSeeds have failed in the past. The comment on each says why.
 var regressionSeeds = []uint64{
-	// A disk VM was wiped while another's connections were silent, so that it was
-	// taken in late; the soak wiped the next one before, after a fixed three
-	// seconds: two disks of three, after which no table is left to any.
+	// A disk VM was wiped while another's connections were silent, so it rejoined
+	// late. The test then waited only a fixed three seconds and wiped the next disk
+	// VM before the first had rejoined. With two disks of three lost, no disk VM
+	// had the table any more. The test now waits in awaitVoter.
 	3001,
 }
 
-// settleWithin is how long after the last fault all routers have to be ready.
-const settleWithin = 15 * time.Second
+// readyWithin is the time after the last fault within which all routers must be
+// ready.
+const readyWithin = 15 * time.Second
 
-// play runs one seed.
-func play(t *testing.T, seed uint64, seconds int) {
-	w := newWorld(t, seed)
-	defer w.end()
-	w.done.Go(w.operate)
-	w.settled(settleWithin)
-	w.call(3, "/once/")
-	w.call(3, "/again/")
-	w.call(3, "/chat/")
+// runSeed starts a fleet, injects faults for the given number of seconds, and then
+// requires that all routers become ready.
+func runSeed(t *testing.T, seed uint64, seconds int) {
+	h := newHarness(t, seed)
+	defer h.stop()
+	h.done.Go(h.runOperator)
+	h.awaitRouters(readyWithin)
+	h.startCallers(3, "/once/")
+	h.startCallers(3, "/again/")
+	h.startCallers(3, "/chat/")
 	stop := time.After(time.Duration(seconds) * time.Second)
 	ended := make(chan struct{})
-	w.done.Go(func() {
+	h.done.Go(func() {
 		<-stop
 		close(ended)
 	})
-	w.troubleUntil(ended, 600*time.Millisecond)
-	w.settled(settleWithin)
+	h.injectFaultsUntil(ended, 600*time.Millisecond)
+	h.awaitRouters(readyWithin)
 }
 
+// Random faults must not break a guarantee: no answer goes to the wrong request, no
+// order runs twice, no refused request has run, and no accepted table is lost.
 func TestSeeds(t *testing.T) {
 	for seed := *firstSeed; seed < *firstSeed+uint64(*seedCount); seed++ {
-		play(t, seed, *playSeconds)
+		runSeed(t, seed, *secondsPerSeed)
 		if t.Failed() {
 			return
 		}
 	}
 }
 
+// Seeds that failed before must not fail again.
 func TestRegressionSeeds(t *testing.T) {
 	for _, seed := range regressionSeeds {
-		play(t, seed, *playSeconds)
+		runSeed(t, seed, *secondsPerSeed)
 	}
 }
--- a/soak/upstream_test.go
+++ b/soak/upstream_test.go
@@ -21,84 +21,84 @@
 	"endiveplank/standin/relay"
 )
 
-// eventsOfStream is how many events a stream has, and eventPause the time
-// between two.
+// eventsPerStream is the number of events in a stream, eventPause the time between
+// two events, and announceInterval the time between two announcements.
 const (
-	eventsOfStream = 8
-	eventPause     = 15 * time.Millisecond
-	beatInterval   = 250 * time.Millisecond
+	eventsPerStream  = 8
+	eventPause       = 15 * time.Millisecond
+	announceInterval = 250 * time.Millisecond
 )
 
-// upstream is a stand-in for a back end that speaks the platform's protocol.
+// upstream is a stand-in for an upstream that speaks the platform's protocol.
 type upstream struct {
-	world   *world
-	id      protocol.UpstreamID
-	service protocol.Service
-	server  *http.Server
-	way     *relay.Relay
-	born    int64
+	harness   *harness
+	id        protocol.UpstreamID
+	service   protocol.Service
+	server    *http.Server
+	proxy     *relay.Relay
+	startedAt int64
 
 	mu       sync.Mutex
 	sequence uint64
-	draining time.Time
+	draining time.Time // when the upstream started to leave, or zero
 	ended    bool
-	sick     bool
+	faulty   bool
 	random   *rand.Rand
 	quit     chan struct{}
 }
 
-// startUpstream starts a back end that announces itself.
-func (w *world) startUpstream(service protocol.Service) *upstream {
+// startUpstream starts an upstream that announces itself to the disk VMs.
+func (h *harness) startUpstream(service protocol.Service) *upstream {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	assert.NilError(w.t, err)
-	way, err := relay.Start("127.0.0.1:0", listener.Addr().String())
-	assert.NilError(w.t, err)
-	w.mu.Lock()
-	w.nextUpstream++
+	assert.NilError(h.t, err)
+	proxy, err := relay.Start("127.0.0.1:0", listener.Addr().String())
+	assert.NilError(h.t, err)
+	h.mu.Lock()
+	h.nextUpstream++
 	u := &upstream{
-		world: w, id: protocol.UpstreamID(fmt.Sprintf("u%d", w.nextUpstream)), service: service, way: way, born: time.Now().UnixMilli(),
-		random: rand.New(rand.NewPCG(w.seed, uint64(w.nextUpstream))), quit: make(chan struct{}),
+		harness: h, id: protocol.UpstreamID(fmt.Sprintf("u%d", h.nextUpstream)), service: service, proxy: proxy, startedAt: time.Now().UnixMilli(),
+		random: rand.New(rand.NewPCG(h.seed, uint64(h.nextUpstream))), quit: make(chan struct{}),
 	}
-	w.upstreams = append(w.upstreams, u)
-	w.mu.Unlock()
+	h.upstreams = append(h.upstreams, u)
+	h.mu.Unlock()
 	u.server = &http.Server{Handler: http.HandlerFunc(u.serve)}
-	go func() { _ = u.server.Serve(listener) }() // it ends with the upstream
-	go u.beat()
+	go func() { _ = u.server.Serve(listener) }() // Serve returns when stop closes the server
+	go u.announceLoop()
 	return u
 }
 
-// beat announces the upstream until it has left.
-func (u *upstream) beat() {
+// announceLoop announces the upstream until it stops.
+func (u *upstream) announceLoop() {
 	for {
 		u.announce()
 		select {
 		case <-u.quit:
 			return
-		case <-time.After(beatInterval):
+		case <-time.After(announceInterval):
 		}
 	}
 }
 
-// announce tells one disk VM, another when it doesn't answer. It reports whether
-// one has.
+// announce sends an announcement to one disk VM, or to another one if it doesn't
+// accept it. It reports whether one accepted it.
 func (u *upstream) announce() bool {
 	u.mu.Lock()
 	u.sequence++
 	entry := roster.Entry{
-		ID: u.id, Service: u.service, Address: u.way.Address(), DataCentre: "here", Build: "v1", Slots: 8,
-		State: roster.Ready, Sequence: u.sequence, StartedAt: u.born,
+		ID: u.id, Service: u.service, Address: u.proxy.Address(), DataCentre: "here", Build: "v1", Slots: 8,
+		State: roster.Ready, Sequence: u.sequence, StartedAt: u.startedAt,
 	}
 	if !u.draining.IsZero() {
 		entry.State = roster.Draining
 	}
 	body, err := platform.EncodeAnnouncement(entry)
 	u.mu.Unlock()
-	assert.NilError(u.world.t, err)
-	return u.world.tellControl(http.MethodPut, platform.UpstreamPath(u.id), body)
+	assert.NilError(u.harness.t, err)
+	return u.harness.callDiskVM(http.MethodPut, platform.UpstreamPath(u.id), body)
 }
 
-// drain lets the upstream leave as planned: it says so, serves on for a while,
-// and ends.
+// drain makes the upstream leave gracefully: it announces that it is draining, serves
+// requests for leaveWithin and half a second more, leaves the roster, and stops.
 func (u *upstream) drain() {
 	u.mu.Lock()
 	u.draining = time.Now()
@@ -112,12 +112,12 @@
 	u.draining = time.Now()
 	u.mu.Unlock()
 	time.Sleep(leaveWithin + 500*time.Millisecond)
-	u.world.tellControl(http.MethodDelete, platform.UpstreamPath(u.id), nil)
-	u.end()
+	u.harness.callDiskVM(http.MethodDelete, platform.UpstreamPath(u.id), nil)
+	u.stop()
 }
 
-// end stops the upstream without a word.
-func (u *upstream) end() {
+// stop stops the upstream without a leave message, as when it crashes.
+func (u *upstream) stop() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.ended {
@@ -126,20 +126,20 @@
 	u.ended = true
 	close(u.quit)
 	_ = u.server.Close()
-	u.way.Close()
+	u.proxy.Close()
 }
 
-// serve runs a request.
+// serve runs a request, with the failures of a faulty upstream if it is one.
 func (u *upstream) serve(w http.ResponseWriter, r *http.Request) {
 	u.mu.Lock()
 	tooLate := !u.draining.IsZero() && time.Since(u.draining) > leaveWithin+drainSlack
-	trouble := u.sick && u.random.IntN(3) == 0
+	fail := u.faulty && u.random.IntN(3) == 0
 	kind := u.random.IntN(4)
 	u.mu.Unlock()
 	request, attempt := platform.ReadAttempt(r.Header)
 	id := string(request)
 	if tooLate {
-		u.world.broken("request %s reached %s %s after it said that it leaves", id, u.id, time.Since(u.draining))
+		u.harness.violation("request %s reached %s %s after it announced that it leaves", id, u.id, time.Since(u.draining))
 	}
 	if attempt.Upstream != u.id {
 		w.WriteHeader(http.StatusMisdirectedRequest)
@@ -149,55 +149,57 @@
 	if err != nil {
 		return
 	}
-	if trouble && kind == 0 {
+	if fail && kind == 0 {
 		platform.WriteAnswer(w.Header(), dialect.Answer{ID: request, NotRun: true}, "")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	u.world.ran(id, r, body)
-	if u.failsAsAsked(r, id) {
+	u.harness.recordRun(id, r, body)
+	if u.failOnRequest(r, id) {
 		return
 	}
 	platform.WriteAnswer(w.Header(), dialect.Answer{ID: request}, string(u.id)+"."+id)
-	if trouble && kind == 1 {
+	if fail && kind == 1 {
 		panic(http.ErrAbortHandler)
 	}
-	if trouble && kind == 2 {
+	if fail && kind == 2 {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
 	if u.service == chatService {
-		u.stream(w, r, id, attempt.LastEvent, trouble)
+		u.stream(w, r, id, attempt.LastEvent, fail)
 		return
 	}
-	_, _ = w.Write(bytes.Repeat([]byte(id+"\n"), 20)) // a caller may have gone
+	_, _ = w.Write(bytes.Repeat([]byte(id+"\n"), 20)) // the error is ignored: the caller may have disconnected
 }
 
-// What a caller may ask of the upstream that runs its request, as the end of the
-// path.
+// The ends of paths by which a caller requests a failure of the upstream: it closes
+// the connection, or it hangs at the first attempt.
 const (
 	pathBreaks    = "breaks"
 	pathHangsOnce = "hangs-once"
 )
 
-// failsAsAsked breaks off or hangs, if the path asks for it.
-func (u *upstream) failsAsAsked(r *http.Request, id string) bool {
+// failOnRequest closes the connection or hangs if the path requests it. It returns
+// true if the request has hung until its connection was closed.
+func (u *upstream) failOnRequest(r *http.Request, id string) bool {
 	switch {
 	case strings.HasSuffix(r.URL.Path, pathBreaks):
 		panic(http.ErrAbortHandler)
-	case strings.HasSuffix(r.URL.Path, pathHangsOnce) && u.world.timesRun(id) == 1:
+	case strings.HasSuffix(r.URL.Path, pathHangsOnce) && u.harness.timesRun(id) == 1:
 		<-r.Context().Done()
 		return true
 	}
 	return false
 }
 
-// stream sends events from the one behind the last that the caller has.
-func (u *upstream) stream(w http.ResponseWriter, r *http.Request, id, lastEvent string, trouble bool) {
-	first, _ := strconv.Atoi(lastEvent) // none is 0
+// stream sends the events after lastEvent, which is the last one that the caller has.
+// If fail is set, it breaks off within the third event.
+func (u *upstream) stream(w http.ResponseWriter, r *http.Request, id, lastEvent string, fail bool) {
+	first, _ := strconv.Atoi(lastEvent) // 0 if there is none
 	w.Header().Set("Content-Type", "text/event-stream")
-	for n := first + 1; n <= eventsOfStream; n++ {
-		if trouble && n == first+3 {
+	for n := first + 1; n <= eventsPerStream; n++ {
+		if fail && n == first+3 {
 			_, _ = io.WriteString(w, "id: 9")
 			panic(http.ErrAbortHandler)
 		}
