--- a/daemon/fabric/fabric.go
+++ b/daemon/fabric/fabric.go
@@ -65,15 +65,15 @@
 func New(options Options) *Fabric {
 	f := &Fabric{listen: options.Listen, receiver: options.Receiver, log: options.Log}
 	f.mesh = peer.New(peer.Options{
-		Self:        options.Self,
-		DataCentre:  options.DataCentre,
-		Incarnation: options.Incarnation,
-		Address:     string(options.Self),
-		Stall:       stallTimeout,
-		LostAfter:   lostTimeout,
-		Handler:     f,
-		Log:         options.Log,
-		Duplex:      true,
+		Self:         options.Self,
+		DataCentre:   options.DataCentre,
+		Incarnation:  options.Incarnation,
+		Address:      string(options.Self),
+		StallTimeout: stallTimeout,
+		LostAfter:    lostTimeout,
+		Handler:      f,
+		Log:          options.Log,
+		Duplex:       true,
 	})
 	return f
 }
@@ -99,7 +99,7 @@
 // encode returns the bytes of a message. Load reports go to every router several times a
 // second, so they are encoded without field names.
 func encode(body any) []byte {
-	if report, often := body.(balance.LoadReport); often {
+	if report, ok := body.(balance.LoadReport); ok {
 		return codec.MarshalArrays(report)
 	}
 	return wire.Encode(body)
@@ -112,8 +112,8 @@
 	}
 }
 
-// Frame implements peer.Handler.
-func (f *Fabric) Frame(from protocol.RouterID, frame wire.Frame) {
+// HandleFrame implements peer.Handler.
+func (f *Fabric) HandleFrame(from protocol.RouterID, frame wire.Frame) {
 	body, err := decode(frame)
 	if err != nil {
 		f.log.Warn().Str("event", "message-refused").Str("from", string(from)).Stringer("kind", frame.Kind).Err(err).Send()
@@ -122,8 +122,8 @@
 	f.receiver.Receive(from, body)
 }
 
-// Lost implements peer.Handler. A process that needs an answer asks again.
-func (f *Fabric) Lost(protocol.RouterID) {}
+// HandlePeerLost implements peer.Handler. A process that needs an answer asks again.
+func (f *Fabric) HandlePeerLost(protocol.RouterID) {}
 
 // kindOf returns the wire kind of a message's type.
 func kindOf(body any) wire.Kind {
@@ -157,11 +157,11 @@
 	case control.ReadReply:
 		return wire.KindReadReply
 	case balance.LoadReport:
-		return wire.KindLoads
+		return wire.KindLoadReport
 	case balance.CacheHolderList:
-		return wire.KindKeepers
+		return wire.KindCacheHolders
 	case crashes.Crash:
-		return wire.KindBlame
+		return wire.KindCrash
 	}
 	panic(fmt.Sprintf("fabric: message type %T has no wire kind", body))
 }
@@ -197,11 +197,11 @@
 		return decodeAs[control.Read](frame)
 	case wire.KindReadReply:
 		return decodeAs[control.ReadReply](frame)
-	case wire.KindLoads:
+	case wire.KindLoadReport:
 		return decodeAs[balance.LoadReport](frame)
-	case wire.KindKeepers:
+	case wire.KindCacheHolders:
 		return decodeAs[balance.CacheHolderList](frame)
-	case wire.KindBlame:
+	case wire.KindCrash:
 		return decodeAs[crashes.Crash](frame)
 	}
 	return nil, fmt.Errorf("fabric: unknown message kind %d", frame.Kind)
--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -96,7 +96,7 @@
 	if err != nil {
 		panic("soak: cannot build a request: " + err.Error())
 	}
-	platform.WriteCall(request.Header, dialect.Call{ID: protocol.RequestID(id), Key: callerKey, Left: callerTimeout})
+	platform.WriteCall(request.Header, dialect.Call{ID: protocol.RequestID(id), Key: callerKey, Remaining: callerTimeout})
 	began := time.Now()
 	stopping := c.routerStopping()
 	_ = c.conn.SetDeadline(began.Add(5 * time.Second))
--- a/soak/explain_test.go
+++ b/soak/explain_test.go
@@ -46,7 +46,7 @@
 	request, err := http.NewRequest(http.MethodPost, "http://"+p.settings.Listen.Callers+path, strings.NewReader(id))
 	assert.NilError(h.t, err)
 	request.Host = callerHost
-	platform.WriteCall(request.Header, dialect.Call{ID: protocol.RequestID(id), Key: key, Left: callerTimeout})
+	platform.WriteCall(request.Header, dialect.Call{ID: protocol.RequestID(id), Key: key, Remaining: callerTimeout})
 	response, err := h.client.Do(request)
 	if err != nil {
 		return 0
--- a/soak/operator_test.go
+++ b/soak/operator_test.go
@@ -114,7 +114,7 @@
 		panic("soak: cannot build a request: " + err.Error())
 	}
 	request.Host = callerHost
-	platform.WriteCall(request.Header, dialect.Call{Key: callerKey, Left: time.Millisecond})
+	platform.WriteCall(request.Header, dialect.Call{Key: callerKey, Remaining: time.Millisecond})
 	response, err := h.client.Do(request)
 	if err != nil {
 		return 0
--- a/soak/upstream_test.go
+++ b/soak/upstream_test.go
@@ -167,7 +167,7 @@
 		return
 	}
 	if u.service == chatService {
-		u.stream(w, r, id, attempt.LastEvent, fail)
+		u.stream(w, r, id, attempt.LastEventID, fail)
 		return
 	}
 	_, _ = w.Write(bytes.Repeat([]byte(id+"\n"), 20)) // the error is ignored: the caller may have disconnected
