--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -130,7 +130,7 @@
 }
 
 // withRandomDiskVM calls do with a random disk VM, and then gives it three seconds to
-// recover. Meanwhile no other disk VM gets a fault.
+// recover. Meanwhile no other disk VM is stopped, paused or wiped.
 func (h *harness) withRandomDiskVM(do func(*process)) {
 	h.diskVMsMu.Lock()
 	defer h.diskVMsMu.Unlock()
--- a/standin/engine/server.go
+++ b/standin/engine/server.go
@@ -105,7 +105,7 @@
 func (s *Server) now() time.Duration { return time.Since(s.epoch) }
 
 // reset replaces the core by a new one, as a new process has it. Only the counters
-// are kept. The caller holds the mutex, except in Start.
+// and the faults are kept. The caller holds the mutex, except in Start.
 func (s *Server) reset() {
 	var counters Counters
 	if s.core != nil {
