--- a/standin/desk/desk_test.go
+++ b/standin/desk/desk_test.go
@@ -44,8 +44,8 @@
 	return answer, json.Unmarshal(read, &answer)
 }
 
-// After each of these faults, a router that gets no answer must not retry, since
-// the order may have run. The audit must distinguish an order that ran and whose
+// After each of these faults, a router that gets no answer must not send the order
+// again, since the order may have run and would then run twice. The audit must distinguish an order that ran and whose
 // answer was lost from one that did not run. The desk must restart after a crash.
 func TestFaultsAroundTheRun(t *testing.T) {
 	cases := map[string]struct {
--- a/standin/engine/core_test.go
+++ b/standin/engine/core_test.go
@@ -20,8 +20,8 @@
 	return NewCore(model, faults, []protocol.Model{"m1"}, "serve", rand.New(rand.NewPCG(1, 2)))
 }
 
-// testJob returns a chat whose messages have the given texts. Its answer counts
-// as tokens tokens.
+// testJob returns a chat whose messages have the given texts and whose answer has
+// the given number of tokens.
 func testJob(name string, priority, tokens int, texts ...string) Job {
 	messages := make([]chat.Message, len(texts))
 	for i, text := range texts {
