--- a/cmd/endiveplank-standin/relay.go
+++ b/cmd/endiveplank-standin/relay.go
@@ -27,7 +27,7 @@
 			if err != nil {
 				return err
 			}
-			defer controlServer.Drop()
+			defer controlServer.Close()
 			fmt.Printf("standin: relay is steered at %s\n", controlServer.Address())
 			runUntilSignal("relay", "to "+to, r.Address(), func(context.Context) {})
 			return nil
