--- a/coordination/node/bench_test.go
+++ b/coordination/node/bench_test.go
@@ -16,17 +16,18 @@
 	"endiveplank/protocol/upstreamapi"
 )
 
-// Bounds on what the data path may allocate, checked in CI. They are counts,
-// the same on every machine.
+// Bounds on the allocations of the data path, checked in CI. They are counts and
+// so the same on every machine.
 const (
-	// maxTokenAllocs covers a token at its owner and its entry, both sides.
+	// maxTokenAllocs bounds the allocations for one token, on the owner side and
+	// the entry side together.
 	maxTokenAllocs = 6
-	// maxPlaceAllocs covers a whole chat request in one router: checks, walk,
-	// admission, start, end and events.
+	// maxPlaceAllocs bounds the allocations for one chat request in one router
+	// without its tokens: checks, walk, admission, start, end and events.
 	maxPlaceAllocs = 60
 )
 
-// oneRouter is a core that owns all its engines.
+// oneRouter is a Node that owns all its engines.
 type oneRouter struct {
 	core *node.Node
 	now  time.Duration
@@ -37,7 +38,7 @@
 func newOneRouter(engines int) *oneRouter {
 	r := &oneRouter{core: node.New(node.Config{
 		Self: "r1", DataCentre: "dc1", Multiple: 1.25, ReuseWeight: 0.5,
-		Stall: 3 * time.Second, Deadline: time.Minute, Random: rand.New(rand.NewPCG(1, 1)),
+		StallTimeout: 3 * time.Second, DefaultDeadline: time.Minute, Random: rand.New(rand.NewPCG(1, 1)),
 	})}
 	view := &node.View{
 		Revision:  1,
@@ -49,8 +50,8 @@
 	for i := range engines {
 		upstream := &node.Upstream{
 			ID: protocol.UpstreamID(fmt.Sprintf("e%03d", i)), Kind: upstreamapi.KindEngine, Address: "127.0.0.1:1",
-			Models: []protocol.Model{"m"}, Announced: 1000, AnnouncedMax: 64, Capacity: 1000, MaxConcurrent: 64,
-			Owner: "r1", Fence: 1, Mine: true,
+			Models: []protocol.Model{"m"}, AnnouncedCapacity: 1000, AnnouncedMaxConcurrent: 64, Capacity: 1000, MaxConcurrent: 64,
+			Owner: "r1", Fence: 1, OwnedHere: true,
 		}
 		view.Upstreams[upstream.ID] = upstream
 		view.Models["m"] = append(view.Models["m"], upstream)
@@ -58,7 +59,7 @@
 	r.step(node.ViewChanged{View: view})
 	r.step(node.LeaseChanged{Until: 1000 * time.Hour, Session: 1})
 	for _, upstream := range view.Models["m"] {
-		r.step(node.Announced{Announcement: upstreamapi.Announcement{
+		r.step(node.UpstreamAnnounced{Announcement: upstreamapi.Announcement{
 			ID: upstream.ID, Incarnation: 1, Sequence: 1, Kind: upstream.Kind, Address: upstream.Address,
 			Models: upstream.Models, Capacity: 1000, MaxConcurrent: 64,
 		}})
@@ -74,7 +75,7 @@
 	}
 }
 
-// start submits a chat; its call is then in r.call.
+// start submits a chat, whose CallUpstream is then in r.call.
 func (r *oneRouter) start() protocol.RequestID {
 	r.next++
 	id := protocol.RequestID(fmt.Sprint("q", r.next))
@@ -97,8 +98,8 @@
 	r.step(node.UpstreamEnd{Attempt: r.call.Attempt, Complete: true, Sent: true, Status: 200})
 }
 
-// BenchmarkRelayToken is one token through owner and entry of one router, the
-// whole cost of the decisions for it.
+// BenchmarkRelayToken measures one token through the owner side and the entry
+// side of one router.
 func BenchmarkRelayToken(b *testing.B) {
 	r := newOneRouter(12)
 	r.start()
@@ -108,7 +109,8 @@
 	}
 }
 
-// BenchmarkRequest is a whole chat without its tokens, at two fleet sizes.
+// BenchmarkRequest measures a complete chat without its tokens, at two fleet
+// sizes.
 func BenchmarkRequest(b *testing.B) {
 	for _, engines := range []int{12, 790} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
@@ -122,7 +124,7 @@
 	}
 }
 
-// BenchmarkTick is the passing of time with nothing in flight.
+// BenchmarkTick measures a tick with nothing in flight.
 func BenchmarkTick(b *testing.B) {
 	for _, engines := range []int{3, 12} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
--- a/coordination/node/classify.go
+++ b/coordination/node/classify.go
@@ -13,16 +13,16 @@
 	"endiveplank/protocol/upstreamapi"
 )
 
-// defaultOutputTokens is the expected length of an answer when the caller
-// sets no limit.
+// defaultOutputTokens is the expected length of an answer, in tokens, when the
+// caller sets no limit.
 const defaultOutputTokens = 256
 
-// authorize finds the customer of a request, or says why it is refused.
+// authorize returns the customer of a request, or the error to refuse it with.
 func (n *Node) authorize(now time.Duration, in CallerRequest) (*Customer, *AnswerError) {
 	if n.draining {
 		return nil, refusal(in.ID, 503, reason.Draining, "this router is stopping; another one serves you", statusRetryAfter)
 	}
-	if !n.mayServe(now) {
+	if !n.leaseValid(now) {
 		return nil, refusal(in.ID, 503, reason.NoLease, "this router can't confirm its configuration; another one may", statusRetryAfter)
 	}
 	if !in.HasKey {
@@ -38,28 +38,29 @@
 	return customer, nil
 }
 
-// classify fills in what kind of request it is.
-func (n *Node) classify(now time.Duration, fresh *entry) *AnswerError {
-	in := fresh.request
-	fresh.template = fleet.Place{
-		Customer: fresh.customer.ID,
-		Class:    fresh.customer.Class,
-		Weight:   fresh.customer.Weight,
+// classify prepares a request as a chat, a request to a plain service or an
+// order. It returns the error to refuse it with, or nil.
+func (n *Node) classify(now time.Duration, e *entryRequest) *AnswerError {
+	in := e.request
+	e.template = fleet.Place{
+		Customer: e.customer.ID,
+		Class:    e.customer.Class,
+		Weight:   e.customer.Weight,
 		Method:   in.Method,
 		Path:     in.Path,
 		Headers:  in.Headers,
 		Body:     in.Body,
 	}
-	fresh.deadline = now + n.config.Deadline
+	e.deadline = now + n.config.DefaultDeadline
 	if in.Path == upstreamapi.CompletionsPath {
-		return n.classifyChat(now, fresh)
+		return n.classifyChat(now, e)
 	}
-	return n.classifyService(now, fresh)
+	return n.classifyService(now, e)
 }
 
 // classifyChat prepares a chat request.
-func (n *Node) classifyChat(now time.Duration, fresh *entry) *AnswerError {
-	in := fresh.request
+func (n *Node) classifyChat(now time.Duration, e *entryRequest) *AnswerError {
+	in := e.request
 	if in.Chat == nil {
 		return refusal(in.ID, 400, reason.BodyInvalid, in.ChatError, 0)
 	}
@@ -70,21 +71,21 @@
 	if _, known := n.view.Models[model]; !known {
 		return refusal(in.ID, 404, reason.ModelUnknown, fmt.Sprintf("no upstream serves model %q", in.Chat.Model), 0)
 	}
-	digest := quarantine.DigestOf(fresh.customer.ID, in.Body)
-	verdict := n.crashes.Check(now, digest)
+	digest := quarantine.DigestOf(e.customer.ID, in.Body)
+	verdict := n.quarantine.Check(now, digest)
 	if verdict.Standing == quarantine.Quarantined {
 		return refusal(in.ID, 422, reason.Quarantined, "this request crashed the engines that ran it", verdict.RetryAfter)
 	}
-	fresh.chain = chat.Chain(in.Chat.Model, in.Chat.Messages)
-	template := &fresh.template
+	e.chain = chat.Chain(in.Chat.Model, in.Chat.Messages)
+	template := &e.template
 	template.Digest = uint64(digest)
 	template.Suspect = verdict.Standing == quarantine.Suspect
 	template.Model = model
 	template.Streamed = in.Chat.Stream
 	template.Idempotent = true
 	template.Root = placement.RootLink(in.Chat.Messages)
-	template.Chain = wireChain(fresh.chain)
-	template.PromptTokens = fresh.chain[len(fresh.chain)-1].Tokens
+	template.Chain = encodeChain(e.chain)
+	template.PromptTokens = e.chain[len(e.chain)-1].Tokens
 	template.OutputTokens = in.Chat.MaxTokens
 	if template.OutputTokens <= 0 {
 		template.OutputTokens = defaultOutputTokens
@@ -92,8 +93,8 @@
 	return nil
 }
 
-// wireChain is the chain's form on the wire.
-func wireChain(chain []chat.Link) []fleet.Link {
+// encodeChain converts a chain to its wire form.
+func encodeChain(chain []chat.Link) []fleet.Link {
 	links := make([]fleet.Link, 0, len(chain))
 	for _, link := range chain {
 		links = append(links, fleet.Link{Hash: uint64(link.Hash), Tokens: link.Tokens})
@@ -101,8 +102,8 @@
 	return links
 }
 
-// coreChain is the chain of a message from the wire.
-func coreChain(links []fleet.Link) []chat.Link {
+// decodeChain converts a chain from its wire form.
+func decodeChain(links []fleet.Link) []chat.Link {
 	chain := make([]chat.Link, 0, len(links))
 	for _, link := range links {
 		chain = append(chain, chat.Link{Hash: chat.ChainHash(link.Hash), Tokens: link.Tokens})
@@ -110,19 +111,20 @@
 	return chain
 }
 
-// classifyService prepares a request to a plain service.
-func (n *Node) classifyService(now time.Duration, fresh *entry) *AnswerError {
-	in := fresh.request
+// classifyService prepares a request to a plain service. A request of a route
+// that isn't idempotent becomes an order.
+func (n *Node) classifyService(now time.Duration, e *entryRequest) *AnswerError {
+	in := e.request
 	route, found := n.view.route(in.Path)
 	if !found {
 		return refusal(in.ID, 404, reason.RouteUnknown, "no route has this path", 0)
 	}
-	fresh.service = route.Service
-	fresh.template.Path = servicePath(in.Path, route.Prefix)
-	fresh.template.OutputTokens = 1
-	fresh.template.Idempotent = route.Idempotent
+	e.service = route.Service
+	e.template.Path = servicePath(in.Path, route.Prefix)
+	e.template.OutputTokens = 1
+	e.template.Idempotent = route.Idempotent
 	if route.Deadline > 0 {
-		fresh.deadline = now + route.Deadline
+		e.deadline = now + route.Deadline
 	}
 	if route.Idempotent {
 		return nil
@@ -130,11 +132,11 @@
 	if in.IdempotencyKey == "" {
 		return refusal(in.ID, 400, reason.IdempotencyKeyMissing, "this route runs a request at most once; name it with the header Idempotency-Key", 0)
 	}
-	fresh.order = n.newOrder(fresh)
+	e.order = n.newOrder(e)
 	return nil
 }
 
-// servicePath cuts the route's prefix off a path.
+// servicePath removes the route's prefix from a path.
 func servicePath(path, prefix string) string {
 	rest := path[len(prefix):]
 	if rest == "" || rest[0] != '/' {
@@ -143,13 +145,13 @@
 	return rest
 }
 
-// refuse answers a request that was never placed.
+// refuse sends the error for a request that was never placed.
 func (n *Node) refuse(answer AnswerError) {
 	n.emit(answer)
-	n.emit(Event{Request: answer.Request, What: "refused", Reason: answer.Reason, Detail: answer.Detail})
+	n.emit(Event{Request: answer.Request, Kind: "refused", Reason: answer.Reason, Detail: answer.Detail})
 }
 
-// refusal is an answer to a request no byte of which has left this router.
+// refusal is the error for a request of which no byte has left this router.
 func refusal(id protocol.RequestID, status int, why reason.Code, detail string, retryAfter time.Duration) *AnswerError {
 	return &AnswerError{Request: id, Status: status, Reason: why, Detail: detail, Outcome: protocol.NotRun, RetryAfter: retryAfter}
 }
--- a/coordination/node/crash.go
+++ b/coordination/node/crash.go
@@ -12,33 +12,36 @@
 )
 
 const (
-	// crashGrace is how long an owner waits after a connection broke to see
-	// whether the others break too. A crash breaks all of them at once.
+	// crashGrace is how long an owner waits after a broken connection to see
+	// whether the engine's other connections break too. A crash breaks all of
+	// them at once.
 	crashGrace = 2 * TickInterval
-	// reviveWait is how long an owner waits for an announcement that tells
-	// whether an upstream that takes connections is the same process as
-	// before. A fast restart would otherwise pass for a broken connection.
-	reviveWait = upstreamapi.AnnounceInterval + 4*TickInterval
+	// restartDetectTime is how long an owner waits for an announcement that shows
+	// whether an upstream that accepts connections is still the same process.
+	// Otherwise a fast restart would look like a broken connection.
+	restartDetectTime = upstreamapi.AnnounceInterval + 4*TickInterval
 )
 
-// crashWatch finds out whether broken connections mean a crash. Until it
-// knows, the entries are not told, because they would start the request that
-// may have caused it on the next engine.
-type crashWatch struct {
-	// broken are the ended calls whose cause isn't known yet.
-	broken []UpstreamEnd
-	since  time.Duration
-	// probing says that the upstream was asked whether it takes connections,
-	// and reachable that it does.
+// crashDetector finds out whether broken connections mean that the upstream has
+// crashed. Until that is known the owner does not tell the entry routers that
+// the calls ended, because they would start the request that may have caused the
+// crash on the next engine.
+type crashDetector struct {
+	// brokenCalls holds the ended calls whose cause isn't known yet, and
+	// firstBrokenAt the time of the first one.
+	brokenCalls   []UpstreamEnd
+	firstBrokenAt time.Duration
+	// probing means that a probe of the upstream was sent, and reachable that the
+	// upstream accepted the connection.
 	probing   bool
 	reachable bool
-	// down means that the upstream takes no connections; its next
-	// announcement ends that.
+	// down means that the upstream crashed. Its next announcement resets it.
 	down bool
 }
 
-func (c *crashWatch) holds(attempt fleet.Attempt) bool {
-	for _, end := range c.broken {
+// isSuspended reports whether an attempt is among the broken calls.
+func (c *crashDetector) isSuspended(attempt fleet.Attempt) bool {
+	for _, end := range c.brokenCalls {
 		if end.Attempt == attempt {
 			return true
 		}
@@ -46,86 +49,90 @@
 	return false
 }
 
-func (c *crashWatch) forget(attempt fleet.Attempt) {
-	kept := c.broken[:0]
-	for _, end := range c.broken {
+// remove removes an attempt from the broken calls.
+func (c *crashDetector) remove(attempt fleet.Attempt) {
+	kept := c.brokenCalls[:0]
+	for _, end := range c.brokenCalls {
 		if end.Attempt != attempt {
 			kept = append(kept, end)
 		}
 	}
-	c.broken = kept
+	c.brokenCalls = kept
 }
 
-// suspectCrash keeps a broken call until its cause is known.
-func (n *Node) suspectCrash(now time.Duration, target *owned, r *relay, in UpstreamEnd) {
-	if len(target.crash.broken) == 0 {
-		target.crash.since = now
+// suspendBrokenCall holds a broken call back until its cause is known.
+func (n *Node) suspendBrokenCall(now time.Duration, target *ownedUpstream, r *relay, in UpstreamEnd) {
+	if len(target.crash.brokenCalls) == 0 {
+		target.crash.firstBrokenAt = now
 		target.crash.probing = false
 		target.crash.reachable = false
 	}
-	target.crash.broken = append(target.crash.broken, in)
+	target.crash.brokenCalls = append(target.crash.brokenCalls, in)
 	if !in.Sent {
-		// No connection could be made: the process is gone.
-		n.crashed(now, target)
+		// No connection could be made: the process has ended.
+		n.handleCrash(now, target)
 	}
 }
 
-// tickCrash moves a suspected crash on.
-func (n *Node) tickCrash(now time.Duration, target *owned) {
-	watch := &target.crash
-	if len(watch.broken) == 0 || now-watch.since < crashGrace {
+// advanceCrashDetection takes the next step once broken calls have waited for
+// crashGrace.
+func (n *Node) advanceCrashDetection(now time.Duration, target *ownedUpstream) {
+	detector := &target.crash
+	if len(detector.brokenCalls) == 0 || now-detector.firstBrokenAt < crashGrace {
 		return
 	}
-	if len(target.running) > len(watch.broken) {
-		// Others go on: it was the connection.
-		n.notCrashed(now, target)
+	if len(target.running) > len(detector.brokenCalls) {
+		// Other calls continue, so only the connection was broken.
+		n.dismissCrash(now, target)
 		return
 	}
-	if !watch.probing {
-		watch.probing = true
+	if !detector.probing {
+		detector.probing = true
 		n.emit(ProbeUpstream{Upstream: target.id, Address: target.config.Address})
 		return
 	}
-	if watch.reachable && now-watch.since > reviveWait {
-		n.notCrashed(now, target)
+	if detector.reachable && now-detector.firstBrokenAt > restartDetectTime {
+		n.dismissCrash(now, target)
 	}
 }
 
-// probed takes the answer to a probe.
-func (n *Node) probed(now time.Duration, in UpstreamProbed) {
+// handleUpstreamProbed handles the result of a probe.
+func (n *Node) handleUpstreamProbed(now time.Duration, in UpstreamProbed) {
 	target := n.owned[in.Upstream]
-	if target == nil || len(target.crash.broken) == 0 {
+	if target == nil || len(target.crash.brokenCalls) == 0 {
 		return
 	}
 	if !in.Reachable {
-		n.crashed(now, target)
+		n.handleCrash(now, target)
 		return
 	}
 	target.crash.reachable = true
 }
 
-// crashed blames the requests in flight, tells all routers, and then the
-// entries, which treat these requests with care.
-func (n *Node) crashed(now time.Duration, target *owned) {
+// handleCrash marks the requests in flight as suspect, sends the notices to all
+// routers, and then ends the broken calls. The entry routers place suspect
+// requests with care.
+func (n *Node) handleCrash(now time.Duration, target *ownedUpstream) {
 	target.crash.down = true
-	report := n.crashes.Crashed(now, target.id, target.incarnation)
-	n.shareNotices(report.Notices)
+	report := n.quarantine.Crashed(now, target.id, target.incarnation)
+	n.broadcastNotices(report.Notices)
 	n.emit(Event{
-		Upstream: target.id, What: "crashed", Reason: reason.UpstreamFailed,
-		Detail: fmt.Sprintf("%d requests were in flight, %d condemned", report.Suspects, len(report.Condemned)),
+		Upstream: target.id, Kind: "crashed", Reason: reason.UpstreamFailed,
+		Detail: fmt.Sprintf("%d requests were in flight, %d quarantined", report.Suspects, len(report.Condemned)),
 	})
-	n.releaseBroken(now, target)
-	n.handBack(now, target)
+	n.closeBrokenCalls(now, target)
+	n.returnWaiting(now, target)
 }
 
-// notCrashed treats broken calls as broken connections.
-func (n *Node) notCrashed(now time.Duration, target *owned) {
-	n.releaseBroken(now, target)
+// dismissCrash treats the broken calls as broken connections.
+func (n *Node) dismissCrash(now time.Duration, target *ownedUpstream) {
+	n.closeBrokenCalls(now, target)
 }
 
-func (n *Node) releaseBroken(now time.Duration, target *owned) {
-	broken := target.crash.broken
-	target.crash.broken = nil
+// closeBrokenCalls ends the broken calls and tells their entry routers.
+func (n *Node) closeBrokenCalls(now time.Duration, target *ownedUpstream) {
+	broken := target.crash.brokenCalls
+	target.crash.brokenCalls = nil
 	for _, end := range broken {
 		if r := target.running[end.Attempt]; r != nil {
 			n.closeRelay(now, target, r, end)
@@ -133,61 +140,63 @@
 	}
 }
 
-// shareNotices tells every router of crashes and quarantines.
-func (n *Node) shareNotices(notices []quarantine.Notice) {
+// broadcastNotices sends notices of crashes and quarantines to every router.
+func (n *Node) broadcastNotices(notices []quarantine.Notice) {
 	for _, notice := range notices {
-		n.emit(Spread{Notice: notice})
+		n.emit(Broadcast{Notice: notice})
 	}
 }
 
-// liftQuarantine lets a request run again, on every router.
-func (n *Node) liftQuarantine(in LiftQuarantine) {
-	n.shareNotices([]quarantine.Notice{n.crashes.Lift(in.Digest)})
-	n.emit(Event{What: "quarantine-lifted", Reason: reason.Quarantined, Detail: fmt.Sprintf("digest %016x", uint64(in.Digest))})
+// handleLiftQuarantine lets a request run again, on every router.
+func (n *Node) handleLiftQuarantine(in LiftQuarantine) {
+	n.broadcastNotices([]quarantine.Notice{n.quarantine.Lift(in.Digest)})
+	n.emit(Event{Kind: "quarantine-lifted", Reason: reason.Quarantined, Detail: fmt.Sprintf("digest %016x", uint64(in.Digest))})
 }
 
-// holdFor says whether a request must wait for a trial.
-func (n *Node) holdFor(now time.Duration, target *owned, r *relay) quarantine.Hold {
-	by := r.deadline - n.runTime(target, r)
-	return n.crashes.MayStart(now, target.id, quarantine.Digest(r.place.Digest), by).Hold
+// holdFor returns whether, and why, a request must wait for a trial.
+func (n *Node) holdFor(now time.Duration, target *ownedUpstream, r *relay) quarantine.Hold {
+	latestStart := r.deadline - n.runTime(target, r)
+	return n.quarantine.MayStart(now, target.id, quarantine.Digest(r.place.Digest), latestStart).Hold
 }
 
-// decideHold keeps, sends on or refuses a request that may not start yet.
-func (n *Node) decideHold(now time.Duration, target *owned, r *relay, hold quarantine.Hold, final bool) {
+// applyHold holds, spills or refuses a request that may not start now.
+func (n *Node) applyHold(now time.Duration, target *ownedUpstream, r *relay, hold quarantine.Hold, final bool) {
 	if hold == quarantine.HoldQuarantined {
-		n.refusePlace(r, reason.Quarantined, n.crashes.Check(now, quarantine.Digest(r.place.Digest)).RetryAfter)
+		n.refusePlace(r, reason.Quarantined, n.quarantine.Check(now, quarantine.Digest(r.place.Digest)).RetryAfter)
 		return
 	}
 	if !final {
-		n.spillOrSubmit(now, target, r, false, placement.Answer{Verdict: placement.NoRoom})
+		n.spillOrEnqueue(now, target, r, false, placement.Answer{Verdict: placement.NoRoom})
 		return
 	}
-	target.onHold = append(target.onHold, r)
-	n.replyPlace(r.from, r.place, fleet.PlaceReply{Outcome: fleet.PlaceQueued, Reason: string(reason.OnTrial)})
+	target.heldForTrial = append(target.heldForTrial, r)
+	n.replyPlace(r.entryRouter, r.place, fleet.PlaceReply{Outcome: fleet.PlaceQueued, Reason: string(reason.OnTrial)})
 }
 
-// reviewHeld decides again about what waited for a trial.
-func (n *Node) reviewHeld(now time.Duration, target *owned) {
-	waited := target.onHold
-	target.onHold = nil
+// recheckHeld decides again about the requests that wait for a trial.
+func (n *Node) recheckHeld(now time.Duration, target *ownedUpstream) {
+	waited := target.heldForTrial
+	target.heldForTrial = nil
 	for _, r := range waited {
 		if now >= r.deadline {
 			n.refusePlace(r, reason.DeadlinePassed, statusRetryAfter)
 			continue
 		}
-		n.reviewOne(now, target, r)
+		n.recheckOne(now, target, r)
 	}
 }
 
-func (n *Node) reviewOne(now time.Duration, target *owned, r *relay) {
+// recheckOne starts, refuses or keeps holding one request that waits for a
+// trial.
+func (n *Node) recheckOne(now time.Duration, target *ownedUpstream, r *relay) {
 	hold := n.holdFor(now, target, r)
 	switch hold {
 	case quarantine.HoldNone:
-		r.ask.Stage = placement.Final
+		r.placeAsk.Stage = placement.Final
 		n.decideEngine(now, target, r, true)
 	case quarantine.HoldQuarantined:
-		n.decideHold(now, target, r, hold, true)
+		n.applyHold(now, target, r, hold, true)
 	default:
-		target.onHold = append(target.onHold, r)
+		target.heldForTrial = append(target.heldForTrial, r)
 	}
 }
--- a/coordination/node/deadlines.go
+++ b/coordination/node/deadlines.go
@@ -8,21 +8,21 @@
 	"endiveplank/protocol"
 )
 
-// tickEntries meets the deadlines of requests, in order of their IDs so that
+// tickEntries acts on the requests that are due, in order of their IDs so that
 // a replay gives the same outputs.
 func (n *Node) tickEntries(now time.Duration) {
 	for _, id := range n.dueEntries(now) {
 		if e := n.entries[id]; e != nil {
-			n.entryDue(now, e)
+			n.handleEntryDue(now, e)
 		}
 	}
 }
 
-// dueEntries lists the requests that have something to do.
+// dueEntries lists the requests on which the entry router must act now.
 func (n *Node) dueEntries(now time.Duration) []protocol.RequestID {
 	var due []protocol.RequestID
 	for id, e := range n.entries {
-		if n.isDue(now, e) {
+		if n.entryIsDue(now, e) {
 			due = append(due, id)
 		}
 	}
@@ -30,67 +30,70 @@
 	return due
 }
 
-func (n *Node) isDue(now time.Duration, e *entry) bool {
+func (n *Node) entryIsDue(now time.Duration, e *entryRequest) bool {
 	if e.order != nil {
 		return n.orderIsDue(now, e)
 	}
-	if now >= e.deadline+e.grace() || e.checkIsDue(now) {
+	if now >= e.deadline+e.deadlineGrace() || e.checkIsDue(now) {
 		return true
 	}
 	switch e.phase {
-	case phaseAsking:
-		return now-e.progress > ownerPatience
-	case phaseWaiting, phaseLimit:
+	case phasePlacing:
+		return now-e.lastProgress > ownerReplyTimeout
+	case phaseWaiting, phaseAwaitingLimit:
 		return now >= e.wakeAt
 	case phaseRunning:
-		return now-e.progress > n.entryStall(e)
+		return now-e.lastProgress > n.entryStallTimeout(e)
 	}
 	return false
 }
 
-// grace lets the owner, which knows that a queued request was never sent,
-// refuse it first; the caller then learns that it was not run.
-func (e *entry) grace() time.Duration {
+// deadlineGrace is how long the entry router waits after the deadline. The
+// owner knows that a queued request was never sent to an upstream; the grace
+// lets it refuse the request first, so that the caller learns that it did not
+// run.
+func (e *entryRequest) deadlineGrace() time.Duration {
 	if e.phase == phaseQueued {
 		return 4 * TickInterval
 	}
 	return 0
 }
 
-// entryStall bounds what an owner that lives may make of an attempt: it is
-// longer than the owner's own patience, so that the owner, which knows the
-// upstream, decides first. A request in a queue has its deadline alone.
-func (n *Node) entryStall(e *entry) time.Duration {
+// entryStallTimeout is how long an attempt may make no progress while its owner
+// is alive. It is longer than the owner's own timeout, because the owner knows
+// the upstream and should decide first. Queued requests and answers that are
+// not streamed are bounded by their deadline alone.
+func (n *Node) entryStallTimeout(e *entryRequest) time.Duration {
 	if e.phase == phaseQueued || !e.template.Streamed {
-		return max(0, e.deadline-e.progress)
+		return max(0, e.deadline-e.lastProgress)
 	}
-	return 3*n.config.Stall + ownerPatience
+	return 3*n.config.StallTimeout + ownerReplyTimeout
 }
 
-// entryDue acts on a request whose time has come.
-func (n *Node) entryDue(now time.Duration, e *entry) {
-	if e.phase == phaseLimit {
-		n.limit(now, e, n.limiter.Again)
+// handleEntryDue acts on a request that is due.
+func (n *Node) handleEntryDue(now time.Duration, e *entryRequest) {
+	if e.phase == phaseAwaitingLimit {
+		n.checkLimit(now, e, n.limiter.Again)
 		return
 	}
 	if e.order != nil {
-		n.orderDue(now, e)
+		n.handleOrderDue(now, e)
 		return
 	}
-	if now >= e.deadline+e.grace() {
-		n.abandon(e)
+	if now >= e.deadline+e.deadlineGrace() {
+		n.cancelAttempt(e)
 		n.giveUp(now, e, 504, reason.DeadlinePassed, "the deadline passed", statusRetryAfter)
 		return
 	}
 	switch e.phase {
 	case phaseWaiting:
-		n.wake(now, e)
-	case phaseAsking, phaseRunning, phaseQueued:
-		if e.phase != phaseAsking && now-e.progress <= n.entryStall(e) && !n.check(now, e) {
+		n.startNextAttempt(now, e)
+	case phasePlacing, phaseRunning, phaseQueued:
+		if e.phase != phasePlacing && now-e.lastProgress <= n.entryStallTimeout(e) && !n.checkOwner(now, e) {
 			return
 		}
-		n.abandon(e)
-		e.reached = true
+		n.cancelAttempt(e)
+		e.mayHaveRun = true
 		n.attemptFailed(now, e, reason.OwnerLost)
 	}
 }
--- a/coordination/node/dispatch.go
+++ b/coordination/node/dispatch.go
@@ -1,6 +1,7 @@
 package node
 
 import (
+	"fmt"
 	"time"
 
 	"endiveplank/coordination/orders"
@@ -9,37 +10,40 @@
 )
 
 const (
-	// maxOrderAnswer bounds the answer to an order that the owner holds, in
-	// bytes. What is beyond it is cut off, and the answer counts as broken.
+	// maxOrderAnswer is the maximum size, in bytes, of an answer to an order,
+	// which the owner buffers. A longer answer is truncated and counts as
+	// broken.
 	maxOrderAnswer = 1 << 20
-	// lateAnswer is how long past its deadline a call for an order may still
-	// bring the answer that settles it.
+	// lateAnswer is how long after its deadline a call for an order may continue,
+	// because its answer still settles the order.
 	lateAnswer = 60 * time.Second
 )
 
-// dispatch is the owner's side of one attempt of an order. What may be done is
-// decided by orders.Dispatcher; this file only carries its wishes out.
+// dispatch is the owner's side of one attempt of an order. orders.Dispatcher
+// makes the decisions; this file only carries out its outputs.
 type dispatch struct {
-	flow        *orders.Dispatcher
-	status      int
-	contentType string
-	body        []byte
-	overflow    bool
-	called      bool
-	ticked      bool
+	flow           *orders.Dispatcher
+	status         int
+	contentType    string
+	body           []byte
+	overflow       bool
+	called         bool
+	deadlinePassed bool
 }
 
-// startDispatch asks the journal for the right to send the order.
-func (n *Node) startDispatch(now time.Duration, r *relay) {
-	n.token++
+// startOrderDispatch starts the flow that asks the journal for the right to send
+// the order.
+func (n *Node) startOrderDispatch(now time.Duration, r *relay) {
+	n.lastToken++
 	ask := r.place.Order
-	holder := orders.Holder{Session: n.session, Token: n.token, Attempt: ask.Attempt}
+	holder := orders.Holder{Session: n.session, Token: n.lastToken, Attempt: ask.Attempt}
 	key := orders.Key{Customer: r.place.Customer, Key: ask.Key}
 	r.dispatch = &dispatch{flow: orders.NewDispatcher(key, ask.Digest, holder, r.deadline)}
 	n.stepDispatchOf(now, r.place.Attempt, orders.Start{})
 }
 
-// stepDispatchOf gives the flow of an attempt one input, if it is still here.
+// stepDispatchOf passes one input to the flow of an attempt, if this router
+// still relays the attempt.
 func (n *Node) stepDispatchOf(now time.Duration, attempt fleet.Attempt, in orders.Input) {
 	target := n.running[attempt]
 	if target == nil {
@@ -50,21 +54,21 @@
 	}
 }
 
-// stepDispatch gives the flow one input and carries out what it wants.
-func (n *Node) stepDispatch(now time.Duration, target *owned, r *relay, in orders.Input) {
-	for _, out := range r.dispatch.flow.Step(now, n.mayServe(now), in) {
-		n.performDispatch(target, r, out)
+// stepDispatch passes one input to the flow and carries out its outputs.
+func (n *Node) stepDispatch(now time.Duration, target *ownedUpstream, r *relay, in orders.Input) {
+	for _, out := range r.dispatch.flow.Step(now, n.leaseValid(now), in) {
+		n.performDispatchOutput(target, r, out)
 	}
 	if r.dispatch.flow.Ended() && n.running[r.place.Attempt] != nil {
-		n.drop(now, target, r, quarantine.Completed, 0, false)
+		n.removeRelay(now, target, r, quarantine.Completed, 0, false)
 		n.startQueued(now, target)
 	}
 }
 
-func (n *Node) performDispatch(target *owned, r *relay, out orders.Output) {
+func (n *Node) performDispatchOutput(target *ownedUpstream, r *relay, out orders.Output) {
 	switch out := out.(type) {
 	case orders.Propose:
-		n.emit(Journal{Caller: JournalCaller{Attempt: r.place.Attempt, Owner: true}, Command: out.Command})
+		n.emit(Journal{Flow: JournalFlow{Attempt: r.place.Attempt, Owner: true}, Command: out.Command})
 	case orders.Call:
 		r.dispatch.called = true
 		n.emit(CallUpstream{Attempt: r.place.Attempt, Address: target.config.Address, Place: r.place})
@@ -73,14 +77,14 @@
 		if out.Record != nil && out.Record.Answer != nil && out.Record.Answer.Dropped {
 			report.Body = r.dispatch.body
 		}
-		n.send(r.from, report)
+		n.send(r.entryRouter, report)
 	default:
-		panic("node: order flow wants something the owner doesn't know")
+		panic(fmt.Sprintf("node: the owner does not handle outputs of type %T of orders.Dispatcher", out))
 	}
 }
 
-// take keeps a piece of the answer.
-func (d *dispatch) take(chunk fleet.Chunk) {
+// addChunk buffers a chunk of the answer.
+func (d *dispatch) addChunk(chunk fleet.Chunk) {
 	if chunk.Status != 0 {
 		d.status = chunk.Status
 		for _, header := range chunk.Headers {
@@ -96,13 +100,13 @@
 	d.body = append(d.body, chunk.Data...)
 }
 
-// dispatchEnded tells the flow how the call ended.
-func (n *Node) dispatchEnded(now time.Duration, target *owned, r *relay, in UpstreamEnd) {
-	n.stepDispatch(now, target, r, r.dispatch.ending(in))
+// dispatchEnded passes the end of the call to the flow.
+func (n *Node) dispatchEnded(now time.Duration, target *ownedUpstream, r *relay, in UpstreamEnd) {
+	n.stepDispatch(now, target, r, r.dispatch.endInput(in))
 }
 
-// ending is the flow's input for the end of a call.
-func (d *dispatch) ending(in UpstreamEnd) orders.Input {
+// endInput returns the flow's input for the end of a call.
+func (d *dispatch) endInput(in UpstreamEnd) orders.Input {
 	switch {
 	case !in.Sent:
 		return orders.NotConnected{}
@@ -112,19 +116,19 @@
 	return orders.Answered{Answer: orders.Answer{Status: uint16(d.status), ContentType: d.contentType, Body: d.body}}
 }
 
-// tickDispatch passes the deadline on, and ends a call that stays silent long
-// past it.
-func (n *Node) tickDispatch(now time.Duration, target *owned, r *relay) {
+// tickDispatch tells the flow that the deadline has passed, and cancels a call
+// that has not ended lateAnswer after the deadline.
+func (n *Node) tickDispatch(now time.Duration, target *ownedUpstream, r *relay) {
 	if now < r.deadline {
 		return
 	}
-	if !r.dispatch.ticked {
-		r.dispatch.ticked = true
+	if !r.dispatch.deadlinePassed {
+		r.dispatch.deadlinePassed = true
 		n.stepDispatch(now, target, r, orders.Tick{})
 		return
 	}
 	if now > r.deadline+lateAnswer {
 		n.emit(CancelUpstream{Attempt: r.place.Attempt})
-		n.drop(now, target, r, quarantine.Interrupted, 0, false)
+		n.removeRelay(now, target, r, quarantine.Interrupted, 0, false)
 	}
 }
--- a/coordination/node/engineorder.go
+++ b/coordination/node/engineorder.go
@@ -8,20 +8,22 @@
 	"endiveplank/protocol"
 )
 
-// engineCallTime bounds the calls that one ask makes to an engine. The wait of
-// package engineorders after a change of issuer or owner counts on it.
-const engineCallTime = 5 * time.Second
+// engineCallTimeout bounds the calls that one ask makes to an engine. Package
+// engineorders waits after a change of issuer or owner, and relies on this
+// bound.
+const engineCallTimeout = 5 * time.Second
 
-// engineAsked decides, as the owner of an engine, on the issuer's ask.
+// handleEngineAsk decides, as the owner of an engine, on an ask of the issuer of
+// engine orders. There are a few orders a minute, and each engine is read twice
+// a minute.
 //
-// Load: a few orders a minute, and each engine read twice a minute. Harm
-// prevented: an order of a former issuer, or by way of a former owner, that
-// takes effect after its successor's. The limits: the lease is checked at this
-// moment, the Gate refuses what is older, and one call to an engine is under
-// way at a time, because an engine that ignores fencing numbers keeps what
-// comes last.
-func (n *Node) engineAsked(now time.Duration, in PeerEngineAsk) {
-	verdict := n.orderGate.Admit(in.Ask, n.tenureOf(now, in.Ask.Upstream))
+// The checks prevent an order of a former issuer, or one that goes through a
+// former owner, from taking effect after the order of its successor. The lease
+// is checked at this moment, the Gate refuses orders that are older than one it
+// has admitted, and only one call to an engine is in flight at a time, because
+// an engine that ignores fencing numbers keeps the order that arrives last.
+func (n *Node) handleEngineAsk(now time.Duration, in PeerEngineAsk) {
+	verdict := n.orderGate.Admit(in.Ask, n.ownedFence(now, in.Ask.Upstream))
 	if verdict == engineorders.Passed && n.engineCalls[in.Ask.Upstream] {
 		verdict = engineorders.CallBusy
 	}
@@ -34,22 +36,22 @@
 		From:     in.From,
 		Ask:      in.Ask,
 		Address:  n.owned[in.Ask.Upstream].config.Address,
-		NotAfter: min(n.leaseUntil, now+engineCallTime),
+		NotAfter: min(n.leaseUntil, now+engineCallTimeout),
 	})
 }
 
-// tenureOf is the fencing number of this router's ownership of an upstream, 0
-// when it isn't the owner or can't be sure.
-func (n *Node) tenureOf(now time.Duration, upstream protocol.UpstreamID) protocol.Fence {
+// ownedFence is the fencing number of this router's ownership of an upstream, or
+// 0 when it isn't the owner or has no valid lease.
+func (n *Node) ownedFence(now time.Duration, upstream protocol.UpstreamID) protocol.Fence {
 	target := n.owned[upstream]
-	if target == nil || !target.holds || !n.mayServe(now) {
+	if target == nil || !target.isOwner || !n.leaseValid(now) {
 		return 0
 	}
 	return target.config.Fence
 }
 
-// engineAnswered takes the end of a call to an engine.
-func (n *Node) engineAnswered(in EngineAnswered) {
+// handleEngineAnswered handles the result of a call to an engine.
+func (n *Node) handleEngineAnswered(in EngineAnswered) {
 	delete(n.engineCalls, in.Ask.Upstream)
 	reply := engineorders.Reply{
 		Verdict: engineorders.Passed,
@@ -57,8 +59,8 @@
 		State:   in.State,
 		Tenure:  in.Ask.Tenure,
 	}
-	if known := n.heats[in.Ask.Upstream]; known != nil {
-		reply.Done = maps.Clone(known.done)
+	if activity := n.activity[in.Ask.Upstream]; activity != nil {
+		reply.Done = maps.Clone(activity.doneTokens)
 	}
 	n.replyIssuer(in.From, in.Ask, reply)
 }
--- a/coordination/node/engineorder_test.go
+++ b/coordination/node/engineorder_test.go
@@ -14,39 +14,40 @@
 
 func loadAsk(f *nodetest.Fleet, office engineorders.Office, version string) engineorders.Ask {
 	return engineorders.Ask{
-		Upstream: "e1", Tenure: f.Tenure("e1"), Office: office, Fence: protocol.Fence(office) + 1,
+		Upstream: "e1", Tenure: f.OwnerFence("e1"), Office: office, Fence: protocol.Fence(office) + 1,
 		Intent: engineorders.Intent{Action: upstreamapi.ActionLoad, Model: "m", Version: version},
 	}
 }
 
-// bothEngines runs a story with an engine that checks fencing numbers and one
-// that doesn't.
-func bothEngines(t *testing.T, story func(f *nodetest.Fleet)) {
+// withBothEngines runs a test with an engine that checks fencing numbers and with
+// one that doesn't.
+func withBothEngines(t *testing.T, test func(f *nodetest.Fleet)) {
 	t.Helper()
 	for _, checks := range []bool{true, false} {
 		f := newFleet(3)
 		f.Engines["e1"].ChecksFence = checks
-		story(f)
+		test(f)
 	}
 }
 
 func version(f *nodetest.Fleet) string {
-	if len(f.Engines["e1"].Held.Models) == 0 {
+	if len(f.Engines["e1"].State.Models) == 0 {
 		return ""
 	}
-	return f.Engines["e1"].Held.Models[0].Version
+	return f.Engines["e1"].State.Models[0].Version
 }
 
 func lastReply(t *testing.T, f *nodetest.Fleet) engineorders.Reply {
 	t.Helper()
-	assert.Assert(t, len(f.Replies) > 0)
-	return f.Replies[len(f.Replies)-1]
+	assert.Assert(t, len(f.EngineReplies) > 0)
+	return f.EngineReplies[len(f.EngineReplies)-1]
 }
 
-// An order goes to the engine's owner, and what the engine then holds comes
-// back with the engine's answer.
+// The owner must pass an order to its engine and return the engine's answer and
+// the state that it reads afterwards. A router that isn't the owner must refuse
+// the ask and call no engine.
 func TestOrderGoesThroughTheOwnerAndIsReadBack(t *testing.T) {
-	bothEngines(t, func(f *nodetest.Fleet) {
+	withBothEngines(t, func(f *nodetest.Fleet) {
 		f.Ask("r1", loadAsk(f, 10, "v1"))
 		f.Run(time.Second)
 		reply := lastReply(t, f)
@@ -60,10 +61,10 @@
 	})
 }
 
-// The issuer asks what an engine has done, to follow demand. The owner must
-// tell the work of its own tenure: two answers of 100 tokens, and after a
-// change of owner nothing of what was before.
-func TestOwnerTellsTheWorkOfItsTenure(t *testing.T) {
+// The issuer reads how much work each engine has done, to follow demand. The
+// owner must report the work since its present ownership began: two answers of
+// 100 tokens, and after a change of owner none of the work before the change.
+func TestOwnerReportsTheWorkOfItsOwnership(t *testing.T) {
 	f := nodetest.New(seed, 2)
 	f.AddEngine("e1", "r1", 1000, 8)
 	f.Run(2 * time.Second)
@@ -78,19 +79,19 @@
 	f.Submit("r2", "q2", "key", "tyres?", 100)
 	f.Run(10 * time.Second)
 	assert.Assert(t, done() >= 200 && done() < 210, "%v", done())
-	f.Own("e1", "r2")
-	f.Own("e1", "r1")
+	f.SetOwner("e1", "r2")
+	f.SetOwner("e1", "r1")
 	f.Run(time.Second)
 	f.Submit("r2", "q3", "key", "oil?", 100)
 	f.Run(10 * time.Second)
 	assert.Assert(t, done() >= 100 && done() < 105, "%v", done())
 }
 
-// An issuer is frozen with an order to the owner in its hands, its successor
-// orders another version, and the first one thaws. The engine must keep the
-// successor's version, also where it ignores numbers.
+// An issuer is frozen before it sends an order, its successor orders another
+// version, and then the first issuer resumes and sends its order. The engine must
+// keep the successor's version, even an engine that ignores fencing numbers.
 func TestOwnerRefusesTheOrderOfAFormerIssuer(t *testing.T) {
-	bothEngines(t, func(f *nodetest.Fleet) {
+	withBothEngines(t, func(f *nodetest.Fleet) {
 		late := loadAsk(f, 10, "v1")
 		f.Ask("r1", loadAsk(f, 20, "v2"))
 		f.Run(time.Second)
@@ -101,15 +102,16 @@
 	})
 }
 
-// The owner is frozen before it handles an order; another router becomes the
-// owner and passes the next one. Thawed, the former owner handles what piled
-// up. Its lease is over, and it must call no engine.
+// The owner is frozen before it handles an order. Another router becomes the
+// owner and passes the next order. When the former owner resumes, it handles the
+// inputs that have arrived meanwhile. Its lease has expired, so it must not call
+// the engine.
 func TestThawedFormerOwnerPassesNoOrder(t *testing.T) {
-	bothEngines(t, func(f *nodetest.Fleet) {
+	withBothEngines(t, func(f *nodetest.Fleet) {
 		f.Freeze("r1")
 		f.Ask("r1", loadAsk(f, 10, "v1"))
 		f.Run(4 * time.Second)
-		f.Own("e1", "r3")
+		f.SetOwner("e1", "r3")
 		f.Run(time.Second)
 		f.Ask("r3", loadAsk(f, 20, "v2"))
 		f.Run(time.Second)
@@ -121,8 +123,9 @@
 	})
 }
 
-// Ownership moves while the former owner still relays an answer of the engine,
-// and an ask goes to it by mistake. It must pass nothing: the new owner may.
+// The ownership moves while the former owner still relays an answer of the
+// engine, and an ask reaches the former owner. It must pass no order, because the
+// new owner may pass one.
 func TestFormerOwnerThatStillRelaysPassesNoOrder(t *testing.T) {
 	f := newFleet(3)
 	f.Submit("r3", "q", "key", "fuel?", 200)
@@ -131,21 +134,21 @@
 	if f.Engines["e2"].Running() > 0 {
 		engine, former = "e2", "r2"
 	}
-	f.Own(engine, "r3")
+	f.SetOwner(engine, "r3")
 	f.Run(time.Second)
 	ask := loadAsk(f, 10, "v1")
 	ask.Upstream = engine
-	ask.Tenure = f.Tenure(engine)
+	ask.Tenure = f.OwnerFence(engine)
 	f.Ask(former, ask)
 	f.Run(time.Second)
 	assert.Equal(t, lastReply(t, f).Verdict, engineorders.NotOwner)
 }
 
-// The network or the process holds an order up between the owner's decision
-// and the call, until after the owner's lease. Nobody may send it then.
-func TestOrderHeldUpBeyondTheLeaseIsNotSent(t *testing.T) {
-	bothEngines(t, func(f *nodetest.Fleet) {
-		f.Engines["e1"].OrderTime = 10 * time.Second
+// An order is delayed between the owner's decision and the call, by the network
+// or the process, until the owner's lease has expired. It must not be sent then.
+func TestOrderDelayedBeyondTheLeaseIsNotSent(t *testing.T) {
+	withBothEngines(t, func(f *nodetest.Fleet) {
+		f.Engines["e1"].OrderDelay = 10 * time.Second
 		f.Ask("r1", loadAsk(f, 10, "v1"))
 		f.Run(20 * time.Second)
 		assert.Equal(t, version(f), "")
@@ -153,11 +156,12 @@
 	})
 }
 
-// Two orders of one issuer reach the owner while the first call is slow. Both
-// calls at once could arrive in either order. The second must wait.
+// A second order reaches the owner while the call of the first one is slow. Two
+// calls in flight could arrive in either order, so the owner must refuse the
+// second order until the first call has ended.
 func TestOneCallToAnEngineAtATime(t *testing.T) {
-	bothEngines(t, func(f *nodetest.Fleet) {
-		f.Engines["e1"].OrderTime = time.Second
+	withBothEngines(t, func(f *nodetest.Fleet) {
+		f.Engines["e1"].OrderDelay = time.Second
 		f.Ask("r1", loadAsk(f, 10, "v1"))
 		f.Ask("r1", loadAsk(f, 10, "v1"))
 		f.Run(500 * time.Millisecond)
--- a/coordination/node/entry.go
+++ b/coordination/node/entry.go
@@ -15,82 +15,89 @@
 )
 
 const (
-	// ownerPatience is how long an owner may take to answer a Place. An owner
-	// answers at once; only a lost or frozen one doesn't.
-	ownerPatience = time.Second
-	// statusRetryAfter is what callers are told when the wait isn't known.
+	// ownerReplyTimeout is how long an owner may take to reply to a Place. An
+	// owner replies at once unless it is unreachable or frozen.
+	ownerReplyTimeout = time.Second
+	// statusRetryAfter is the Retry-After that callers get when the necessary
+	// wait is unknown.
 	statusRetryAfter = time.Second
 )
 
-// phase is where an entry request stands.
+// phase is the state of an entryRequest.
 type phase uint8
 
 const (
-	// phaseAsking: a Place was sent and not answered.
-	phaseAsking phase = iota
+	// phasePlacing: a Place was sent and the owner has not replied.
+	phasePlacing phase = iota
 	// phaseQueued: the owner holds the request in its queue.
 	phaseQueued
-	// phaseRunning: the upstream has the request.
+	// phaseRunning: the owner has sent the request to the upstream.
 	phaseRunning
-	// phaseWaiting: no attempt is under way until wakeAt.
+	// phaseWaiting: no attempt is in flight; the next one starts at wakeAt.
 	phaseWaiting
-	// phaseLimit: the home of the customer's limits was asked for credit.
-	phaseLimit
-	// phaseJournal: the journal is asked before or after the attempt.
+	// phaseAwaitingLimit: the request waits for credit from the home of its
+	// customer's limits.
+	phaseAwaitingLimit
+	// phaseJournal: an order waits for the journal, before or after its attempt.
 	phaseJournal
 )
 
-// entry is a caller's request on its entry router.
-type entry struct {
+// entryRequest is a caller's request on its entry router.
+type entryRequest struct {
 	request  CallerRequest
 	customer *Customer
 	template fleet.Place
-	// chain is the chat's, empty for a plain service.
+	// chain holds the prefix hashes of a chat. It is empty for a plain service.
 	chain   []chat.Link
 	service protocol.Service
 	phase   phase
-	// attempt is the current attempt, from 1.
+	// attempt is the number of the current attempt, from 1.
 	attempt  uint32
 	upstream *Upstream
-	// walk looks for the upstream of a chat while walking is set; candidates
-	// and next do for a plain service.
+	// walk finds an upstream for a chat and is valid while walking is set. For a
+	// plain service candidates lists the upstreams to ask, and next is the index
+	// of the next one. seenLoads holds the loads that owners reported during the
+	// walk.
 	walk       placement.Walk
 	walking    bool
-	seen       []heardLoad
+	seenLoads  []seenLoad
 	candidates []*Upstream
 	next       int
-	// failures counts the attempts that broke, and again asks the next attempt
-	// to go to the same upstream.
+	// failures counts the failed attempts. retryOn, if set, is the upstream that
+	// the next attempt must use again.
 	failures int
-	again    *Upstream
-	// owing is why the last attempt failed while the next one waits for the
-	// retry budget, empty otherwise.
-	owing reason.Code
-	// creditSince is when the budget first could not pay, or zero.
-	creditSince time.Duration
-	// avoid holds the upstreams this request has failed on.
-	avoid    []protocol.UpstreamID
-	deadline time.Duration
-	// progress is when the current attempt last moved.
-	progress time.Duration
-	wakeAt   time.Duration
-	// checkedAt is when the owner was last asked whether it still has the
-	// attempt, 0 without an open question; aliveAt is when it last said so.
+	retryOn  *Upstream
+	// unpaidFailure is why the last attempt failed, while the next attempt waits
+	// for the retry budget. It is empty otherwise.
+	unpaidFailure reason.Code
+	// budgetWaitSince is when the retry budget first could not pay for another
+	// attempt, or zero.
+	budgetWaitSince time.Duration
+	// failedUpstreams holds the upstreams on which this request has failed.
+	failedUpstreams []protocol.UpstreamID
+	deadline        time.Duration
+	// lastProgress is when the current attempt last made progress.
+	lastProgress time.Duration
+	wakeAt       time.Duration
+	// checkedAt is when the entry router sent the AttemptCheck that the owner has
+	// not answered yet, or 0. aliveAt is when the owner last confirmed that it
+	// has the attempt.
 	checkedAt time.Duration
 	aliveAt   time.Duration
-	// answer passes each chunk on once and in order.
-	answer   *stream.Assembler
-	headSent bool
-	// reached means that an earlier attempt may have reached an upstream.
-	reached bool
-	// limited means that the request was charged to its customer's limits.
-	limited bool
-	watch   *stream.Monitor
-	order   *order
+	// assembler passes each chunk of the answer on once and in order.
+	assembler *stream.Assembler
+	headSent  bool
+	// mayHaveRun means that an earlier attempt may have reached an upstream.
+	mayHaveRun bool
+	// limitCharged means that the request was charged to its customer's limits.
+	limitCharged bool
+	monitor      *stream.Monitor
+	order        *entryOrder
 }
 
-// callerRequest checks a new request and starts placing it.
-func (n *Node) callerRequest(now time.Duration, in CallerRequest) {
+// handleCallerRequest authorizes and classifies a new request, and places it if
+// its customer's limits allow that.
+func (n *Node) handleCallerRequest(now time.Duration, in CallerRequest) {
 	if n.park(now, in) {
 		return
 	}
@@ -99,48 +106,49 @@
 		n.refuse(*refusal)
 		return
 	}
-	fresh := &entry{request: in, customer: customer, phase: phaseWaiting}
-	if refusal := n.classify(now, fresh); refusal != nil {
+	e := &entryRequest{request: in, customer: customer, phase: phaseWaiting}
+	if refusal := n.classify(now, e); refusal != nil {
 		n.refuse(*refusal)
 		return
 	}
-	n.entries[in.ID] = fresh
-	n.limit(now, fresh, n.limiter.Admit)
+	n.entries[in.ID] = e
+	n.checkLimit(now, e, n.limiter.Admit)
 }
 
-// begin starts placing a request that is within its customer's limits.
-func (n *Node) begin(now time.Duration, e *entry) {
+// startWithinLimits starts placing a request that is within its customer's
+// limits.
+func (n *Node) startWithinLimits(now time.Duration, e *entryRequest) {
 	n.budget.RecordFirstAttempt(now, e.work())
 	if e.order != nil {
 		n.startOrder(now, e)
 		return
 	}
-	e.watch = stream.NewMonitor(now, stream.DefaultMonitorConfig())
-	e.answer = stream.NewAssembler(e.request.ID, stream.DefaultMonitorConfig().MaxHeld)
+	e.monitor = stream.NewMonitor(now, stream.DefaultMonitorConfig())
+	e.assembler = stream.NewAssembler(e.request.ID, stream.DefaultMonitorConfig().MaxHeld)
 	n.place(now, e)
 }
 
-// remove forgets a request that has its final answer.
-func (n *Node) remove(now time.Duration, e *entry) {
+// removeEntry removes a request that has its final answer.
+func (n *Node) removeEntry(now time.Duration, e *entryRequest) {
 	delete(n.entries, e.request.ID)
-	if e.limited {
+	if e.limitCharged {
 		n.limiter.Finished(now, e.customer.ID)
 	}
 }
 
-// work is the expected work of a request from where it stands, in tokens.
-func (e *entry) work() int {
+// work is the expected work that is left of a request, in tokens.
+func (e *entryRequest) work() int {
 	return e.template.PromptTokens + max(1, e.template.OutputTokens-e.delivered())
 }
 
-// current is the attempt under way.
-func (e *entry) current() fleet.Attempt {
+// current identifies the current attempt.
+func (e *entryRequest) current() fleet.Attempt {
 	return fleet.Attempt{Request: e.request.ID, Number: e.attempt}
 }
 
-// live returns the entry of an attempt if it is the one under way. Messages
-// of abandoned attempts find nothing.
-func (n *Node) live(attempt fleet.Attempt) *entry {
+// currentEntry returns the request of an attempt if that attempt is the current
+// one. It returns nil for messages of cancelled attempts.
+func (n *Node) currentEntry(attempt fleet.Attempt) *entryRequest {
 	found := n.entries[attempt.Request]
 	if found == nil || found.attempt != attempt.Number {
 		return nil
@@ -148,20 +156,21 @@
 	return found
 }
 
-// entryChunk passes a piece of the answer on: the next one, of the attempt
-// under way, and nothing else.
-func (n *Node) entryChunk(now time.Duration, in PeerChunk) {
-	e := n.live(in.Chunk.Attempt)
-	if e == nil || e.answer == nil {
-		// Abandoned, or an order, whose answer comes in a report.
+// handlePeerChunk passes a chunk of the answer on to the caller if it is the
+// next one and belongs to the current attempt.
+func (n *Node) handlePeerChunk(now time.Duration, in PeerChunk) {
+	e := n.currentEntry(in.Chunk.Attempt)
+	if e == nil || e.assembler == nil {
+		// The attempt was cancelled, or it is of an order, whose answer comes in
+		// an OrderReport.
 		return
 	}
-	e.progress = now
+	e.lastProgress = now
 	e.checkedAt = 0
-	if e.phase == phaseAsking || e.phase == phaseQueued {
+	if e.phase == phasePlacing || e.phase == phaseQueued {
 		e.phase = phaseRunning
 	}
-	accepted := e.answer.Accept(stream.Chunk{
+	accepted := e.assembler.Accept(stream.Chunk{
 		Request: e.request.ID,
 		Attempt: int(in.Chunk.Attempt.Number),
 		Index:   in.Chunk.Index,
@@ -176,76 +185,79 @@
 	}
 }
 
-// deliver passes chunks to the caller, behind the head of the answer.
-func (n *Node) deliver(now time.Duration, e *entry, first fleet.Chunk, chunks []stream.Chunk) {
+// deliver sends chunks to the caller, after the head of the answer.
+func (n *Node) deliver(now time.Duration, e *entryRequest, first fleet.Chunk, chunks []stream.Chunk) {
 	if !e.headSent {
 		e.headSent = true
 		n.emit(AnswerHead{Request: e.request.ID, Status: first.Status, Headers: first.Headers, Outcome: protocol.Ran})
 	}
-	e.watch.Progress(now, e.delivered())
+	e.monitor.Progress(now, e.delivered())
 	for _, chunk := range chunks {
 		n.emit(AnswerChunk{Request: e.request.ID, Index: chunk.Index, Data: chunk.Data})
 	}
 }
 
-// delivered counts the chunks the caller has.
-func (e *entry) delivered() int {
-	if e.answer == nil {
+// delivered returns the number of chunks that were sent to the caller.
+func (e *entryRequest) delivered() int {
+	if e.assembler == nil {
 		return 0
 	}
-	return e.answer.Next()
+	return e.assembler.Next()
 }
 
-// chunkMissing fails an attempt that left a chunk out. Chunks of one attempt
-// come in order, so it will not come any more, and the answer could not become
-// whole.
-func (n *Node) chunkMissing(now time.Duration, e *entry) {
-	n.abandon(e)
-	e.reached = true
+// chunkMissing fails an attempt that skipped a chunk. The chunks of one attempt
+// arrive in order, so the missing one will not arrive any more, and this attempt
+// can't complete the answer.
+func (n *Node) chunkMissing(now time.Duration, e *entryRequest) {
+	n.cancelAttempt(e)
+	e.mayHaveRun = true
 	n.attemptFailed(now, e, reason.UpstreamFailed)
 }
 
-// entryEnd closes an attempt: the answer is whole, or another attempt is due.
-func (n *Node) entryEnd(now time.Duration, in PeerEnd) {
-	e := n.live(in.End.Attempt)
+// handlePeerEnd ends an attempt: either the answer is complete, or the attempt
+// has failed.
+func (n *Node) handlePeerEnd(now time.Duration, in PeerEnd) {
+	e := n.currentEntry(in.End.Attempt)
 	if e == nil {
 		return
 	}
 	if e.order != nil {
-		// Only an owner that lost the attempt ends an order this way; the
-		// journal says what became of it.
+		// An owner ends an attempt of an order this way only if it doesn't know
+		// the attempt, for example after a restart. The journal has its outcome.
 		n.orderOwnerLost(now, e)
 		return
 	}
 	if in.End.Complete {
-		n.finish(now, e, reason.Completed)
+		n.finishEntry(now, e, reason.Completed)
 		return
 	}
 	if in.End.Outcome != protocol.NotRun {
-		e.reached = true
+		e.mayHaveRun = true
 	}
 	n.attemptFailed(now, e, reason.Code(in.End.Reason))
 }
 
-// attemptFailed decides whether another attempt follows, and when.
-func (n *Node) attemptFailed(now time.Duration, e *entry, why reason.Code) {
+// attemptFailed handles a failed attempt and decides whether another attempt
+// follows, and when.
+func (n *Node) attemptFailed(now time.Duration, e *entryRequest, why reason.Code) {
 	e.failures++
 	e.phase = phaseWaiting
-	n.emit(Event{Request: e.request.ID, Attempt: e.attempt, Customer: e.customer.ID, Upstream: e.upstream.ID, What: "attempt-failed", Reason: why})
+	n.emit(Event{Request: e.request.ID, Attempt: e.attempt, Customer: e.customer.ID, Upstream: e.upstream.ID, Kind: "attempt-failed", Reason: why})
 	if !e.template.Streamed && e.delivered() > 0 {
-		// A body that is not a stream of tokens can't be resumed inside.
+		// Only a stream of tokens can be resumed in the middle.
 		n.giveUp(now, e, 502, why, "the answer broke off", statusRetryAfter)
 		return
 	}
-	n.chooseAgain(now, e, why)
-	n.suspectAgain(now, e)
-	n.tryAgain(now, e, why)
+	n.chooseRetryUpstream(now, e, why)
+	n.refreshSuspect(now, e)
+	n.requestRetry(now, e, why)
 }
 
-// repeatedWork is what another attempt would do a second time, in tokens. The
-// rest of a begun answer was paid for as fresh work and has not been done by
-// anybody; only its prompt is read again.
-func (e *entry) repeatedWork() int {
+// repeatedWork is the work that another attempt would do a second time, in
+// tokens. If the answer has begun, the rest of it was recorded as part of the
+// first attempt and no upstream has done it yet, so only the prompt is processed
+// again.
+func (e *entryRequest) repeatedWork() int {
 	if e.delivered() > 0 {
 		return max(1, e.template.PromptTokens)
 	}
@@ -253,28 +265,30 @@
 }
 
 const (
-	// creditWait is how long a begun answer waits for the retry budget before
-	// it asks again.
-	creditWait = 500 * time.Millisecond
-	// loanEvery is how often a router goes on with a request that the budget
-	// can't pay. A fleet of 330 routers adds 330 resumptions a second by it at
-	// most, 3% of its peak; a quiet one, which earns nearly no credit, resumes
-	// all within seconds.
-	loanEvery = time.Second
-	// freshPatience is how long a request that has not begun may wait for the
-	// budget. Its caller can come back, so it waits for a loan or two at most.
-	freshPatience = 2 * time.Second
+	// budgetRetryInterval is how long a request waits before it asks the retry
+	// budget again.
+	budgetRetryInterval = 500 * time.Millisecond
+	// overBudgetInterval is the interval at which a router retries one request
+	// beyond the retry budget. In a fleet of 330 routers this adds at most 330
+	// attempts a second, 3% of its peak. A fleet with little traffic, whose
+	// budget grows slowly, still resumes all its answers within seconds.
+	overBudgetInterval = time.Second
+	// maxBudgetWait is how long a request whose answer has not begun may wait for
+	// the retry budget. Its caller can send it again, so it waits for at most one
+	// or two attempts beyond the budget.
+	maxBudgetWait = 2 * time.Second
 )
 
-// tryAgain asks the retry budget for another attempt.
+// requestRetry asks the retry budget for another attempt.
 //
-// Load: an engine dies with many streams on it, in a fleet with little fresh
-// work. Harm: the budget is spent on the first few, and the other callers'
-// answers are cut in the middle. An answer that has begun waits for credit
-// instead, while there is time, and beyond the budget each router resumes one
-// a second. A request that has not begun waits two seconds at most, because
-// its caller can come back.
-func (n *Node) tryAgain(now time.Duration, e *entry, why reason.Code) {
+// Suppose an engine with many streams fails in a fleet with few first attempts,
+// from which the retry budget grows. The first few retries spend the budget,
+// and the answers of the other callers would break off in the middle.
+// Therefore a request whose answer has begun waits for the budget until its
+// deadline, and each router makes one attempt a second beyond the budget. A
+// request whose answer has not begun waits for at most two seconds, because its
+// caller can send it again.
+func (n *Node) requestRetry(now time.Duration, e *entryRequest, why reason.Code) {
 	decision := n.budget.Decide(now, n.config.Random, retry.Failure{
 		Attempt:    e.failures,
 		Tokens:     e.repeatedWork(),
@@ -282,42 +296,42 @@
 		Repeatable: e.template.Idempotent,
 		Deadline:   e.deadline,
 	})
-	e.owing = ""
+	e.unpaidFailure = ""
 	switch {
 	case decision.Retry:
 		e.wakeAt = now + decision.Delay
 		if decision.Delay <= 0 {
-			n.wake(now, e)
+			n.startNextAttempt(now, e)
 		}
-	case decision.Reason == retry.ReasonBudget && e.mayWaitForCredit(now):
-		n.waitForCredit(now, e, why)
+	case decision.Reason == retry.ReasonBudget && e.mayWaitForBudget(now):
+		n.waitForBudget(now, e, why)
 	default:
 		n.giveUp(now, e, 502, retryReason(decision.Reason), "the upstream failed ("+string(why)+") and the request is not tried again", statusRetryAfter)
 	}
 }
 
-// mayWaitForCredit says whether waiting for the budget is better than telling
-// the caller to come back.
-func (e *entry) mayWaitForCredit(now time.Duration) bool {
-	if e.creditSince == 0 {
-		e.creditSince = now
+// mayWaitForBudget reports whether the request should wait for the retry budget
+// rather than be refused with a Retry-After.
+func (e *entryRequest) mayWaitForBudget(now time.Duration) bool {
+	if e.budgetWaitSince == 0 {
+		e.budgetWaitSince = now
 	}
-	return e.headSent || now-e.creditSince < freshPatience
+	return e.headSent || now-e.budgetWaitSince < maxBudgetWait
 }
 
-// waitForCredit lets a request go on beyond the budget if none did for a while,
-// or makes it wait.
-func (n *Node) waitForCredit(now time.Duration, e *entry, why reason.Code) {
-	if now-n.lastLoan >= loanEvery {
-		n.lastLoan = now
-		n.wake(now, e)
+// waitForBudget starts an attempt beyond the budget if this router started none
+// for overBudgetInterval. Otherwise the request waits.
+func (n *Node) waitForBudget(now time.Duration, e *entryRequest, why reason.Code) {
+	if now-n.lastOverBudget >= overBudgetInterval {
+		n.lastOverBudget = now
+		n.startNextAttempt(now, e)
 		return
 	}
-	e.owing = why
-	e.wakeAt = now + creditWait
+	e.unpaidFailure = why
+	e.wakeAt = now + budgetRetryInterval
 }
 
-// retryReason is the retry budget's reason as callers and events see it.
+// retryReason translates the retry budget's reason for callers and events.
 func retryReason(why retry.Reason) reason.Code {
 	switch why {
 	case retry.ReasonBudget:
@@ -330,65 +344,68 @@
 	return reason.AttemptsSpent
 }
 
-// chooseAgain decides between a new connection to the same upstream and
-// another one. A connection can go silent for good while new ones work, so a
-// stall is first blamed on the connection.
-func (n *Node) chooseAgain(now time.Duration, e *entry, why reason.Code) {
-	step := e.watch.ConnectionBroken(now)
+// chooseRetryUpstream decides whether the next attempt uses a new connection to
+// the same upstream or another upstream. A connection can stay silent while new
+// connections to the same upstream work, so a stall is first attributed to the
+// connection.
+func (n *Node) chooseRetryUpstream(now time.Duration, e *entryRequest, why reason.Code) {
+	step := e.monitor.ConnectionBroken(now)
 	if why == reason.OwnerLost {
-		step = e.watch.EngineLost(now)
+		step = e.monitor.EngineLost(now)
 	}
-	e.again = nil
+	e.retryOn = nil
 	if step.Action == stream.Reconnect && why == reason.UpstreamStalled {
-		e.again = e.upstream
+		e.retryOn = e.upstream
 		return
 	}
-	e.avoid = append(e.avoid, e.upstream.ID)
+	e.failedUpstreams = append(e.failedUpstreams, e.upstream.ID)
 }
 
-// suspectAgain looks whether the request came under suspicion meanwhile.
-func (n *Node) suspectAgain(now time.Duration, e *entry) {
+// refreshSuspect records whether the request has become suspected of crashing
+// engines since the last attempt.
+func (n *Node) refreshSuspect(now time.Duration, e *entryRequest) {
 	if e.template.Model == "" {
 		return
 	}
-	verdict := n.crashes.Check(now, quarantine.Digest(e.template.Digest))
+	verdict := n.quarantine.Check(now, quarantine.Digest(e.template.Digest))
 	e.template.Suspect = verdict.Standing == quarantine.Suspect
 }
 
-// wake starts the next attempt of a request that waited.
-func (n *Node) wake(now time.Duration, e *entry) {
-	if e.owing != "" {
-		n.tryAgain(now, e, e.owing)
+// startNextAttempt starts the next attempt of a request that waited.
+func (n *Node) startNextAttempt(now time.Duration, e *entryRequest) {
+	if e.unpaidFailure != "" {
+		n.requestRetry(now, e, e.unpaidFailure)
 		return
 	}
 	if e.template.Model != "" && e.order == nil {
-		verdict := n.crashes.Check(now, quarantine.Digest(e.template.Digest))
+		verdict := n.quarantine.Check(now, quarantine.Digest(e.template.Digest))
 		if verdict.Standing == quarantine.Quarantined {
 			n.giveUp(now, e, 422, reason.Quarantined, "this request crashed the engines that ran it", verdict.RetryAfter)
 			return
 		}
 	}
-	if same := e.again; same != nil && n.view.Upstreams[same.ID] != nil {
-		e.again = nil
+	if same := e.retryOn; same != nil && n.view.Upstreams[same.ID] != nil {
+		e.retryOn = nil
 		e.walking = false
-		n.ask(now, e, n.view.Upstreams[same.ID], placement.Final, false)
+		n.sendPlace(now, e, n.view.Upstreams[same.ID], placement.Final, false)
 		return
 	}
 	n.place(now, e)
 }
 
-// outcome is not-run only if no attempt can have reached an upstream: none
-// did before, and none is under way. An owner that refused, spilled or failed
-// without sending a byte has said so, and the entry then waits.
-func (e *entry) outcome() protocol.RunOutcome {
-	if e.reached || !e.idle() {
+// outcome is NotRun only if no attempt can have reached an upstream: no earlier
+// attempt did, and none is in flight. An owner that refuses, spills or fails an
+// attempt without sending a byte says so, and the request is then in a phase
+// without an attempt.
+func (e *entryRequest) outcome() protocol.RunOutcome {
+	if e.mayHaveRun || !e.idle() {
 		return protocol.UnknownRun
 	}
 	return protocol.NotRun
 }
 
-// giveUp tells the caller at once.
-func (n *Node) giveUp(now time.Duration, e *entry, status int, why reason.Code, detail string, retryAfter time.Duration) {
+// giveUp ends a request without a complete answer and tells the caller at once.
+func (n *Node) giveUp(now time.Duration, e *entryRequest, status int, why reason.Code, detail string, retryAfter time.Duration) {
 	if e.headSent {
 		n.emit(AnswerEnd{Request: e.request.ID, Broken: true, Reason: why})
 	} else {
@@ -396,19 +413,20 @@
 		answer.Outcome = e.outcome()
 		n.emit(*answer)
 	}
-	n.emit(Event{Request: e.request.ID, Customer: e.customer.ID, What: "refused", Reason: why, Detail: detail})
-	n.remove(now, e)
+	n.emit(Event{Request: e.request.ID, Customer: e.customer.ID, Kind: "refused", Reason: why, Detail: detail})
+	n.removeEntry(now, e)
 }
 
-// finish closes a whole answer.
-func (n *Node) finish(now time.Duration, e *entry, why reason.Code) {
+// finishEntry ends a request whose answer is complete.
+func (n *Node) finishEntry(now time.Duration, e *entryRequest, why reason.Code) {
 	n.emit(AnswerEnd{Request: e.request.ID, Reason: why})
-	n.emit(Event{Request: e.request.ID, Attempt: e.attempt, Customer: e.customer.ID, Upstream: e.upstream.ID, What: "answered", Reason: why})
-	n.remove(now, e)
+	n.emit(Event{Request: e.request.ID, Attempt: e.attempt, Customer: e.customer.ID, Upstream: e.upstream.ID, Kind: "answered", Reason: why})
+	n.removeEntry(now, e)
 }
 
-// callerGone gives up a request whose caller went away.
-func (n *Node) callerGone(now time.Duration, in CallerGone) {
+// handleCallerGone ends a request whose caller has gone. An order continues
+// without its caller.
+func (n *Node) handleCallerGone(now time.Duration, in CallerGone) {
 	e := n.entries[in.ID]
 	if e == nil {
 		return
@@ -417,40 +435,40 @@
 		n.orderCallerGone(now, e)
 		return
 	}
-	n.abandon(e)
-	n.emit(Event{Request: in.ID, Customer: e.customer.ID, What: "abandoned", Reason: reason.CallerGone})
-	n.remove(now, e)
+	n.cancelAttempt(e)
+	n.emit(Event{Request: in.ID, Customer: e.customer.ID, Kind: "abandoned", Reason: reason.CallerGone})
+	n.removeEntry(now, e)
 }
 
-// idle says that no attempt is under way.
-func (e *entry) idle() bool {
-	return e.phase == phaseWaiting || e.phase == phaseJournal || e.phase == phaseLimit
+// idle reports whether no attempt is in flight.
+func (e *entryRequest) idle() bool {
+	return e.phase == phaseWaiting || e.phase == phaseJournal || e.phase == phaseAwaitingLimit
 }
 
-// abandon cancels the attempt under way.
-func (n *Node) abandon(e *entry) {
+// cancelAttempt cancels the current attempt, if one is in flight.
+func (n *Node) cancelAttempt(e *entryRequest) {
 	if e.upstream == nil || e.idle() {
 		return
 	}
 	n.send(e.upstream.Owner, fleet.Cancel{Attempt: e.current()})
 }
 
-// entriesLostOwner starts new attempts for requests whose owner is lost.
-func (n *Node) entriesLostOwner(now time.Duration, peer protocol.RouterID) {
-	var hit []protocol.RequestID
+// handleOwnerLost fails the attempts that are in flight at an unreachable owner.
+func (n *Node) handleOwnerLost(now time.Duration, peer protocol.RouterID) {
+	var affected []protocol.RequestID
 	for id, e := range n.entries {
 		if e.upstream != nil && e.upstream.Owner == peer && !e.idle() {
-			hit = append(hit, id)
+			affected = append(affected, id)
 		}
 	}
-	slices.Sort(hit)
-	for _, id := range hit {
+	slices.Sort(affected)
+	for _, id := range affected {
 		e := n.entries[id]
 		if e.order != nil {
 			n.orderOwnerLost(now, e)
 			continue
 		}
-		e.reached = true
+		e.mayHaveRun = true
 		n.attemptFailed(now, e, reason.OwnerLost)
 	}
 }
--- a/coordination/node/golden_test.go
+++ b/coordination/node/golden_test.go
@@ -11,9 +11,9 @@
 	"endiveplank/protocol"
 )
 
-// The sessions below are recorded whole: what the entry router's core was
-// given and what it wanted. Run with -update to write them anew, and read the
-// difference before committing it.
+// The tests below compare complete sessions with recorded ones: the inputs and
+// outputs of the entry router's Node. Run them with -update to record the
+// sessions again, and read the difference before you commit it.
 
 func TestGoldenChatResumedAfterItsOwnerDied(t *testing.T) {
 	f := newFleet(3)
@@ -54,7 +54,7 @@
 
 func orderFleet() *nodetest.Fleet {
 	f := newFleet(3)
-	f.Route(node.Route{Prefix: "/svc/orders", Service: "orders", Deadline: 10 * time.Second})
+	f.AddRoute(node.Route{Prefix: "/svc/orders", Service: "orders", Deadline: 10 * time.Second})
 	f.AddServer("desk", "orders", "r1", 8)
 	f.Run(time.Second)
 	return f
--- a/coordination/node/inputs.go
+++ b/coordination/node/inputs.go
@@ -15,25 +15,27 @@
 	"endiveplank/protocol/upstreamapi"
 )
 
-// Input is something that happened. Each is a plain value, so that a recorded
-// list of them replays.
+// Input is something that happened. All inputs are plain values, so that a
+// recorded list of them can be replayed.
 type Input interface{ input() }
 
-// CallerRequest is a caller's request, its body read whole and its bearer key
-// hashed by the driver.
+// CallerRequest is a caller's request. The driver has read the complete body
+// and hashed the bearer key.
 type CallerRequest struct {
 	ID protocol.RequestID
-	// KeyHash is the SHA-256 of the bearer key; HasKey is false without one.
+	// KeyHash is the SHA-256 of the bearer key. HasKey is false when the caller
+	// sent no key.
 	KeyHash [32]byte
 	HasKey  bool
 	Method  string
-	// Path is the path as called, with its query.
+	// Path is the path as received, with the query string.
 	Path    string
 	Headers []fleet.Header
 	Body    []byte
-	// Chat is set when the path is the chat API and the body parsed.
+	// Chat is set when the path is that of the chat API and the body could be
+	// parsed.
 	Chat *chat.Request
-	// ChatError says why the body of a chat request did not parse.
+	// ChatError says why the body of a chat request could not be parsed.
 	ChatError string
 	// IdempotencyKey is empty when the caller sent none.
 	IdempotencyKey string
@@ -41,11 +43,12 @@
 	BodyDigest uint64
 }
 
-// CallerGone says that a caller closed its connection or is too slow to take
-// its answer.
+// CallerGone says that a caller closed its connection or reads its answer too
+// slowly.
 type CallerGone struct{ ID protocol.RequestID }
 
-// PeerPlace to PeerCancel are the data path's messages from a peer.
+// PeerPlace, PeerPlaceReply, PeerChunk, PeerEnd and PeerCancel are messages of
+// the data path from a peer.
 type (
 	PeerPlace struct {
 		From  protocol.RouterID
@@ -69,123 +72,131 @@
 	}
 )
 
-// PeerCheck asks this router, as an owner, whether it still has an attempt.
-type PeerCheck struct {
+// PeerAttemptCheck asks this router, as an owner, whether it still has an
+// attempt.
+type PeerAttemptCheck struct {
 	From  protocol.RouterID
 	Check fleet.AttemptCheck
 }
 
-// PeerAlive says that the owner still has an attempt.
-type PeerAlive struct{ Alive fleet.AttemptAlive }
+// PeerAttemptAlive says that the owner still has an attempt.
+type PeerAttemptAlive struct{ Alive fleet.AttemptAlive }
 
-// PeerMoved says where a chat ran whose first choice this router owns.
-type PeerMoved struct{ Moved fleet.ChatMoved }
+// PeerChatMoved tells the owner of a chat's first choice on which other
+// upstream the chat ran.
+type PeerChatMoved struct{ Moved fleet.ChatMoved }
 
-// PeerTotals carries the load of the upstreams that other routers own.
-type PeerTotals struct {
+// PeerLoadTotals carries the load of the upstreams that other routers own.
+type PeerLoadTotals struct {
 	From    protocol.RouterID
 	Summary loadbound.Summary
 }
 
-// PeerLimitAsk asks this router, as the home of customers, for credit.
+// PeerLimitAsk asks this router for credit of customers whose limits it
+// manages (their home).
 type PeerLimitAsk struct {
 	From protocol.RouterID
 	Ask  limits.Ask
 }
 
-// PeerLimitAnswer brings credit from a home.
+// PeerLimitAnswer carries credit from the home of customers.
 type PeerLimitAnswer struct{ Answer limits.Answer }
 
-// PeerNotice carries news of crashes and quarantines.
-type PeerNotice struct{ Notice quarantine.Notice }
+// PeerQuarantineNotice carries a notice of a crash or a quarantine.
+type PeerQuarantineNotice struct{ Notice quarantine.Notice }
 
-// LiftQuarantine is an operator's order to let a request run again.
+// LiftQuarantine is an operator's command that lets a quarantined request run
+// again.
 type LiftQuarantine struct{ Digest quarantine.Digest }
 
-// UpstreamProbed answers ProbeUpstream.
+// UpstreamProbed is the result of a ProbeUpstream.
 type UpstreamProbed struct {
 	Upstream protocol.UpstreamID
-	// Reachable means that the upstream takes connections.
+	// Reachable means that the upstream accepts connections.
 	Reachable bool
 }
 
-// PeerLost says that a peer can't be reached.
+// PeerLost says that a peer is unreachable.
 type PeerLost struct{ Peer protocol.RouterID }
 
-// UpstreamChunk is a piece of an upstream's answer.
+// UpstreamChunk is a chunk of an upstream's answer.
 type UpstreamChunk struct{ Chunk fleet.Chunk }
 
-// UpstreamEnd closes an upstream call.
+// UpstreamEnd is the end of an upstream call.
 type UpstreamEnd struct {
 	Attempt fleet.Attempt
-	// Complete means the answer ended as its protocol says.
+	// Complete means that the answer ended as its protocol prescribes.
 	Complete bool
-	// Sent is false only when no byte of the request can have reached the
+	// Sent is false only if no byte of the request can have reached the
 	// upstream.
 	Sent bool
-	// Status is the upstream's HTTP status, 0 without an answer.
+	// Status is the upstream's HTTP status, or 0 without an answer.
 	Status int
-	// CachedTokens is what an engine said it reused.
+	// CachedTokens is the number of prompt tokens that the engine reported as
+	// taken from its cache.
 	CachedTokens int
 }
 
-// Announced is an upstream's announcement, from itself or through a peer.
-type Announced struct {
+// UpstreamAnnounced is an upstream's announcement, received from the upstream
+// or from a peer.
+type UpstreamAnnounced struct {
 	Announcement upstreamapi.Announcement
-	// Forwarded means a peer has received and passed it on.
+	// Forwarded means that a peer received the announcement and passed it on.
 	Forwarded bool
 }
 
-// Leaving is an upstream's goodbye.
-type Leaving struct {
+// UpstreamLeaving says that an upstream has announced that it leaves.
+type UpstreamLeaving struct {
 	Leave     upstreamapi.Leave
 	Forwarded bool
 }
 
-// ViewChanged brings the configuration that is now in force here.
+// ViewChanged carries the configuration that is now in force on this router.
 type ViewChanged struct{ View *View }
 
-// LeaseChanged says how long this router may act. Until moves back to zero
-// when the session is closed.
+// LeaseChanged says until when this router's lease is valid. Until is zero once
+// the session is closed.
 type LeaseChanged struct {
 	Until   time.Duration
 	Session ownership.SessionID
 }
 
-// OrderReport is an owner's message about one attempt of an order.
+// OrderReport is an owner's message to the entry router about one attempt of an
+// order.
 type OrderReport struct {
 	Attempt fleet.Attempt     `msgpack:"a"`
 	Kind    orders.ReportKind `msgpack:"k"`
 	Record  *orders.Record    `msgpack:"r,omitempty"`
-	// Body is the answer's body when it is larger than the journal keeps.
+	// Body is the body of the answer if it is too large for the journal.
 	Body []byte `msgpack:"b,omitempty"`
 }
 
-// PeerOrderReport brings an OrderReport from a peer.
+// PeerOrderReport carries an OrderReport from a peer.
 type PeerOrderReport struct {
 	From   protocol.RouterID
 	Report OrderReport
 }
 
-// JournalResult answers a Journal output.
+// JournalResult is the result of a Journal output.
 type JournalResult struct {
-	Caller JournalCaller
-	Op     orders.Op
-	// Failed means that no answer came, and the command may or may not take
+	Flow JournalFlow
+	Op   orders.Op
+	// Failed means that no result arrived. The command may or may not take
 	// effect.
 	Failed bool
 	Result orders.Result
 }
 
 // PeerEngineAsk asks this router, as the owner of an engine, to pass an order
-// to it or to read its state.
+// to the engine or to read the engine's state.
 type PeerEngineAsk struct {
 	From protocol.RouterID
 	Ask  engineorders.Ask
 }
 
-// EngineAnswered is the end of an OrderEngine. Status is that of the order, 0
-// when none was sent or no answer came; State is nil when it wasn't read.
+// EngineAnswered is the result of an OrderEngine. Status is the engine's HTTP
+// status for the order, or 0 if no order was sent or no answer arrived. State is
+// nil if it was not read.
 type EngineAnswered struct {
 	From   protocol.RouterID
 	Ask    engineorders.Ask
@@ -193,43 +204,44 @@
 	State  *upstreamapi.EngineState
 }
 
-// Tick passes time. The driver sends one each TickInterval.
+// Tick says that time has passed. The driver sends one every TickInterval.
 type Tick struct{}
 
-// TickInterval is how often a driver sends Tick. Deadlines are met within it.
+// TickInterval is the interval at which the driver sends Tick. The node acts on
+// a deadline at most this long after it.
 const TickInterval = 50 * time.Millisecond
 
-// Drain begins a planned stop: this router reports unready. With Refuse it
-// also refuses new requests and takes no more work for its upstreams.
+// Drain starts a planned stop: this router reports that it is not ready. With
+// Refuse it also refuses new requests and admits no more work to its upstreams.
 type Drain struct{ Refuse bool }
 
-func (CallerRequest) input()   {}
-func (CallerGone) input()      {}
-func (PeerPlace) input()       {}
-func (PeerPlaceReply) input()  {}
-func (PeerChunk) input()       {}
-func (PeerEnd) input()         {}
-func (PeerCancel) input()      {}
-func (PeerMoved) input()       {}
-func (PeerTotals) input()      {}
-func (PeerNotice) input()      {}
-func (PeerOrderReport) input() {}
-func (PeerLost) input()        {}
-func (UpstreamChunk) input()   {}
-func (UpstreamEnd) input()     {}
-func (UpstreamProbed) input()  {}
-func (Announced) input()       {}
-func (Leaving) input()         {}
-func (ViewChanged) input()     {}
-func (LeaseChanged) input()    {}
-func (JournalResult) input()   {}
-func (PeerEngineAsk) input()   {}
-func (EngineAnswered) input()  {}
-func (Tick) input()            {}
-func (Drain) input()           {}
-func (PeerLimitAsk) input()    {}
-func (PeerLimitAnswer) input() {}
-func (PeerCheck) input()       {}
-func (PeerAlive) input()       {}
+func (CallerRequest) input()        {}
+func (CallerGone) input()           {}
+func (PeerPlace) input()            {}
+func (PeerPlaceReply) input()       {}
+func (PeerChunk) input()            {}
+func (PeerEnd) input()              {}
+func (PeerCancel) input()           {}
+func (PeerChatMoved) input()        {}
+func (PeerLoadTotals) input()       {}
+func (PeerQuarantineNotice) input() {}
+func (PeerOrderReport) input()      {}
+func (PeerLost) input()             {}
+func (UpstreamChunk) input()        {}
+func (UpstreamEnd) input()          {}
+func (UpstreamProbed) input()       {}
+func (UpstreamAnnounced) input()    {}
+func (UpstreamLeaving) input()      {}
+func (ViewChanged) input()          {}
+func (LeaseChanged) input()         {}
+func (JournalResult) input()        {}
+func (PeerEngineAsk) input()        {}
+func (EngineAnswered) input()       {}
+func (Tick) input()                 {}
+func (Drain) input()                {}
+func (PeerLimitAsk) input()         {}
+func (PeerLimitAnswer) input()      {}
+func (PeerAttemptCheck) input()     {}
+func (PeerAttemptAlive) input()     {}
 
 func (LiftQuarantine) input() {}
--- a/coordination/node/kvmove.go
+++ b/coordination/node/kvmove.go
@@ -10,55 +10,57 @@
 )
 
 const (
-	// hotChats is for how many chats of an engine and model the owner knows
-	// what to move: more than return within the idle time that moves allow.
-	hotChats = 1024
-	// drainSpan is how long the caches of a draining engine are moved for.
-	drainSpan = 20 * time.Second
+	// maxHotChats is the number of recent chats that the owner records for each
+	// engine and model, to move their caches. It is more than have a turn within
+	// the idle time that moves allow.
+	maxHotChats = 1024
+	// moveTime is how long the caches of a draining engine are moved.
+	moveTime = 20 * time.Second
 )
 
-// heat is what an owner knows of the chats of one engine, and their move.
-type heat struct {
-	hot map[protocol.Model]*kvmove.Hot
-	// done is the work completed for each model in the present tenure, in
-	// tokens as the load bound counts them.
-	done   map[protocol.Model]float64
-	tenure protocol.Fence
+// engineActivity is what an owner records about the recent chats of one engine,
+// and the move of their caches.
+type engineActivity struct {
+	hotChats map[protocol.Model]*kvmove.Hot
+	// doneTokens is the work that was completed for each model under the
+	// ownership with the number fence, in tokens as the load bound counts them.
+	doneTokens map[protocol.Model]float64
+	fence      protocol.Fence
 	// mover is set while the engine drains.
 	mover *kvmove.Mover
 }
 
-// noteTurn remembers a chat whose turn an engine has just completed.
-func (n *Node) noteTurn(now time.Duration, in UpstreamEnd) {
+// recordTurn records a chat of which an engine has just completed a turn.
+func (n *Node) recordTurn(now time.Duration, in UpstreamEnd) {
 	target := n.running[in.Attempt]
 	if target == nil || !in.Complete || !target.isEngine() {
 		return
 	}
 	r := target.running[in.Attempt]
-	if len(r.ask.Chain) == 0 {
+	if len(r.placeAsk.Chain) == 0 {
 		return
 	}
-	known := n.heats[target.id]
-	if known == nil {
-		known = &heat{hot: map[protocol.Model]*kvmove.Hot{}}
-		n.heats[target.id] = known
+	activity := n.activity[target.id]
+	if activity == nil {
+		activity = &engineActivity{hotChats: map[protocol.Model]*kvmove.Hot{}}
+		n.activity[target.id] = activity
 	}
-	if known.done == nil || known.tenure != target.config.Fence {
-		known.done = map[protocol.Model]float64{}
-		known.tenure = target.config.Fence
+	if activity.doneTokens == nil || activity.fence != target.config.Fence {
+		activity.doneTokens = map[protocol.Model]float64{}
+		activity.fence = target.config.Fence
 	}
-	known.done[r.place.Model] += r.cost
-	hot := known.hot[r.place.Model]
+	activity.doneTokens[r.place.Model] += r.cost
+	hot := activity.hotChats[r.place.Model]
 	if hot == nil {
-		hot = kvmove.NewHot(hotChats)
-		known.hot[r.place.Model] = hot
+		hot = kvmove.NewHot(maxHotChats)
+		activity.hotChats[r.place.Model] = hot
 	}
-	last := r.ask.Chain[len(r.ask.Chain)-1]
-	hot.Note(kvmove.Chat{Key: keyOf(r.ask), Deepest: last.Hash, Tokens: last.Tokens, UsedAt: now})
+	last := r.placeAsk.Chain[len(r.placeAsk.Chain)-1]
+	hot.Note(kvmove.Chat{Key: placementKey(r.placeAsk), Deepest: last.Hash, Tokens: last.Tokens, UsedAt: now})
 }
 
-// keyOf is what the chat of an ask is placed by.
-func keyOf(ask placement.Ask) placement.Key {
+// placementKey is the key by which the chat of an ask is placed.
+func placementKey(ask placement.Ask) placement.Key {
 	key := placement.Key{Root: ask.Chain[ask.Root].Hash}
 	if ask.Root > 0 {
 		key.Group = ask.Chain[ask.Root-1].Hash
@@ -66,39 +68,39 @@
 	return key
 }
 
-// tickMoves begins, steps and ends the moves of draining engines, and forgets
-// engines that are owned no more.
+// tickMoves starts, advances and ends the cache moves of draining engines, and
+// deletes the records of engines that this router no longer owns.
 func (n *Node) tickMoves(now time.Duration) {
-	for id := range n.heats {
+	for id := range n.activity {
 		if n.owned[id] == nil {
-			delete(n.heats, id)
+			delete(n.activity, id)
 		}
 	}
 	for _, target := range n.ownedInOrder() {
-		known := n.heats[target.id]
-		if known == nil {
+		activity := n.activity[target.id]
+		if activity == nil {
 			continue
 		}
 		if !target.leaving && !target.config.Drain {
-			known.mover = nil
+			activity.mover = nil
 			continue
 		}
-		if known.mover == nil {
-			known.mover = n.beginMoves(now, target, known)
+		if activity.mover == nil {
+			activity.mover = n.beginMoves(now, target, activity)
 		}
-		n.stepMoves(now, target, known.mover)
+		n.stepMoves(now, target, activity.mover)
 	}
 }
 
-func (n *Node) beginMoves(now time.Duration, target *owned, known *heat) *kvmove.Mover {
+func (n *Node) beginMoves(now time.Duration, target *ownedUpstream, activity *engineActivity) *kvmove.Mover {
 	var moves []kvmove.Move
 	for _, model := range n.view.modelsOf(target.id) {
-		if hot := known.hot[model]; hot != nil {
+		if hot := activity.hotChats[model]; hot != nil {
 			place := n.placeWithout(target.id, model)
-			moves = append(moves, kvmove.MakePlan(now, hot.Chats(), place, kvmove.DefaultCosts(), drainSpan)...)
+			moves = append(moves, kvmove.MakePlan(now, hot.Chats(), place, kvmove.DefaultCosts(), moveTime)...)
 		}
 	}
-	return kvmove.NewMover(now, now+drainSpan, moves)
+	return kvmove.NewMover(now, now+moveTime, moves)
 }
 
 // modelsOf lists the models of an upstream.
@@ -109,7 +111,8 @@
 	return nil
 }
 
-// placeWithout says where chats of a model go once an engine is gone.
+// placeWithout returns the function that finds the destination of a model's
+// chats once an engine is gone.
 func (n *Node) placeWithout(gone protocol.UpstreamID, model protocol.Model) func(placement.Key) (kvmove.Destination, bool) {
 	var members []placement.Member
 	for _, upstream := range n.view.Models[model] {
@@ -128,12 +131,12 @@
 	}
 }
 
-func (n *Node) stepMoves(now time.Duration, target *owned, mover *kvmove.Mover) {
-	takes := func(id protocol.UpstreamID) bool {
+func (n *Node) stepMoves(now time.Duration, target *ownedUpstream, mover *kvmove.Mover) {
+	placeable := func(id protocol.UpstreamID) bool {
 		to := n.view.Upstreams[id]
 		return to != nil && to.placeable()
 	}
-	for _, move := range mover.Next(now, takes) {
+	for _, move := range mover.Next(now, placeable) {
 		n.emit(MoveCache{
 			Upstream: target.id,
 			From:     target.config.Address,
@@ -143,14 +146,14 @@
 	}
 }
 
-// cacheMoved takes the end of a move.
-func (n *Node) cacheMoved(in CacheMoved) {
-	if known := n.heats[in.Upstream]; known != nil && known.mover != nil {
-		known.mover.Ended(in.Hash, in.Moved)
+// handleCacheMoved handles the end of a move.
+func (n *Node) handleCacheMoved(in CacheMoved) {
+	if activity := n.activity[in.Upstream]; activity != nil && activity.mover != nil {
+		activity.mover.Ended(in.Hash, in.Moved)
 	}
 }
 
-// CacheMoved is the end of a MoveCache.
+// CacheMoved is the result of a MoveCache.
 type CacheMoved struct {
 	Upstream protocol.UpstreamID
 	Hash     chat.ChainHash
@@ -159,11 +162,11 @@
 
 func (CacheMoved) input() {}
 
-// MoveCache exports a cached prefix from one engine and imports it into
-// another. Exactly one CacheMoved comes back. It changes nothing that needs a
-// fencing number: an import for nothing costs room in a cache.
+// MoveCache exports a cached prefix from one engine and imports it into another.
+// The driver returns exactly one CacheMoved. It needs no fencing number, because
+// an unneeded import only costs space in a cache.
 type MoveCache struct {
-	// Upstream is the engine that it leaves.
+	// Upstream is the engine that the prefix leaves.
 	Upstream protocol.UpstreamID
 	// From and To are addresses.
 	From, To string
--- a/coordination/node/kvmove_test.go
+++ b/coordination/node/kvmove_test.go
@@ -12,13 +12,13 @@
 	"endiveplank/protocol"
 )
 
-// longPrompt makes a prefill that is worth a move.
+// longPrompt has a prefill that costs more than the move of its cache.
 var longPrompt = strings.Repeat("the pump at the east gate ", 400)
 
-// An engine says that it leaves, after many chats ran on it. Their next turns
-// would prefill whole prompts elsewhere. The caches of the chats that ran
-// lately must be moved, each once; those that ran long ago, and those of other
-// engines, must stay.
+// An engine on which many chats ran announces that it leaves. Without a move the
+// next turn of each chat would prefill its whole prompt on another engine. The
+// cache of each chat that ran there recently must be moved once. The caches of
+// chats that ran long ago, and those on other engines, must not be moved.
 func TestLeavingEnginesHotChatsAreMoved(t *testing.T) {
 	f := nodetest.New(seed, 3)
 	f.AddEngine("e1", "r1", 100, 8)
@@ -40,12 +40,12 @@
 	f.Run(5 * time.Minute)
 	hot := chats("hot")
 	assert.Assert(t, hot > 0 && hot < 20)
-	assert.Equal(t, len(f.Moves), 0)
+	assert.Equal(t, len(f.CacheMoves), 0)
 	f.Engines["e1"].Leave()
 	f.Run(30 * time.Second)
-	assert.Equal(t, len(f.Moves), hot)
+	assert.Equal(t, len(f.CacheMoves), hot)
 	seen := map[any]bool{}
-	for _, move := range f.Moves {
+	for _, move := range f.CacheMoves {
 		assert.Equal(t, move.Upstream, protocol.UpstreamID("e1"))
 		assert.Assert(t, !seen[move.Hash])
 		seen[move.Hash] = true
--- a/coordination/node/limit.go
+++ b/coordination/node/limit.go
@@ -9,17 +9,17 @@
 	"endiveplank/protocol"
 )
 
-// limit puts a request to its customer's limits, which hold over the whole
-// fleet, and goes on, waits for credit, or refuses it at once.
-func (n *Node) limit(now time.Duration, e *entry, decide func(time.Duration, protocol.CustomerID, limits.Limit, int) limits.Decision) {
+// checkLimit checks a request against its customer's limits, which hold over the
+// whole fleet. The request starts, waits for credit, or is refused at once.
+func (n *Node) checkLimit(now time.Duration, e *entryRequest, decide func(time.Duration, protocol.CustomerID, limits.Limit, int) limits.Decision) {
 	decision := decide(now, e.customer.ID, e.customer.limit(), e.work())
 	switch decision.Kind {
 	case limits.Allow:
 		e.phase = phaseWaiting
-		e.limited = true
-		n.begin(now, e)
+		e.limitCharged = true
+		n.startWithinLimits(now, e)
 	case limits.Wait:
-		e.phase = phaseLimit
+		e.phase = phaseAwaitingLimit
 		e.wakeAt = max(decision.CheckAt, now+TickInterval)
 		n.askLimits(now)
 	default:
@@ -27,7 +27,8 @@
 	}
 }
 
-// askLimits asks the homes of customers for the credit that is due.
+// askLimits sends the limiter's due asks for credit to the homes of the
+// customers, the routers that manage their limits.
 func (n *Node) askLimits(now time.Duration) {
 	entries := map[protocol.RouterID][]limits.AskEntry{}
 	var homes []protocol.RouterID
@@ -46,22 +47,23 @@
 	}
 }
 
-// limitAsked answers as the home of customers.
-func (n *Node) limitAsked(now time.Duration, in PeerLimitAsk) {
-	n.send(in.From, n.home.Answer(now, in.From, in.Ask))
+// handleLimitAsk answers an ask for credit as the home of the customers.
+func (n *Node) handleLimitAsk(now time.Duration, in PeerLimitAsk) {
+	n.send(in.From, n.limitHome.Answer(now, in.From, in.Ask))
 }
 
-// limitAnswered takes credit and decides again about what waited for it.
-func (n *Node) limitAnswered(now time.Duration, answer limits.Answer) {
+// handleLimitAnswer adds the granted credit and checks again the requests that
+// wait for credit.
+func (n *Node) handleLimitAnswer(now time.Duration, answer limits.Answer) {
 	n.limiter.Granted(now, answer)
 	var waiting []protocol.RequestID
 	for id, e := range n.entries {
-		if e.phase == phaseLimit {
+		if e.phase == phaseAwaitingLimit {
 			waiting = append(waiting, id)
 		}
 	}
 	slices.Sort(waiting)
 	for _, id := range waiting {
-		n.limit(now, n.entries[id], n.limiter.Again)
+		n.checkLimit(now, n.entries[id], n.limiter.Again)
 	}
 }
--- a/coordination/node/node.go
+++ b/coordination/node/node.go
@@ -1,29 +1,37 @@
-// Package node is the deterministic core of one router: Step takes what
-// happened and returns what to do. It holds no goroutine, socket, file, clock
-// or random source of its own, so a recorded list of inputs replays byte for
-// byte, and tests and benchmarks drive it by passing values.
+// Package node is the deterministic core of one router, written as a step
+// function: Node.Step takes one Input (something that happened) and returns
+// the Outputs that the driver must carry out. The package has no goroutine,
+// socket, file, clock or random source of its own, so a recorded list of
+// inputs replays byte for byte, and tests and benchmarks drive it by passing
+// values.
 //
-// A router has two sides. The entry side keeps callers: it checks who calls,
-// orders the upstreams that could serve the request, asks the owner of each
-// in turn, and puts the answer together from one or more attempts. The owner
-// side keeps upstreams: it alone admits work to the upstreams it owns, so it
-// counts their load exactly, queues, and relays answers to the entry. Both
-// sides of one router talk through the same messages as two routers do.
+// A router has two roles, and each request uses both, on the same router or on
+// two. The entry router (entryRequest) holds the caller's request: it
+// authorizes the caller, ranks the upstreams that can serve the request, sends
+// a Place to the owner of each in turn, and assembles the answer from one or
+// more attempts. The owner (ownedUpstream, relay) is the only router that
+// admits work to an upstream, so it knows the upstream's load exactly; it
+// queues requests and relays answers to the entry router. Both roles of one
+// router exchange the same messages as two routers do.
 //
-// Failures guarded here:
+// The package guards against these failures:
 //
-//   - This router can't be sure of its configuration or ownership (frozen, cut
-//     off): its lease runs out, and every admission checks the lease at that
-//     moment, so a thawed router admits nothing.
-//   - An owner or upstream fails in mid-answer: the entry starts a new attempt
-//     that resumes after the pieces the caller has, within the retry budget.
-//   - Messages of an abandoned attempt come late: they carry the attempt's
-//     number and are dropped.
-//   - The run of a request that may not be repeated becomes unknown: no
-//     attempt follows, and the caller is told so.
+//   - The router can't be sure of its configuration or its ownerships because
+//     its process was frozen or its network is partitioned. Its lease expires,
+//     and every admission checks the lease at that moment, so a router that
+//     resumes after a freeze admits nothing.
+//   - An owner or upstream fails in the middle of an answer. The entry router
+//     starts a new attempt within the retry budget, and the attempt resumes
+//     after the last chunk that the caller has.
+//   - Messages of a cancelled attempt arrive late. They carry the number of
+//     the attempt and are dropped.
+//   - It becomes unknown whether a request that may run only once has run. No
+//     other attempt follows, and the caller is told that the outcome is
+//     unknown.
 package node
 
 import (
+	"fmt"
 	"math/rand/v2"
 	"time"
 
@@ -39,21 +47,24 @@
 	"endiveplank/protocol/wire"
 )
 
-// Config holds a node's own settings.
+// Config holds the settings of a Node.
 type Config struct {
 	Self       protocol.RouterID
 	DataCentre protocol.DataCentre
-	// Multiple bounds an upstream's load by this multiple of the fleet's mean.
+	// Multiple is the load bound: an upstream's load may be at most this
+	// multiple of the fleet's mean.
 	Multiple float64
-	// ReuseWeight moves placement from skew first (0) to reuse first (1).
+	// ReuseWeight weighs even load (0) against reuse of cached prefixes (1) in
+	// placement.
 	ReuseWeight float64
-	// Stall is how long work may go without progress.
-	Stall time.Duration
-	// Deadline is the time a request has when its route names none.
-	Deadline time.Duration
-	// Incarnation is higher than at any earlier start of this router.
+	// StallTimeout is how long an attempt may run without progress.
+	StallTimeout time.Duration
+	// DefaultDeadline is the time allowed for a request whose route sets no
+	// deadline.
+	DefaultDeadline time.Duration
+	// Incarnation grows with each start of this router.
 	Incarnation uint32
-	// Random is seeded by the caller.
+	// Random must be seeded by the creator of the Node.
 	Random *rand.Rand
 }
 
@@ -62,50 +73,54 @@
 	config     Config
 	view       *View
 	leaseUntil time.Duration
-	// leaseLost is when the last lease ended, as far as it was known.
-	leaseLost      time.Duration
-	parkedRequests []parked
-	// session names this router's lease in the journal of orders.
+	// leaseLostAt is when the previous lease ended, as of the last
+	// LeaseChanged.
+	leaseLostAt time.Duration
+	parked      []parkedRequest
+	// session identifies this router's lease in the journal of orders.
 	session ownership.SessionID
-	// unready tells the platform to send callers elsewhere; draining refuses
-	// those that still come.
+	// unready makes the readiness endpoint tell the platform to send callers
+	// to other routers. draining refuses the callers that still come here.
 	unready  bool
 	draining bool
-	// token numbers the journal holders of this process.
-	token   uint64
-	entries map[protocol.RequestID]*entry
-	owned   map[protocol.UpstreamID]*owned
-	// running finds the upstream of an attempt this router relays.
-	running map[fleet.Attempt]*owned
-	// sets orders the upstreams of each model.
-	sets     map[protocol.Model]*placement.Set
-	policy   placement.Policy
-	placer   *placement.Owner
-	ledger   *loadbound.Ledger
-	exchange *loadbound.Exchange
-	// routers are those that the exchange was made for.
-	routers []protocol.RouterID
-	limiter *limits.Limiter
-	home    *limits.Home
-	budget  *retry.Budget
-	// lastLoan is when a begun answer last went on beyond the budget.
-	lastLoan time.Duration
-	crashes  *quarantine.Tracker
-	// orderGate and engineCalls see to orders to the engines owned here.
+	// lastToken is the last token given to an orders.Holder of this process.
+	lastToken uint64
+	entries   map[protocol.RequestID]*entryRequest
+	owned     map[protocol.UpstreamID]*ownedUpstream
+	// running maps each attempt that this router relays to its upstream.
+	running map[fleet.Attempt]*ownedUpstream
+	// placementSets ranks the upstreams of each model.
+	placementSets map[protocol.Model]*placement.Set
+	policy        placement.Policy
+	placer        *placement.Owner
+	ledger        *loadbound.Ledger
+	loadExchange  *loadbound.Exchange
+	// routers is the list that loadExchange was created with.
+	routers   []protocol.RouterID
+	limiter   *limits.Limiter
+	limitHome *limits.Home
+	budget    *retry.Budget
+	// lastOverBudget is when a request last got an attempt that the retry
+	// budget could not pay for.
+	lastOverBudget time.Duration
+	quarantine     *quarantine.Tracker
+	// orderGate and engineCalls control the orders that this router passes to
+	// the engines it owns. engineCalls marks the engines with a call in flight.
 	orderGate   *engineorders.Gate
 	engineCalls map[protocol.UpstreamID]bool
-	// heats knows the chats of the engines owned here.
-	heats map[protocol.UpstreamID]*heat
-	// local holds messages to itself until the current step has handled them.
-	local   []Input
-	outputs []Output
+	// activity holds the recent chats of the engines owned here.
+	activity map[protocol.UpstreamID]*engineActivity
+	// selfMessages holds the messages from this router to itself until the
+	// current step has handled them.
+	selfMessages []Input
+	outputs      []Output
 }
 
-// movedChats is for how many chats a router remembers that they ran elsewhere
-// than at their first choice.
-const movedChats = 16384
+// maxMovedChats is the number of chats for which a router remembers that they
+// ran on another upstream than their first choice.
+const maxMovedChats = 16384
 
-// New returns a node that serves nobody until it has a view and a lease.
+// New returns a Node that refuses all requests until it has a view and a lease.
 func New(config Config) *Node {
 	policy := placement.DefaultPolicy(config.ReuseWeight)
 	policy.Multiple = config.Multiple
@@ -113,178 +128,183 @@
 	bound.Multiple = config.Multiple
 	ledger := loadbound.NewLedger(bound)
 	return &Node{
-		config:   config,
-		view:     &View{},
-		entries:  map[protocol.RequestID]*entry{},
-		owned:    map[protocol.UpstreamID]*owned{},
-		running:  map[fleet.Attempt]*owned{},
-		policy:   policy,
-		ledger:   ledger,
-		placer:   placement.NewOwner(ledger, policy, movedChats),
-		exchange: loadbound.NewExchange(config.Self, []protocol.RouterID{config.Self}, 0),
-		limiter:  limits.NewLimiter(limits.DefaultConfig(), 1, config.Incarnation),
-		home:     limits.NewHome(limits.DefaultConfig(), nil),
-		budget:   retry.New(retry.DefaultConfig()),
-		crashes:  quarantine.New(quarantine.DefaultConfig()),
+		config:       config,
+		view:         &View{},
+		entries:      map[protocol.RequestID]*entryRequest{},
+		owned:        map[protocol.UpstreamID]*ownedUpstream{},
+		running:      map[fleet.Attempt]*ownedUpstream{},
+		policy:       policy,
+		ledger:       ledger,
+		placer:       placement.NewOwner(ledger, policy, maxMovedChats),
+		loadExchange: loadbound.NewExchange(config.Self, []protocol.RouterID{config.Self}, 0),
+		limiter:      limits.NewLimiter(limits.DefaultConfig(), 1, config.Incarnation),
+		limitHome:    limits.NewHome(limits.DefaultConfig(), nil),
+		budget:       retry.New(retry.DefaultConfig()),
+		quarantine:   quarantine.New(quarantine.DefaultConfig()),
 
 		orderGate:   engineorders.NewGate(),
-		heats:       map[protocol.UpstreamID]*heat{},
+		activity:    map[protocol.UpstreamID]*engineActivity{},
 		engineCalls: map[protocol.UpstreamID]bool{},
 	}
 }
 
-// Step takes one input at a moment, which never goes back, and returns what
-// to do, in order. The returned slice is valid until the next Step.
+// Step handles one input at the time now, which must never decrease, and
+// returns the outputs to carry out, in order. The returned slice is valid until
+// the next call of Step.
 func (n *Node) Step(now time.Duration, in Input) []Output {
 	n.outputs = n.outputs[:0]
 	n.handle(now, in)
-	for len(n.local) > 0 {
-		next := n.local[0]
-		n.local = n.local[1:]
+	for len(n.selfMessages) > 0 {
+		next := n.selfMessages[0]
+		n.selfMessages = n.selfMessages[1:]
 		n.handle(now, next)
 	}
-	n.local = nil
+	n.selfMessages = nil
 	return n.outputs
 }
 
-// Ready says whether this router should be sent callers.
+// Ready reports whether callers should be sent to this router.
 func (n *Node) Ready(now time.Duration) bool {
-	return n.mayServe(now) && !n.unready
+	return n.leaseValid(now) && !n.unready
 }
 
-// InFlight returns the number of callers' requests and of relayed attempts.
+// InFlight returns the number of callers' requests on this router and the
+// number of attempts that it relays as an owner.
 func (n *Node) InFlight() (entries, relayed int) {
-	return len(n.entries) + len(n.parkedRequests), len(n.running)
+	return len(n.entries) + len(n.parked), len(n.running)
 }
 
-// Quarantined lists the requests that are refused for crashes.
-func (n *Node) Quarantined(now time.Duration) []quarantine.Entry { return n.crashes.List(now) }
+// Quarantined lists the requests that are refused because they crashed engines.
+func (n *Node) Quarantined(now time.Duration) []quarantine.Entry { return n.quarantine.List(now) }
 
-// Revision returns the revision of the configuration in force here.
+// Revision returns the revision of the configuration in force on this router.
 func (n *Node) Revision() uint64 { return n.view.Revision }
 
-// mayServe says whether the lease is valid at this moment. It is asked at
-// every admission: a process that was frozen for an hour would otherwise act
-// on an old configuration, or admit to an upstream that has another owner.
-func (n *Node) mayServe(now time.Duration) bool { return now < n.leaseUntil }
+// leaseValid reports whether the lease is valid at the time now. Every
+// admission checks it: a process that was frozen for an hour would otherwise
+// act on an old configuration, or admit work to an upstream that has another
+// owner by now.
+func (n *Node) leaseValid(now time.Duration) bool { return now < n.leaseUntil }
 
 func (n *Node) handle(now time.Duration, in Input) {
 	switch in := in.(type) {
 	case CallerRequest:
-		n.callerRequest(now, in)
+		n.handleCallerRequest(now, in)
 	case CallerGone:
-		n.unparkGone(in)
-		n.callerGone(now, in)
+		n.dropParked(in)
+		n.handleCallerGone(now, in)
 	case PeerPlace:
-		n.ownerPlace(now, in)
+		n.handlePlace(now, in)
 	case PeerPlaceReply:
-		n.entryReply(now, in)
+		n.handlePlaceReply(now, in)
 	case PeerChunk:
-		n.entryChunk(now, in)
+		n.handlePeerChunk(now, in)
 	case PeerEnd:
-		n.entryEnd(now, in)
+		n.handlePeerEnd(now, in)
 	case PeerCancel:
-		n.ownerCancel(now, in)
-	case PeerCheck:
-		n.ownerChecked(in)
-	case PeerAlive:
-		n.entryAlive(now, in)
-	case PeerTotals:
+		n.handleCancel(now, in)
+	case PeerAttemptCheck:
+		n.handleAttemptCheck(in)
+	case PeerAttemptAlive:
+		n.handleAttemptAlive(now, in)
+	case PeerLoadTotals:
 		n.ledger.Receive(now, in.From, in.Summary)
-		n.exchange.Heard(now, in.From)
-		n.shareTotals(now)
+		n.loadExchange.Heard(now, in.From)
+		n.sendLoadTotals(now)
 	case PeerLimitAsk:
-		n.limitAsked(now, in)
+		n.handleLimitAsk(now, in)
 	case PeerLimitAnswer:
-		n.limitAnswered(now, in.Answer)
-	case PeerMoved:
-		n.moved(now, in)
-	case PeerNotice:
-		n.crashes.Merge(now, in.Notice)
+		n.handleLimitAnswer(now, in.Answer)
+	case PeerChatMoved:
+		n.handleChatMoved(now, in)
+	case PeerQuarantineNotice:
+		n.quarantine.Merge(now, in.Notice)
 	case LiftQuarantine:
-		n.liftQuarantine(in)
+		n.handleLiftQuarantine(in)
 	case UpstreamProbed:
-		n.probed(now, in)
+		n.handleUpstreamProbed(now, in)
 	case PeerLost:
-		n.peerLost(now, in.Peer)
+		n.handlePeerLost(now, in.Peer)
 	case UpstreamChunk:
-		n.ownerChunk(now, in)
+		n.handleUpstreamChunk(now, in)
 	case UpstreamEnd:
-		n.noteTurn(now, in)
-		n.ownerEnd(now, in)
-	case Announced:
-		n.announced(now, in)
-	case Leaving:
-		n.leaving(now, in)
+		n.recordTurn(now, in)
+		n.handleUpstreamEnd(now, in)
+	case UpstreamAnnounced:
+		n.handleAnnounced(now, in)
+	case UpstreamLeaving:
+		n.handleLeaving(now, in)
 	case ViewChanged:
-		n.viewChanged(now, in.View)
+		n.handleViewChanged(now, in.View)
 	case LeaseChanged:
-		n.leaseChanged(now, in)
+		n.handleLeaseChanged(now, in)
 	case JournalResult:
-		n.journalResult(now, in)
+		n.handleJournalResult(now, in)
 	case PeerOrderReport:
-		n.orderReport(now, in)
+		n.handleOrderReport(now, in)
 	case PeerEngineAsk:
-		n.engineAsked(now, in)
+		n.handleEngineAsk(now, in)
 	case CacheMoved:
-		n.cacheMoved(in)
+		n.handleCacheMoved(in)
 	case EngineAnswered:
-		n.engineAnswered(in)
+		n.handleEngineAnswered(in)
 	case Tick:
-		n.tick(now)
+		n.handleTick(now)
 	case Drain:
-		n.drain(now, in)
+		n.handleDrain(now, in)
 	default:
-		panic("node: input of a type that Step doesn't know")
+		panic(fmt.Sprintf("node: Step does not handle inputs of type %T", in))
 	}
 }
 
-// drain begins a planned stop, or its second part.
-func (n *Node) drain(now time.Duration, in Drain) {
+// handleDrain starts a planned stop. With Refuse set it starts the second part
+// of the stop, in which the router refuses new requests.
+func (n *Node) handleDrain(now time.Duration, in Drain) {
 	n.unready = true
 	if !in.Refuse {
 		return
 	}
 	n.draining = true
 	for _, target := range n.ownedInOrder() {
-		n.handBack(now, target)
+		n.returnWaiting(now, target)
 	}
 }
 
-// tick meets deadlines.
-func (n *Node) tick(now time.Duration) {
-	n.unpark(now)
+// handleTick acts on everything that is due.
+func (n *Node) handleTick(now time.Duration) {
+	n.retryParked(now)
 	n.tickEntries(now)
-	n.tickOwned(now)
+	n.tickOwnedUpstreams(now)
 	n.askLimits(now)
-	n.shareTotals(now)
+	n.sendLoadTotals(now)
 	n.tickMoves(now)
 }
 
-// peerLost repairs what hung on a peer that can't be reached.
-func (n *Node) peerLost(now time.Duration, peer protocol.RouterID) {
-	n.entriesLostOwner(now, peer)
-	n.ownedLostEntry(now, peer)
+// handlePeerLost ends the attempts that depend on an unreachable peer, on the
+// entry side and on the owner side.
+func (n *Node) handlePeerLost(now time.Duration, peer protocol.RouterID) {
+	n.handleOwnerLost(now, peer)
+	n.handleEntryLost(now, peer)
 }
 
 func (n *Node) emit(out Output) { n.outputs = append(n.outputs, out) }
 
-// send passes a data path message to a router, which may be this one.
+// send sends a message of the data path to a router, which may be this one.
 func (n *Node) send(to protocol.RouterID, message any) {
 	if to == n.config.Self {
-		n.local = append(n.local, n.loopback(message))
+		n.selfMessages = append(n.selfMessages, n.loopbackInput(message))
 		return
 	}
 	n.emit(Send{To: to, Kind: kindOf(message), Payload: message, Reliable: true})
 }
 
-// loopback is the input that a peer's message becomes.
-func (n *Node) loopback(message any) Input {
+// loopbackInput converts a message from this router to itself into an input.
+func (n *Node) loopbackInput(message any) Input {
 	return MessageInput(n.config.Self, message)
 }
 
-// MessageInput turns a data path message from a peer into an input. A message
-// of another type is a broken invariant.
+// MessageInput converts a data path message from a peer into an input. It
+// panics on a message of any other type, because that is a programming error.
 func MessageInput(from protocol.RouterID, message any) Input {
 	switch message := message.(type) {
 	case fleet.Place:
@@ -300,17 +320,17 @@
 	case OrderReport:
 		return PeerOrderReport{From: from, Report: message}
 	case fleet.ChatMoved:
-		return PeerMoved{Moved: message}
+		return PeerChatMoved{Moved: message}
 	case fleet.AttemptCheck:
-		return PeerCheck{From: from, Check: message}
+		return PeerAttemptCheck{From: from, Check: message}
 	case fleet.AttemptAlive:
-		return PeerAlive{Alive: message}
+		return PeerAttemptAlive{Alive: message}
 	case limits.Ask:
 		return PeerLimitAsk{From: from, Ask: message}
 	case limits.Answer:
 		return PeerLimitAnswer{Answer: message}
 	}
-	panic("node: message of a type that isn't on the data path")
+	panic(fmt.Sprintf("node: %T is not a message of the data path", message))
 }
 
 func kindOf(message any) wire.Kind {
@@ -338,5 +358,5 @@
 	case limits.Answer:
 		return wire.KindLimitAnswer
 	}
-	panic("node: message of a type that isn't on the data path")
+	panic(fmt.Sprintf("node: %T is not a message of the data path", message))
 }
--- a/coordination/node/node_test.go
+++ b/coordination/node/node_test.go
@@ -17,11 +17,11 @@
 
 const seed = 1
 
-// whole checks that a caller got its own complete answer.
-func whole(t *testing.T, answer *nodetest.Answer, prompt string, tokens int) {
+// assertComplete checks that a caller got the complete answer to its own request.
+func assertComplete(t *testing.T, answer *nodetest.Answer, prompt string, tokens int) {
 	t.Helper()
 	assert.Assert(t, answer.Ended && !answer.Broken, "%+v", answer)
-	assert.Equal(t, answer.Text(), nodetest.WholeAnswer(prompt, tokens))
+	assert.Equal(t, answer.Text(), nodetest.ExpectedAnswer(prompt, tokens))
 }
 
 func newFleet(routers int) *nodetest.Fleet {
@@ -32,9 +32,9 @@
 	return f
 }
 
-// The router that owns an engine dies while it relays an answer. The caller,
-// on another router, must get the rest of the same answer, without a token
-// twice or missing, once the loss is noticed.
+// The router that owns an engine dies while it relays an answer to a caller on
+// another router. Once the failure is detected, the caller must get the rest of
+// the same answer, with no token missing or repeated.
 func TestOwnerDiesInMidAnswerAndTheCallerGetsTheRest(t *testing.T) {
 	f := newFleet(3)
 	answer := f.Submit("r3", "q", "key", "fuel?", 100)
@@ -49,12 +49,12 @@
 	f.Run(3 * time.Second)
 	assert.Assert(t, len(answer.Chunks) > before, "nothing came within 3 s of the loss")
 	f.Run(12 * time.Second)
-	whole(t, answer, "fuel?", 100)
+	assertComplete(t, answer, "fuel?", 100)
 }
 
-// A request waits in the queue of an owner that dies. It must not wait there
-// until its deadline, but be placed anew.
-func TestQueuedRequestLeavesADeadOwner(t *testing.T) {
+// An owner dies while a request waits in its queue. The request must be placed
+// again and not wait until its deadline.
+func TestQueuedRequestIsPlacedAgainWhenItsOwnerDies(t *testing.T) {
 	f := nodetest.New(seed, 2)
 	f.AddEngine("e1", "r1", 1000, 1)
 	f.Run(2 * time.Second)
@@ -64,17 +64,17 @@
 	f.Run(time.Second)
 	assert.Assert(t, !first.Ended && len(second.Chunks) == 0)
 	f.Kill("r1")
-	f.Own("e1", "r2")
+	f.SetOwner("e1", "r2")
 	f.Run(8 * time.Second)
-	whole(t, second, "short", 10)
+	assertComplete(t, second, "short", 10)
 }
 
-// An engine dies with many long answers on it, all from one router, in a fleet
-// that has little other work to earn retries by. No caller's answer may be cut:
-// what the retry budget can't pay at once waits for it.
-func TestBegunAnswersWaitForTheRetryBudget(t *testing.T) {
+// An engine dies with many long answers on it, all for callers of one router, in
+// a fleet with so few other requests that the retry budget grows slowly. No
+// answer may break off: a retry that the budget can't pay for at once must wait.
+func TestStartedAnswersWaitForTheRetryBudget(t *testing.T) {
 	f := nodetest.New(seed, 2)
-	f.Removes = true
+	f.ApplyRemovals = true
 	f.AddEngine("e1", "r1", 4000, 32)
 	f.Run(2 * time.Second)
 	prompt := func(i int) string { return fmt.Sprint("p", i, strings.Repeat(" long prompt", 80)) }
@@ -93,13 +93,13 @@
 	}
 	f.Run(30 * time.Second)
 	for i := range 16 {
-		whole(t, f.Answers[protocol.RequestID(fmt.Sprint(i))], prompt(i), 500)
+		assertComplete(t, f.Answers[protocol.RequestID(fmt.Sprint(i))], prompt(i), 500)
 	}
 }
 
-// An engine's connections go silent in mid-answer: no error comes, and nothing
-// more arrives. The caller must get the rest from another engine.
-func TestSilentEngineIsLeftAndTheAnswerResumed(t *testing.T) {
+// An engine's connections go silent in the middle of an answer: no error and no
+// more data arrives. The caller must get the rest from another engine.
+func TestAnswerOfASilentEngineIsResumedElsewhere(t *testing.T) {
 	f := newFleet(3)
 	answer := f.Submit("r3", "q", "key", "fuel?", 100)
 	f.Run(time.Second)
@@ -107,12 +107,12 @@
 		engine.Silent = engine.Running() > 0
 	}
 	f.Run(9 * time.Second)
-	whole(t, answer, "fuel?", 100)
+	assertComplete(t, answer, "fuel?", 100)
 }
 
-// A router is frozen for longer than its lease, another one becomes the owner
-// of its engine, and the first thaws with requests in its hands. It must send
-// nothing to the engine that the new owner counts.
+// A router is frozen for longer than its lease, another one becomes the owner of
+// its engine, and the first one resumes with requests that it hasn't handled. It
+// must send nothing to the engine, whose load only the new owner counts.
 func TestThawedFormerOwnerAdmitsNothing(t *testing.T) {
 	f := newFleet(3)
 	f.Freeze("r1")
@@ -120,7 +120,7 @@
 		f.Submit("r3", protocol.RequestID(fmt.Sprintf("early-%d", i)), "key", fmt.Sprint("p", i), 10)
 	}
 	f.Run(4 * time.Second)
-	f.Own("e1", "r3")
+	f.SetOwner("e1", "r3")
 	f.Run(time.Second)
 	var calls []protocol.RouterID
 	f.OnCall = func(router protocol.RouterID, call node.CallUpstream) {
@@ -142,10 +142,10 @@
 	}
 }
 
-// A router loses its lease because it is cut off from the voters. It must not
-// serve callers under settings that may have changed, and must say that
-// nothing was run and that another router may help.
-func TestRouterWithoutLeaseRefusesAsNotRun(t *testing.T) {
+// A router loses its lease because it can't reach the voters. It must not serve
+// callers under a configuration that may have changed. It must answer that the
+// request did not run and when to send it again, and report that it isn't ready.
+func TestRouterWithoutLeaseRefusesWithNotRun(t *testing.T) {
 	f := newFleet(3)
 	f.Routers["r3"].NoLease = true
 	f.Run(6 * time.Second)
@@ -158,9 +158,9 @@
 }
 
 // The voters' leader dies and a new one is elected within a second; the lease of
-// a router runs out in between. Its callers must be served when the lease is
-// back, and not before.
-func TestShortGapOfTheLeaseRefusesNobody(t *testing.T) {
+// a router expires in between. The router's callers must be served once it has a
+// lease again, and not before.
+func TestRequestsWaitDuringAShortLeaseGap(t *testing.T) {
 	f := newFleet(3)
 	f.Routers["r3"].NoLease = true
 	f.Run(3100 * time.Millisecond)
@@ -169,13 +169,13 @@
 	assert.Assert(t, !answer.Ended && len(answer.Chunks) == 0)
 	f.Routers["r3"].NoLease = false
 	f.Run(2 * time.Second)
-	whole(t, answer, "fuel?", 5)
+	assertComplete(t, answer, "fuel?", 5)
 }
 
 // One request crashes each engine that runs it, and its caller sends it again
-// through other routers for minutes. At most two engines may be lost to it, and
-// the other callers, whose requests die beside it, must all get their answers.
-func TestRequestThatCrashesEnginesIsFoundAfterTwo(t *testing.T) {
+// through other routers for minutes. It may crash at most two engines. The other
+// callers, whose requests fail in the same crashes, must all get their answers.
+func TestCrashingRequestIsQuarantinedAfterTwoEngines(t *testing.T) {
 	f := nodetest.New(seed, 3)
 	for i := range 6 {
 		f.AddEngine(protocol.UpstreamID(fmt.Sprintf("e%d", i)), protocol.RouterID(fmt.Sprintf("r%d", i%3+1)), 1000, 16)
@@ -197,12 +197,13 @@
 	}
 	assert.Assert(t, crashes <= 2, "%d engines were lost", crashes)
 	for i := range 24 {
-		whole(t, f.Answers[protocol.RequestID(fmt.Sprintf("good-%d", i))], fmt.Sprint("innocent ", i), 100)
+		assertComplete(t, f.Answers[protocol.RequestID(fmt.Sprintf("good-%d", i))], fmt.Sprint("innocent ", i), 100)
 	}
 	last := f.Answers["bad-29"]
 	assert.Equal(t, last.Reason, "quarantined")
 	assert.Equal(t, last.Outcome, protocol.NotRun)
-	// An operator finds it in the list of any router and lifts it.
+	// An operator finds the request in the list of any router and lifts its
+	// quarantine.
 	listed := f.Routers["r2"].Core.Quarantined(f.Now)
 	assert.Equal(t, len(listed), 1)
 	f.Input("r2", node.LiftQuarantine{Digest: listed[0].Digest})
@@ -212,12 +213,12 @@
 	}
 }
 
-// An engine says goodbye. No new work may reach it, and what it runs must end
-// whole.
+// An engine announces that it leaves. No new work may reach it, and the answers
+// that it is running must complete.
 func TestLeavingEngineGetsNothingNewAndFinishes(t *testing.T) {
 	f := newFleet(3)
-	// Both engines have work, so that the load bound alone keeps nothing away
-	// from the one that leaves.
+	// Both engines have work, so that the load bound alone would not keep requests
+	// away from the one that leaves.
 	for i := range 8 {
 		f.Submit("r3", protocol.RequestID(fmt.Sprintf("before-%d", i)), "key", fmt.Sprint("b", i), 100)
 		f.Run(50 * time.Millisecond)
@@ -234,19 +235,19 @@
 	}
 	f.Run(20 * time.Second)
 	for i := range 8 {
-		whole(t, f.Answers[protocol.RequestID(fmt.Sprintf("before-%d", i))], fmt.Sprint("b", i), 100)
+		assertComplete(t, f.Answers[protocol.RequestID(fmt.Sprintf("before-%d", i))], fmt.Sprint("b", i), 100)
 	}
 	for i := range 12 {
-		whole(t, f.Answers[protocol.RequestID(fmt.Sprintf("after-%d", i))], fmt.Sprint("p", i), 10)
+		assertComplete(t, f.Answers[protocol.RequestID(fmt.Sprintf("after-%d", i))], fmt.Sprint("p", i), 10)
 	}
 }
 
-// An engine's announcements stop: it is cut off, or its process hangs. Callers
-// must not be sent there any more after three missed ones, and it must be taken
-// out of the state after ten seconds.
+// An engine's announcements stop because its network or its process fails. It
+// must get no requests after three missed announcements, and must be removed from
+// the replicated state after ten seconds.
 func TestEngineThatStopsAnnouncingGetsNothingNew(t *testing.T) {
 	f := newFleet(3)
-	f.Engines["e1"].Quiet = true
+	f.Engines["e1"].NoAnnouncements = true
 	f.Run(2500 * time.Millisecond)
 	f.OnCall = func(_ protocol.RouterID, call node.CallUpstream) {
 		assert.Assert(t, call.Place.Upstream != "e1")
@@ -256,15 +257,15 @@
 	}
 	f.Run(10 * time.Second)
 	for i := range 12 {
-		whole(t, f.Answers[protocol.RequestID(fmt.Sprint(i))], fmt.Sprint("p", i), 10)
+		assertComplete(t, f.Answers[protocol.RequestID(fmt.Sprint(i))], fmt.Sprint("p", i), 10)
 	}
-	removed := slices.ContainsFunc(f.Events, func(e node.Event) bool { return e.Upstream == "e1" && e.What == "removed" })
+	removed := slices.ContainsFunc(f.Events, func(e node.Event) bool { return e.Upstream == "e1" && e.Kind == "removed" })
 	assert.Assert(t, removed)
 }
 
-// Every engine refuses connections. A caller must be told soon, and that
-// nothing was run, because no byte left.
-func TestUnreachableEnginesAreNotRun(t *testing.T) {
+// Every engine refuses connections. The caller must get an answer that says that
+// its request did not run, because no byte of it was sent.
+func TestUnreachableEnginesAnswerNotRun(t *testing.T) {
 	f := newFleet(3)
 	for _, engine := range f.Engines {
 		engine.NoConnect = true
@@ -275,10 +276,11 @@
 	assert.Equal(t, answer.Outcome, protocol.NotRun, "%+v", answer)
 }
 
-// Bad requests get a typed answer with a reason, and never reach an engine.
+// Invalid requests must get an error with a status and a reason code, and must
+// not reach an engine.
 func TestBadRequestsAreRefusedWithTheirReason(t *testing.T) {
 	f := newFleet(1)
-	f.Route(node.Route{Prefix: "/svc/orders", Service: "orders"})
+	f.AddRoute(node.Route{Prefix: "/svc/orders", Service: "orders"})
 	f.OnCall = func(protocol.RouterID, node.CallUpstream) { t.Fatal("a bad request reached an upstream") }
 	good := f.Submit("r1", "x", "no such key", "fuel?", 5)
 	assert.Equal(t, good.Status, 401)
@@ -309,8 +311,8 @@
 	return request
 }
 
-// A burst comes at one moment, before the owners know of each other's share of
-// it. No engine may then work off a queue one by one while others are idle: the
+// A burst arrives at one moment, before the owners know each other's share of
+// it. No engine may then process a queue one by one while others are idle: the
 // last caller must not wait much longer than the work takes when it is spread.
 func TestBurstDoesNotQueueBehindOneEngine(t *testing.T) {
 	f := nodetest.New(seed, 3)
@@ -330,10 +332,10 @@
 	}
 }
 
-// A flood comes that the engines can't serve in time. Every caller must get a
-// whole answer or a refusal that was not run and says when to come back, and
-// no engine may run more than it can at once.
-func TestFloodIsServedOrRefusedWithATime(t *testing.T) {
+// More requests arrive than the engines can serve in time. Every caller must get
+// a complete answer, or a refusal with the outcome NotRun and a Retry-After. No
+// engine may get more requests at once than its limit.
+func TestOverloadIsServedOrRefusedWithRetryAfter(t *testing.T) {
 	f := newFleet(3)
 	f.OnCall = func(_ protocol.RouterID, call node.CallUpstream) {
 		assert.Assert(t, f.Engines[call.Place.Upstream].Running() <= 8)
@@ -359,12 +361,13 @@
 	assert.Assert(t, refused > 0)
 }
 
-// An order is sent, and the router that holds it dies before the desk's answer
-// is recorded. The caller sends it again through another router. The desk must
-// not run it twice, whatever the caller is told.
+// An order is sent to the order desk, and the router that sent it dies before the
+// desk's answer is recorded. The caller sends the order again through another
+// router. The desk must not run it twice, and both callers must learn that the
+// outcome is unknown.
 func TestOrderWhoseOwnerDiesRunsAtMostOnce(t *testing.T) {
 	f := newFleet(3)
-	f.Route(node.Route{Prefix: "/svc/orders", Service: "orders", Deadline: 10 * time.Second})
+	f.AddRoute(node.Route{Prefix: "/svc/orders", Service: "orders", Deadline: 10 * time.Second})
 	desk := f.AddServer("desk", "orders", "r1", 8)
 	desk.TokenTime = 300 * time.Millisecond
 	f.Run(time.Second)
@@ -373,7 +376,7 @@
 	assert.Equal(t, desk.Runs["900 gal"], 1)
 	f.Kill("r1")
 	f.Run(time.Second)
-	f.Own("desk", "r3")
+	f.SetOwner("desk", "r3")
 	second := f.Order("r3", "o2", "k", "900 gal")
 	f.Run(30 * time.Second)
 	assert.Equal(t, desk.Runs["900 gal"], 1)
@@ -383,9 +386,12 @@
 	}
 }
 
-func TestOrderIsAnsweredOnceAndAgain(t *testing.T) {
+// A caller sends the same order again through other routers. It must get the
+// recorded answer, and the order desk must run the order once. The same key with
+// another body must be refused.
+func TestRepeatedOrderGetsTheRecordedAnswer(t *testing.T) {
 	f := newFleet(3)
-	f.Route(node.Route{Prefix: "/svc/orders", Service: "orders", Deadline: 10 * time.Second})
+	f.AddRoute(node.Route{Prefix: "/svc/orders", Service: "orders", Deadline: 10 * time.Second})
 	desk := f.AddServer("desk", "orders", "r1", 8)
 	f.Run(time.Second)
 	for i, router := range []protocol.RouterID{"r2", "r3", "r1"} {
@@ -402,9 +408,9 @@
 }
 
 // A customer's limit is 10 requests a second. Its callers send 60 a second, a
-// third through each router, of which none sees more than a sliver. Over the
-// whole fleet no more may run than the limit and its burst allow, the rest must
-// hear at once when to come back, and another customer must not notice.
+// third through each router, so that each router sees only a part. Over the whole
+// fleet no more may run than the limit and its burst allow. The rest must be
+// refused at once with a Retry-After, and another customer must not be affected.
 func TestCustomersLimitHoldsOverTheFleet(t *testing.T) {
 	f := newFleet(3)
 	f.SetCustomer("limited", node.Customer{ID: "b", Class: 1, Weight: 100, RequestsPerSecond: 10})
@@ -434,9 +440,9 @@
 	assert.Assert(t, served >= 8*seconds && served <= 12*seconds, "%d", served)
 }
 
-// Two keys whose digests agree in their first eight bytes, as an attacker could
-// search for, must not open each other's customer.
-func TestKeysThatShareTheirFirstBytesAreToldApart(t *testing.T) {
+// An attacker could search for a key whose digest has the same first eight bytes
+// as that of another key. Such a key must not find the other key's customer.
+func TestKeysWithTheSameFirstBytesAreDistinguished(t *testing.T) {
 	var keys node.Keys
 	first, second, third := [32]byte{0: 1, 31: 1}, [32]byte{0: 1, 31: 2}, [32]byte{0: 1, 31: 3}
 	keys.Add(first, &node.Customer{ID: "a"})
--- a/coordination/node/nodetest/engine.go
+++ b/coordination/node/nodetest/engine.go
@@ -18,27 +18,28 @@
 // CrashMark in a prompt crashes an engine that starts it.
 const CrashMark = "CRASH"
 
-// Engine is a fake model engine, or a fake server of a plain service.
+// Engine is a simulated model engine or server of a plain service.
 type Engine struct {
 	ID protocol.UpstreamID
-	// TokenTime is the time of one token, and CrashAfter the time from the
-	// start of a marked request to the crash.
+	// TokenTime is the time that the engine takes for one token. CrashAfter is
+	// the time from the start of a request with CrashMark to the crash.
 	TokenTime  time.Duration
 	CrashAfter time.Duration
-	// Down engines take no connections; silent ones take them and send
-	// nothing; Stuck stops the answers that are under way.
+	// A Down engine accepts no connections. A Silent one accepts them and sends
+	// nothing, also for the answers in flight.
 	Down, Silent bool
-	// Quiet engines announce nothing, though they work.
-	Quiet bool
-	// NoConnect refuses connections while announcements go on.
+	// NoAnnouncements stops the announcements of an engine that works otherwise.
+	NoAnnouncements bool
+	// NoConnect refuses connections while announcements continue.
 	NoConnect bool
 	Crashes   int
-	// Held is what orders made of the engine; it refuses older numbers only
-	// with ChecksFence. OrderTime is how long an order is under way to it.
-	Held        upstreamapi.EngineState
+	// State is the engine's state, which orders change. The engine refuses older
+	// fencing numbers only with ChecksFence. OrderDelay is the additional time
+	// that an order takes to reach it.
+	State       upstreamapi.EngineState
 	ChecksFence bool
-	OrderTime   time.Duration
-	// Runs counts the calls for each body.
+	OrderDelay  time.Duration
+	// Runs counts the calls for each request body.
 	Runs map[string]int
 
 	fleet       *Fleet
@@ -48,19 +49,19 @@
 	service     protocol.Service
 }
 
-// engineCall is one call under way.
+// engineCall is one call in flight.
 type engineCall struct {
-	router *Router
-	call   node.CallUpstream
-	next   int
-	dead   bool
+	owner     *Router
+	call      node.CallUpstream
+	nextToken int
+	ended     bool
 }
 
 // AddEngine adds an engine of the model "m" owned by a router.
 func (f *Fleet) AddEngine(id protocol.UpstreamID, owner protocol.RouterID, capacity float64, slots int) *Engine {
 	f.upstreams[id] = &node.Upstream{
 		ID: id, Kind: upstreamapi.KindEngine, Address: "127.0.0.1:1", DataCentre: "dc1", Models: []protocol.Model{"m"},
-		Announced: capacity, AnnouncedMax: slots, Capacity: capacity, MaxConcurrent: slots,
+		AnnouncedCapacity: capacity, AnnouncedMaxConcurrent: slots, Capacity: capacity, MaxConcurrent: slots,
 	}
 	return f.addUpstream(id, owner)
 }
@@ -69,7 +70,7 @@
 func (f *Fleet) AddServer(id protocol.UpstreamID, service protocol.Service, owner protocol.RouterID, slots int) *Engine {
 	f.upstreams[id] = &node.Upstream{
 		ID: id, Kind: upstreamapi.KindService, Address: "127.0.0.1:1", DataCentre: "dc1", Service: service,
-		Announced: 1, AnnouncedMax: slots, Capacity: 1, MaxConcurrent: slots,
+		AnnouncedCapacity: 1, AnnouncedMaxConcurrent: slots, Capacity: 1, MaxConcurrent: slots,
 	}
 	engine := f.addUpstream(id, owner)
 	engine.service = service
@@ -82,23 +83,24 @@
 		Runs: map[string]int{}, fleet: f, calls: map[fleet.Attempt]*engineCall{}, incarnation: 1,
 	}
 	f.Engines[id] = engine
-	f.Own(id, owner)
+	f.SetOwner(id, owner)
 	engine.announce()
 	return engine
 }
 
-// Running returns the calls under way.
+// Running returns the number of calls in flight.
 func (e *Engine) Running() int { return len(e.calls) }
 
-// announce reports to a random router twice a second.
+// announce sends an announcement to a random router, and repeats it twice a
+// second.
 func (e *Engine) announce() {
 	f := e.fleet
-	if !e.Down && !e.Quiet && f.upstreams[e.ID] != nil {
+	if !e.Down && !e.NoAnnouncements && f.upstreams[e.ID] != nil {
 		e.sequence++
 		ids := f.routerIDs()
 		r := f.Routers[ids[f.random.IntN(len(ids))]]
 		announcement := e.announcement()
-		f.toRouter(r, func() { f.step(r, node.Announced{Announcement: announcement}) })
+		f.runOn(r, func() { f.step(r, node.UpstreamAnnounced{Announcement: announcement}) })
 	}
 	f.after(upstreamapi.AnnounceInterval, e.announce)
 }
@@ -107,32 +109,32 @@
 	row := e.fleet.upstreams[e.ID]
 	return upstreamapi.Announcement{
 		ID: e.ID, Incarnation: e.incarnation, Sequence: e.sequence, Kind: row.Kind, Address: row.Address,
-		DataCentre: row.DataCentre, Models: row.Models, Service: row.Service, Capacity: row.Announced,
-		MaxConcurrent: row.AnnouncedMax, Load: upstreamapi.Load{Running: len(e.calls), OutstandingTokens: e.outstanding()},
+		DataCentre: row.DataCentre, Models: row.Models, Service: row.Service, Capacity: row.AnnouncedCapacity,
+		MaxConcurrent: row.AnnouncedMaxConcurrent, Load: upstreamapi.Load{Running: len(e.calls), OutstandingTokens: e.outstanding()},
 	}
 }
 
 func (e *Engine) outstanding() int {
 	sum := 0
 	for _, c := range e.calls {
-		sum += max(0, c.call.Place.OutputTokens-c.next)
+		sum += max(0, c.call.Place.OutputTokens-c.nextToken)
 	}
 	return sum
 }
 
-// start takes a call.
+// start starts a call.
 func (e *Engine) start(r *Router, call node.CallUpstream) {
 	f := e.fleet
 	if e.Down || e.NoConnect {
-		f.after(latency, func() { e.end(&engineCall{router: r, call: call}, node.UpstreamEnd{}) })
+		f.after(latency, func() { e.end(&engineCall{owner: r, call: call}, node.UpstreamEnd{}) })
 		return
 	}
 	e.Runs[string(call.Place.Body)]++
-	c := &engineCall{router: r, call: call, next: call.Place.ResumeAt}
+	c := &engineCall{owner: r, call: call, nextToken: call.Place.ResumeAt}
 	e.calls[call.Attempt] = c
 	if strings.Contains(string(call.Place.Body), CrashMark) {
 		f.after(e.CrashAfter, func() {
-			if !c.dead {
+			if !c.ended {
 				e.Crash(5 * time.Second)
 			}
 		})
@@ -140,9 +142,9 @@
 	f.after(e.TokenTime, func() { e.produce(c) })
 }
 
-// produce sends the next token, or the whole answer of a plain service.
+// produce sends the next token, or the complete answer of a plain service.
 func (e *Engine) produce(c *engineCall) {
-	if c.dead || e.Silent {
+	if c.ended || e.Silent {
 		return
 	}
 	if e.service != "" {
@@ -150,22 +152,22 @@
 		e.finish(c)
 		return
 	}
-	if c.next >= c.call.Place.OutputTokens {
+	if c.nextToken >= c.call.Place.OutputTokens {
 		e.finish(c)
 		return
 	}
-	e.chunk(c, c.next, Token(string(c.call.Place.Body), c.next))
-	c.next++
+	e.chunk(c, c.nextToken, Token(string(c.call.Place.Body), c.nextToken))
+	c.nextToken++
 	e.fleet.after(e.TokenTime, func() { e.produce(c) })
 }
 
-// Token is the token at an index of the answer to a body.
+// Token returns the token at an index of the answer to a request body.
 func Token(body string, index int) string {
 	return fmt.Sprintf("%d-%d ", len(body), index)
 }
 
-// WholeAnswer is the answer that a caller of Submit must get.
-func WholeAnswer(prompt string, tokens int) string {
+// ExpectedAnswer returns the answer that a caller of Submit must get.
+func ExpectedAnswer(prompt string, tokens int) string {
 	body := fmt.Sprintf(`{"prompt":%q,"tokens":%d}`, prompt, tokens)
 	text := ""
 	for i := range tokens {
@@ -180,7 +182,7 @@
 	if index == c.call.Place.ResumeAt {
 		chunk.Status = 200
 	}
-	f.toRouter(c.router, func() { f.step(c.router, node.UpstreamChunk{Chunk: chunk}) })
+	f.runOn(c.owner, func() { f.step(c.owner, node.UpstreamChunk{Chunk: chunk}) })
 }
 
 func (e *Engine) finish(c *engineCall) {
@@ -189,28 +191,28 @@
 
 func (e *Engine) end(c *engineCall, end node.UpstreamEnd) {
 	f := e.fleet
-	c.dead = true
+	c.ended = true
 	delete(e.calls, c.call.Attempt)
 	end.Attempt = c.call.Attempt
-	f.toRouter(c.router, func() { f.step(c.router, end) })
+	f.runOn(c.owner, func() { f.step(c.owner, end) })
 }
 
 func (e *Engine) cancel(attempt fleet.Attempt) {
 	if c := e.calls[attempt]; c != nil {
-		c.dead = true
+		c.ended = true
 		delete(e.calls, attempt)
 	}
 }
 
-func (e *Engine) callerDied(router protocol.RouterID) {
+func (e *Engine) cancelCallsOf(router protocol.RouterID) {
 	for attempt, c := range e.calls {
-		if c.router.ID == router {
+		if c.owner.ID == router {
 			e.cancel(attempt)
 		}
 	}
 }
 
-// Crash ends the engine's process, and starts another after a while.
+// Crash ends the engine's process, and starts a new one after downFor.
 func (e *Engine) Crash(downFor time.Duration) {
 	e.Crashes++
 	e.Down = true
@@ -231,26 +233,26 @@
 	})
 }
 
-// inputOf turns a message into the receiver's input.
-func inputOf(from protocol.RouterID, out node.Send) node.Input {
+// messageInput converts a message into the receiver's input.
+func messageInput(from protocol.RouterID, out node.Send) node.Input {
 	switch out.Kind {
 	case wire.KindLoadTotals:
-		return node.PeerTotals{From: from, Summary: out.Payload.(loadbound.Summary)}
+		return node.PeerLoadTotals{From: from, Summary: out.Payload.(loadbound.Summary)}
 	case wire.KindQuarantine:
-		return node.PeerNotice{Notice: out.Payload.(quarantine.Notice)}
+		return node.PeerQuarantineNotice{Notice: out.Payload.(quarantine.Notice)}
 	case wire.KindAnnounce:
-		return node.Announced{Announcement: out.Payload.(upstreamapi.Announcement), Forwarded: true}
+		return node.UpstreamAnnounced{Announcement: out.Payload.(upstreamapi.Announcement), Forwarded: true}
 	case wire.KindLeave:
-		return node.Leaving{Leave: out.Payload.(upstreamapi.Leave), Forwarded: true}
+		return node.UpstreamLeaving{Leave: out.Payload.(upstreamapi.Leave), Forwarded: true}
 	}
 	return node.MessageInput(from, out.Payload)
 }
 
-// Leave says goodbye through a random router.
+// Leave tells a random router that the engine leaves.
 func (e *Engine) Leave() {
 	f := e.fleet
 	ids := f.routerIDs()
 	r := f.Routers[ids[f.random.IntN(len(ids))]]
 	leave := upstreamapi.Leave{ID: e.ID, Incarnation: e.incarnation}
-	f.toRouter(r, func() { f.step(r, node.Leaving{Leave: leave}) })
+	f.runOn(r, func() { f.step(r, node.UpstreamLeaving{Leave: leave}) })
 }
--- a/coordination/node/nodetest/engineorder.go
+++ b/coordination/node/nodetest/engineorder.go
@@ -7,43 +7,44 @@
 	"endiveplank/protocol/upstreamapi"
 )
 
-// Tenure is the fencing number of an upstream's present ownership.
-func (f *Fleet) Tenure(upstream protocol.UpstreamID) protocol.Fence {
+// OwnerFence returns the fencing number of an upstream's present ownership.
+func (f *Fleet) OwnerFence(upstream protocol.UpstreamID) protocol.Fence {
 	return f.upstreams[upstream].Fence
 }
 
-// Ask sends an ask about an engine to a router.
+// Ask sends an ask about an engine from the issuer to a router.
 func (f *Fleet) Ask(to protocol.RouterID, ask engineorders.Ask) {
 	r := f.Routers[to]
 	f.after(latency, func() {
-		f.toRouter(r, func() { f.step(r, node.PeerEngineAsk{From: "issuer", Ask: ask}) })
+		f.runOn(r, func() { f.step(r, node.PeerEngineAsk{From: "issuer", Ask: ask}) })
 	})
 }
 
-// orderEngine carries an order to an engine and its state back. Like the
-// real client it sends nothing from NotAfter on.
+// orderEngine passes an order to an engine and returns the engine's state to the
+// router. Like the real client it sends nothing at or after NotAfter.
 func (f *Fleet) orderEngine(r *Router, out node.OrderEngine) {
 	engine := f.Engines[out.Ask.Upstream]
-	f.after(latency+engine.OrderTime, func() {
+	f.after(latency+engine.OrderDelay, func() {
 		answered := node.EngineAnswered{From: out.From, Ask: out.Ask}
 		if f.Now < out.NotAfter {
 			answered.Status = engine.order(out.Ask)
-			state := engine.Held
+			state := engine.State
 			answered.State = &state
 		}
-		f.after(latency, func() { f.toRouter(r, func() { f.step(r, answered) }) })
+		f.after(latency, func() { f.runOn(r, func() { f.step(r, answered) }) })
 	})
 }
 
-// order carries an order out at once and returns its HTTP status.
+// order executes an order at once and returns its HTTP status, or 0 if the ask
+// is read-only.
 func (e *Engine) order(ask engineorders.Ask) int {
 	if ask.ReadOnly {
 		return 0
 	}
-	if e.ChecksFence && ask.Fence < e.Held.Fence {
+	if e.ChecksFence && ask.Fence < e.State.Fence {
 		return upstreamapi.StatusConflict
 	}
-	e.Held.Fence = ask.Fence
-	e.Held.Models = []upstreamapi.LoadedModel{{Model: ask.Intent.Model, Version: ask.Intent.Version, Ready: true}}
+	e.State.Fence = ask.Fence
+	e.State.Models = []upstreamapi.LoadedModel{{Model: ask.Intent.Model, Version: ask.Intent.Version, Ready: true}}
 	return upstreamapi.StatusAccepted
 }
--- a/coordination/node/nodetest/fleet.go
+++ b/coordination/node/nodetest/fleet.go
@@ -1,8 +1,9 @@
-// Package nodetest drives several node cores in memory, with small fakes at
-// their interfaces: messages that take time, engines that answer token by
-// token, and a journal. Time is virtual and the random source seeded, so a run
-// is the same each time. It knows nothing of sockets, consensus or membership:
-// a test says who owns an upstream and who holds a lease.
+// Package nodetest runs several node.Nodes in memory with small simulations of
+// everything around them: messages with a latency, engines that answer token by
+// token, and a journal of orders. Time is virtual and the random source is
+// seeded, so each run of a test is the same. The package has no sockets, no
+// consensus and no membership: the test decides which router owns an upstream
+// and which has a lease.
 package nodetest
 
 import (
@@ -25,15 +26,16 @@
 )
 
 const (
-	// latency is the time of a message between two routers.
+	// latency is the time that a message between two routers takes.
 	latency = 2 * time.Millisecond
-	// lostAfter is when a sender hears that a peer can't be reached.
-	lostAfter = 2 * time.Second
-	// leaseLength and renewEvery are those of the fleet's leases.
-	leaseLength = 3 * time.Second
-	renewEvery  = time.Second
-	// journalTime is the time of one commit.
-	journalTime = 5 * time.Millisecond
+	// peerLostAfter is how long a sender takes to detect that a peer is
+	// unreachable.
+	peerLostAfter = 2 * time.Second
+	// leaseDuration and renewEvery are the values of the fleet's leases.
+	leaseDuration = 3 * time.Second
+	renewEvery    = time.Second
+	// commitTime is the time that a commit takes.
+	commitTime = 5 * time.Millisecond
 )
 
 // Fleet is a set of routers and engines in virtual time.
@@ -43,53 +45,53 @@
 	Engines map[protocol.UpstreamID]*Engine
 	Answers map[protocol.RequestID]*Answer
 	Events  []node.Event
-	// Removes says whether upstreams that routers report gone are taken out of
-	// the configuration.
-	Removes bool
-	// Journal is the replicated state, for orders.
+	// ApplyRemovals makes the fleet carry out RemoveUpstream outputs. Otherwise it
+	// ignores them.
+	ApplyRemovals bool
+	// Journal is the replicated state, used for orders and sessions.
 	Journal *fleetstate.Machine
-	// Replies are what owners answered to asks about orders to engines.
-	Replies []engineorders.Reply
-	// Moves are the caches that routers moved.
-	Moves []node.MoveCache
-	// OnCall is called when a router sends a request to an engine, after the
-	// engine has it.
+	// EngineReplies holds the replies of owners to the issuer's asks.
+	EngineReplies []engineorders.Reply
+	// CacheMoves holds the moves of caches that routers started.
+	CacheMoves []node.MoveCache
+	// OnCall, if set, is called when a router sends a request to an engine, after
+	// the engine has received it.
 	OnCall func(router protocol.RouterID, call node.CallUpstream)
 
-	random    *rand.Rand
-	queue     schedule
-	order     uint64
-	revision  uint64
-	fence     protocol.Fence
-	customers map[[32]byte]*node.Customer
-	routes    []node.Route
-	upstreams map[protocol.UpstreamID]*node.Upstream
-	cut       map[[2]protocol.RouterID]bool
-	index     uint64
+	random       *rand.Rand
+	events       eventHeap
+	lastOrder    uint64
+	revision     uint64
+	fence        protocol.Fence
+	customers    map[[32]byte]*node.Customer
+	routes       []node.Route
+	upstreams    map[protocol.UpstreamID]*node.Upstream
+	partitioned  map[[2]protocol.RouterID]bool
+	journalIndex uint64
 
 	recorded   protocol.RouterID
 	transcript *strings.Builder
 }
 
-// Router is one node core and what happened to its process.
+// Router is one Node and the state of its process.
 type Router struct {
 	ID   protocol.RouterID
 	Core *node.Node
-	// Frozen routers handle nothing until thawed; dead ones never again.
+	// A Frozen router handles nothing until Thaw; a Dead one handles nothing.
 	Frozen, Dead bool
-	// NoLease stops its renewals.
+	// NoLease stops the renewals of its lease.
 	NoLease bool
 	session ownership.SessionID
-	held    []func()
+	pending []func()
 }
 
-// Answer is what a caller got.
+// Answer is the answer that a caller has received so far.
 type Answer struct {
 	Status  int
 	Outcome protocol.RunOutcome
 	Reason  string
 	Chunks  []string
-	// Ended says that the answer is closed, Broken that it isn't whole.
+	// Ended means that the answer has ended, and Broken that it is incomplete.
 	Ended, Broken bool
 	RetryAfter    time.Duration
 	At            time.Duration
@@ -109,37 +111,37 @@
 // key is "key".
 func New(seed uint64, routers int) *Fleet {
 	f := &Fleet{
-		Routers:   map[protocol.RouterID]*Router{},
-		Engines:   map[protocol.UpstreamID]*Engine{},
-		Answers:   map[protocol.RequestID]*Answer{},
-		Journal:   fleetstate.New(fleetstate.DefaultSettings()),
-		random:    rand.New(rand.NewPCG(seed, seed)),
-		customers: map[[32]byte]*node.Customer{},
-		upstreams: map[protocol.UpstreamID]*node.Upstream{},
-		cut:       map[[2]protocol.RouterID]bool{},
+		Routers:     map[protocol.RouterID]*Router{},
+		Engines:     map[protocol.UpstreamID]*Engine{},
+		Answers:     map[protocol.RequestID]*Answer{},
+		Journal:     fleetstate.New(fleetstate.DefaultSettings()),
+		random:      rand.New(rand.NewPCG(seed, seed)),
+		customers:   map[[32]byte]*node.Customer{},
+		upstreams:   map[protocol.UpstreamID]*node.Upstream{},
+		partitioned: map[[2]protocol.RouterID]bool{},
 	}
 	for i := range routers {
 		f.addRouter(protocol.RouterID(fmt.Sprintf("r%d", i+1)))
 	}
-	f.Customer("a", "key", 1)
+	f.AddCustomer("a", "key", 1)
 	return f
 }
 
 func (f *Fleet) addRouter(id protocol.RouterID) {
-	f.index++
+	f.journalIndex++
 	open := fleetstate.Command{Open: &ownership.Open{Router: id, Incarnation: 1, DataCentre: "dc1", Address: "127.0.0.1:1", Capacity: 100}}
-	result, err := fleetstate.DecodeResult(f.Journal.Apply(f.index, open.Encode()))
+	result, err := fleetstate.DecodeResult(f.Journal.Apply(f.journalIndex, open.Encode()))
 	if err != nil || result.Ownership == nil {
 		panic("nodetest: a session could not be opened")
 	}
 	r := &Router{ID: id, session: result.Ownership.Session, Core: node.New(node.Config{
-		Self:        id,
-		DataCentre:  "dc1",
-		Multiple:    1.25,
-		ReuseWeight: 0.5,
-		Stall:       3 * time.Second,
-		Deadline:    60 * time.Second,
-		Random:      rand.New(rand.NewPCG(f.random.Uint64(), 1)),
+		Self:            id,
+		DataCentre:      "dc1",
+		Multiple:        1.25,
+		ReuseWeight:     0.5,
+		StallTimeout:    3 * time.Second,
+		DefaultDeadline: 60 * time.Second,
+		Random:          rand.New(rand.NewPCG(f.random.Uint64(), 1)),
 	})}
 	f.Routers[id] = r
 	f.renew(r)
@@ -147,45 +149,45 @@
 }
 
 // Customer adds a customer with a bearer key and a priority class.
-func (f *Fleet) Customer(id protocol.CustomerID, key string, class int) {
+func (f *Fleet) AddCustomer(id protocol.CustomerID, key string, class int) {
 	f.customers[sha256.Sum256([]byte(key))] = &node.Customer{ID: id, Class: class, Weight: 100}
-	f.showAll()
+	f.pushViews()
 }
 
-// SetCustomer puts a whole customer's row in force.
+// SetCustomer sets the complete row of the customer with a bearer key.
 func (f *Fleet) SetCustomer(key string, row node.Customer) {
 	f.customers[sha256.Sum256([]byte(key))] = &row
-	f.showAll()
+	f.pushViews()
 }
 
 // Route adds a route to a plain service.
-func (f *Fleet) Route(route node.Route) {
+func (f *Fleet) AddRoute(route node.Route) {
 	f.routes = append(f.routes, route)
-	f.showAll()
+	f.pushViews()
 }
 
-// Own makes a router the owner of an upstream under a new fencing number.
-func (f *Fleet) Own(upstream protocol.UpstreamID, router protocol.RouterID) {
+// SetOwner makes a router the owner of an upstream with a new fencing number.
+func (f *Fleet) SetOwner(upstream protocol.UpstreamID, router protocol.RouterID) {
 	f.fence++
 	changed := *f.upstreams[upstream]
 	changed.Owner = router
 	changed.Fence = f.fence
 	f.upstreams[upstream] = &changed
-	f.showAll()
+	f.pushViews()
 }
 
-// remove takes an upstream out of the configuration.
+// remove removes an upstream from the configuration.
 func (f *Fleet) remove(upstream protocol.UpstreamID) {
 	delete(f.upstreams, upstream)
-	f.showAll()
+	f.pushViews()
 }
 
-// showAll puts the present configuration in force on every router at once.
-func (f *Fleet) showAll() {
+// pushViews puts the present configuration in force on every router at once.
+func (f *Fleet) pushViews() {
 	f.revision++
 	for _, id := range f.routerIDs() {
 		r := f.Routers[id]
-		f.toRouter(r, func() { f.step(r, node.ViewChanged{View: f.view(r)}) })
+		f.runOn(r, func() { f.step(r, node.ViewChanged{View: f.view(r)}) })
 	}
 }
 
@@ -198,7 +200,7 @@
 	return ids
 }
 
-// view is the configuration as one router sees it.
+// view builds the configuration for one router.
 func (f *Fleet) view(r *Router) *node.View {
 	v := &node.View{
 		Revision:  f.revision,
@@ -219,7 +221,7 @@
 	for i, id := range ids {
 		upstream := *f.upstreams[id]
 		upstream.Index = i
-		upstream.Mine = upstream.Owner == r.ID
+		upstream.OwnedHere = upstream.Owner == r.ID
 		v.Upstreams[id] = &upstream
 		if upstream.Kind == upstreamapi.KindService {
 			v.Services[upstream.Service] = append(v.Services[upstream.Service], &upstream)
@@ -232,7 +234,7 @@
 	return v
 }
 
-// Submit sends a chat to a router. The prompt is one user message; tokens is
+// Submit sends a chat to a router. The prompt is one user message, and tokens is
 // the length of the answer.
 func (f *Fleet) Submit(router protocol.RouterID, id protocol.RequestID, key, prompt string, tokens int) *Answer {
 	body := fmt.Sprintf(`{"prompt":%q,"tokens":%d}`, prompt, tokens)
@@ -248,25 +250,25 @@
 	answer := &Answer{}
 	f.Answers[request.ID] = answer
 	r := f.Routers[router]
-	f.toRouter(r, func() { f.step(r, request) })
+	f.runOn(r, func() { f.step(r, request) })
 	return answer
 }
 
 // Input gives a router any input.
 func (f *Fleet) Input(router protocol.RouterID, in node.Input) {
 	r := f.Routers[router]
-	f.toRouter(r, func() { f.step(r, in) })
+	f.runOn(r, func() { f.step(r, in) })
 }
 
-// Freeze stops a router's process; Thaw lets it go on with all that piled up.
+// Freeze stops a router's process until Thaw.
 func (f *Fleet) Freeze(router protocol.RouterID) { f.Routers[router].Frozen = true }
 
-// Thaw ends a freeze.
+// Thaw ends a freeze. The router then handles everything that arrived meanwhile.
 func (f *Fleet) Thaw(router protocol.RouterID) {
 	r := f.Routers[router]
 	r.Frozen = false
-	held := r.held
-	r.held = nil
+	held := r.pending
+	r.pending = nil
 	for _, run := range held {
 		run()
 	}
@@ -277,68 +279,71 @@
 	r := f.Routers[router]
 	r.Dead = true
 	for _, engine := range f.Engines {
-		engine.callerDied(router)
+		engine.cancelCallsOf(router)
 	}
 }
 
-// Cut parts two routers from each other.
-func (f *Fleet) Cut(a, b protocol.RouterID) {
-	f.cut[[2]protocol.RouterID{a, b}] = true
-	f.cut[[2]protocol.RouterID{b, a}] = true
+// Partition cuts the network between two routers.
+func (f *Fleet) Partition(a, b protocol.RouterID) {
+	f.partitioned[[2]protocol.RouterID{a, b}] = true
+	f.partitioned[[2]protocol.RouterID{b, a}] = true
 }
 
-// Run passes time.
+// Run lets virtual time pass and runs all events that are due in it.
 func (f *Fleet) Run(length time.Duration) {
 	until := f.Now + length
-	for len(f.queue) > 0 && f.queue[0].at <= until {
-		next := heap.Pop(&f.queue).(item)
+	for len(f.events) > 0 && f.events[0].at <= until {
+		next := heap.Pop(&f.events).(event)
 		f.Now = next.at
 		next.run()
 	}
 	f.Now = until
 }
 
-// after schedules something.
+// after schedules a function.
 func (f *Fleet) after(delay time.Duration, run func()) {
-	f.order++
-	heap.Push(&f.queue, item{at: f.Now + delay, order: f.order, run: run})
+	f.lastOrder++
+	heap.Push(&f.events, event{at: f.Now + delay, order: f.lastOrder, run: run})
 }
 
-// toRouter runs something on a router's process, when it can.
-func (f *Fleet) toRouter(r *Router, run func()) {
+// runOn runs a function in a router's process. It delays the function while the
+// router is frozen, and drops it if the router is dead.
+func (f *Fleet) runOn(r *Router, run func()) {
 	switch {
 	case r.Dead:
 	case r.Frozen:
-		r.held = append(r.held, run)
+		r.pending = append(r.pending, run)
 	default:
 		run()
 	}
 }
 
-// tick passes time to a router's core.
+// tick sends a Tick to a router, and repeats it every TickInterval.
 func (f *Fleet) tick(r *Router) {
-	f.toRouter(r, func() { f.step(r, node.Tick{}) })
+	f.runOn(r, func() { f.step(r, node.Tick{}) })
 	f.after(node.TickInterval, func() {
 		if !r.Frozen {
 			f.tick(r)
 			return
 		}
-		// A frozen process ticks once when it thaws, not once for each tick.
+		// A frozen process ticks once when it resumes, not once for each missed
+		// interval.
 		f.after(node.TickInterval, func() { f.tick(r) })
 	})
 }
 
-// renew keeps a router's lease, counted from when the renewal was sent.
+// renew renews a router's lease, whose duration counts from the sending of the
+// renewal, and repeats that every renewEvery.
 func (f *Fleet) renew(r *Router) {
 	if !r.Frozen && !r.Dead && !r.NoLease {
-		f.step(r, node.LeaseChanged{Until: f.Now + leaseLength, Session: r.session})
+		f.step(r, node.LeaseChanged{Until: f.Now + leaseDuration, Session: r.session})
 	}
 	f.after(renewEvery, func() { f.renew(r) })
 }
 
 func (f *Fleet) step(r *Router, in node.Input) {
 	outs := slices.Clone(r.Core.Step(f.Now, in))
-	f.note(r, in, outs)
+	f.recordStep(r, in, outs)
 	for _, out := range outs {
 		f.perform(r, out)
 	}
@@ -348,10 +353,10 @@
 	switch out := out.(type) {
 	case node.Send:
 		f.send(r, out)
-	case node.Spread:
-		f.spread(r, out)
+	case node.Broadcast:
+		f.broadcast(r, out)
 	case node.CallUpstream:
-		f.call(r, out)
+		f.callUpstream(r, out)
 	case node.CancelUpstream:
 		for _, engine := range f.Engines {
 			engine.cancel(out.Attempt)
@@ -360,7 +365,7 @@
 		engine := f.Engines[out.Upstream]
 		reachable := engine != nil && !engine.Down
 		f.after(latency, func() {
-			f.toRouter(r, func() { f.step(r, node.UpstreamProbed{Upstream: out.Upstream, Reachable: reachable}) })
+			f.runOn(r, func() { f.step(r, node.UpstreamProbed{Upstream: out.Upstream, Reachable: reachable}) })
 		})
 	case node.Journal:
 		f.journal(r, out)
@@ -369,38 +374,39 @@
 	case node.OrderEngine:
 		f.orderEngine(r, out)
 	case node.MoveCache:
-		f.Moves = append(f.Moves, out)
+		f.CacheMoves = append(f.CacheMoves, out)
 		f.after(latency, func() {
-			f.toRouter(r, func() { f.step(r, node.CacheMoved{Upstream: out.Upstream, Hash: out.Hash, Moved: true}) })
+			f.runOn(r, func() { f.step(r, node.CacheMoved{Upstream: out.Upstream, Hash: out.Hash, Moved: true}) })
 		})
 	case node.ReplyIssuer:
-		f.after(latency, func() { f.Replies = append(f.Replies, out.Reply) })
+		f.after(latency, func() { f.EngineReplies = append(f.EngineReplies, out.Reply) })
 	case node.RemoveUpstream:
-		if f.Removes {
-			f.after(journalTime, func() { f.remove(out.Upstream) })
+		if f.ApplyRemovals {
+			f.after(commitTime, func() { f.remove(out.Upstream) })
 		}
 	case node.RegisterUpstream:
 	default:
-		f.answer(out)
+		f.recordAnswer(out)
 	}
 }
 
-// send delivers a message, or tells the sender later that it couldn't.
+// send delivers a message, or tells the sender after peerLostAfter that the peer
+// is lost.
 func (f *Fleet) send(from *Router, out node.Send) {
 	to := f.Routers[out.To]
-	if to == nil || to.Dead || f.cut[[2]protocol.RouterID{from.ID, out.To}] {
+	if to == nil || to.Dead || f.partitioned[[2]protocol.RouterID{from.ID, out.To}] {
 		if out.Reliable {
-			f.after(lostAfter, func() { f.toRouter(from, func() { f.step(from, node.PeerLost{Peer: out.To}) }) })
+			f.after(peerLostAfter, func() { f.runOn(from, func() { f.step(from, node.PeerLost{Peer: out.To}) }) })
 		}
 		return
 	}
 	f.after(latency, func() {
-		f.toRouter(to, func() { f.step(to, inputOf(from.ID, out)) })
+		f.runOn(to, func() { f.step(to, messageInput(from.ID, out)) })
 	})
 }
 
-// spread delivers a notice to every other router that can be reached.
-func (f *Fleet) spread(from *Router, out node.Spread) {
+// broadcast delivers a notice to every other router that can be reached.
+func (f *Fleet) broadcast(from *Router, out node.Broadcast) {
 	for _, id := range f.routerIDs() {
 		if id != from.ID {
 			f.send(from, node.Send{To: id, Kind: wire.KindQuarantine, Payload: out.Notice})
@@ -408,23 +414,23 @@
 	}
 }
 
-// journal commits an order's command.
+// journal commits a command of an order.
 func (f *Fleet) journal(r *Router, out node.Journal) {
-	f.after(journalTime, func() {
-		f.index++
+	f.after(commitTime, func() {
+		f.journalIndex++
 		command := out.Command
 		command.At = int64(f.Now / time.Millisecond)
-		result, err := fleetstate.DecodeResult(f.Journal.Apply(f.index, fleetstate.Command{Order: &command}.Encode()))
-		in := node.JournalResult{Caller: out.Caller, Op: command.Op, Failed: err != nil}
+		result, err := fleetstate.DecodeResult(f.Journal.Apply(f.journalIndex, fleetstate.Command{Order: &command}.Encode()))
+		in := node.JournalResult{Flow: out.Flow, Op: command.Op, Failed: err != nil}
 		if result.Order != nil {
 			in.Result = *result.Order
 		}
-		f.after(latency, func() { f.toRouter(r, func() { f.step(r, in) }) })
+		f.after(latency, func() { f.runOn(r, func() { f.step(r, in) }) })
 	})
 }
 
-// answer notes what a caller gets.
-func (f *Fleet) answer(out node.Output) {
+// recordAnswer records what a caller receives.
+func (f *Fleet) recordAnswer(out node.Output) {
 	switch out := out.(type) {
 	case node.AnswerHead:
 		a := f.Answers[out.Request]
@@ -442,12 +448,12 @@
 	}
 }
 
-// call starts a request on an engine.
-func (f *Fleet) call(r *Router, call node.CallUpstream) {
-	engine := f.Engines[call.Place.Upstream]
-	engine.start(r, call)
+// callUpstream starts a request on an engine.
+func (f *Fleet) callUpstream(r *Router, callUpstream node.CallUpstream) {
+	engine := f.Engines[callUpstream.Place.Upstream]
+	engine.start(r, callUpstream)
 	if f.OnCall != nil {
-		f.OnCall(r.ID, call)
+		f.OnCall(r.ID, callUpstream)
 	}
 }
 
@@ -460,35 +466,36 @@
 	})
 }
 
-// item is something that happens at a time; order settles ties.
-type item struct {
+// event is a function to run at a time. Events of the same time run in their
+// order.
+type event struct {
 	at    time.Duration
 	order uint64
 	run   func()
 }
 
-// schedule is a heap of items.
-type schedule []item
+// eventHeap is a heap of events by time.
+type eventHeap []event
 
-func (s schedule) Len() int { return len(s) }
-func (s schedule) Less(i, j int) bool {
+func (s eventHeap) Len() int { return len(s) }
+func (s eventHeap) Less(i, j int) bool {
 	if s[i].at != s[j].at {
 		return s[i].at < s[j].at
 	}
 	return s[i].order < s[j].order
 }
-func (s schedule) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
+func (s eventHeap) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
 
 // Push and Pop implement heap.Interface.
-func (s *schedule) Push(x any) { *s = append(*s, x.(item)) }
+func (s *eventHeap) Push(x any) { *s = append(*s, x.(event)) }
 
 // Pop implements heap.Interface.
-func (s *schedule) Pop() any {
+func (s *eventHeap) Pop() any {
 	old := *s
 	last := old[len(old)-1]
 	*s = old[:len(old)-1]
 	return last
 }
 
-// KeyHash is the hash of a bearer key as the core gets it.
+// KeyHash returns the hash of a bearer key, as in CallerRequest.
 func KeyHash(key string) [32]byte { return sha256.Sum256([]byte(key)) }
--- a/coordination/node/nodetest/transcript.go
+++ b/coordination/node/nodetest/transcript.go
@@ -9,18 +9,18 @@
 	"endiveplank/protocol"
 )
 
-// Transcript returns what one router's core was given and what it wanted, a
-// line for each, in a form that people can read. Passing time, announcements
-// and load totals are left out. It starts with the call of Record.
+// Transcript returns the inputs and outputs of the recorded router since the
+// call of Record, one per line, for humans. Inputs without text and outputs, such
+// as ticks, announcements and load totals, are omitted.
 func (f *Fleet) Transcript() string { return f.transcript.String() }
 
-// Record starts a transcript of one router.
+// Record starts recording the inputs and outputs of one router.
 func (f *Fleet) Record(router protocol.RouterID) {
 	f.recorded = router
 	f.transcript = &strings.Builder{}
 }
 
-func (f *Fleet) note(r *Router, in node.Input, outs []node.Output) {
+func (f *Fleet) recordStep(r *Router, in node.Input, outs []node.Output) {
 	if f.transcript == nil || f.recorded != r.ID {
 		return
 	}
@@ -93,7 +93,7 @@
 	case node.Journal:
 		return fmt.Sprintf("journal op %d of order %s", out.Command.Op, out.Command.Key.Key)
 	case node.Event:
-		return fmt.Sprintf("explain %s: %s on %s (%s)", out.What, out.Reason, out.Upstream, out.Detail)
+		return fmt.Sprintf("explain %s: %s on %s (%s)", out.Kind, out.Reason, out.Upstream, out.Detail)
 	}
 	return ""
 }
--- a/coordination/node/order.go
+++ b/coordination/node/order.go
@@ -3,6 +3,7 @@
 import (
 	"crypto/sha256"
 	"encoding/binary"
+	"fmt"
 	"time"
 
 	"endiveplank/coordination/orders"
@@ -11,36 +12,36 @@
 	"endiveplank/protocol/fleet"
 )
 
-// leastLookGap is the least time between two looks into the journal for one
-// order. Each look is a command, which every voter syncs.
-const leastLookGap = 250 * time.Millisecond
+// minJournalReadInterval is the minimum time between two reads of the journal
+// for one order. Each read is a command, which every voter syncs to disk.
+const minJournalReadInterval = 250 * time.Millisecond
 
-// order is the part of an entry that follows an order through the journal.
-// What may be done with it is decided by orders.Entry; this file only carries
-// its wishes out.
-type order struct {
+// entryOrder is the part of an entryRequest that follows an order through the
+// journal. orders.Entry makes the decisions; this file only carries out its
+// outputs.
+type entryOrder struct {
 	flow   *orders.Entry
 	key    orders.Key
 	digest orders.Digest
-	// lookAt is when the journal is to be read again, or zero.
-	lookAt time.Duration
-	// body is the answer's body when the journal doesn't keep it.
+	// readJournalAt is when to read the journal again, or zero.
+	readJournalAt time.Duration
+	// body is the body of the answer if the journal doesn't keep it.
 	body []byte
 }
 
 // newOrder prepares the flow of a request that may run at most once.
-func (n *Node) newOrder(e *entry) *order {
+func (n *Node) newOrder(e *entryRequest) *entryOrder {
 	in := e.request
-	fresh := &order{
+	o := &entryOrder{
 		key:    orders.Key{Customer: e.customer.ID, Key: in.IdempotencyKey},
 		digest: orderDigest(in),
 	}
-	fresh.flow = orders.NewEntry(fresh.key, fresh.digest, e.deadline)
-	return fresh
+	o.flow = orders.NewEntry(o.key, o.digest, e.deadline)
+	return o
 }
 
-// orderDigest identifies method, path and body, so that a key that comes back
-// with another request is noticed.
+// orderDigest identifies method, path and body, so that the journal detects an
+// idempotency key that is reused for another request.
 func orderDigest(in CallerRequest) orders.Digest {
 	hash := sha256.New()
 	for _, part := range [][]byte{[]byte(in.Method), []byte(in.Path), in.Body} {
@@ -54,41 +55,41 @@
 	return digest
 }
 
-func (n *Node) startOrder(now time.Duration, e *entry) {
+func (n *Node) startOrder(now time.Duration, e *entryRequest) {
 	e.phase = phaseJournal
 	n.stepOrder(now, e, orders.Start{})
 }
 
-// stepOrder gives the flow one input and carries out what it wants.
-func (n *Node) stepOrder(now time.Duration, e *entry, in orders.Input) {
+// stepOrder passes one input to the flow and carries out its outputs.
+func (n *Node) stepOrder(now time.Duration, e *entryRequest, in orders.Input) {
 	for _, out := range e.order.flow.Step(now, in) {
-		n.performOrder(now, e, out)
+		n.performOrderOutput(now, e, out)
 	}
 	if e.order.flow.Ended() {
-		n.remove(now, e)
+		n.removeEntry(now, e)
 	}
 }
 
-func (n *Node) performOrder(now time.Duration, e *entry, out orders.Output) {
+func (n *Node) performOrderOutput(now time.Duration, e *entryRequest, out orders.Output) {
 	switch out := out.(type) {
 	case orders.Propose:
-		n.emit(Journal{Caller: JournalCaller{Attempt: fleet.Attempt{Request: e.request.ID}}, Command: out.Command})
+		n.emit(Journal{Flow: JournalFlow{Attempt: fleet.Attempt{Request: e.request.ID}}, Command: out.Command})
 	case orders.Look:
 		e.phase = phaseJournal
-		e.order.lookAt = now + max(out.After, leastLookGap)
+		e.order.readJournalAt = now + max(out.After, minJournalReadInterval)
 	case orders.Dispatch:
 		e.template.Order = &fleet.Order{Key: e.order.key.Key, Digest: e.order.digest, Attempt: out.Attempt}
 		n.place(now, e)
 	case orders.Reply:
 		n.answerOrder(e, out)
 	default:
-		panic("node: order flow wants something the entry doesn't know")
+		panic(fmt.Sprintf("node: the entry router does not handle outputs of type %T of orders.Entry", out))
 	}
 }
 
-// answerOrder tells the caller what the journal holds.
-func (n *Node) answerOrder(e *entry, reply orders.Reply) {
-	n.emit(Event{Request: e.request.ID, Customer: e.customer.ID, What: "answered", Reason: reason.Code(reply.Reason), Detail: "order " + string(reply.Outcome)})
+// answerOrder sends the caller the outcome that the journal holds.
+func (n *Node) answerOrder(e *entryRequest, reply orders.Reply) {
+	n.emit(Event{Request: e.request.ID, Customer: e.customer.ID, Kind: "answered", Reason: reason.Code(reply.Reason), Detail: "order " + string(reply.Outcome)})
 	if reply.Answer == nil {
 		n.emit(orderError(e, reply))
 		return
@@ -104,8 +105,8 @@
 	n.emit(AnswerEnd{Request: id, Reason: reason.Completed})
 }
 
-// orderError is the answer to an order without one of the service.
-func orderError(e *entry, reply orders.Reply) AnswerError {
+// orderError is the error for an order without an answer of the service.
+func orderError(e *entryRequest, reply orders.Reply) AnswerError {
 	answer := AnswerError{Request: e.request.ID, Outcome: reply.Outcome}
 	switch reply.Reason {
 	case orders.ReasonDigestConflict:
@@ -130,12 +131,12 @@
 	return answer
 }
 
-// orderIsDue says whether the flow wants a look or a tick.
-func (n *Node) orderIsDue(now time.Duration, e *entry) bool {
-	if e.phase == phaseLimit {
+// orderIsDue reports whether the entry router must act on an order now.
+func (n *Node) orderIsDue(now time.Duration, e *entryRequest) bool {
+	if e.phase == phaseAwaitingLimit {
 		return now >= e.wakeAt
 	}
-	if e.order.lookAt > 0 && now >= e.order.lookAt {
+	if e.order.readJournalAt > 0 && now >= e.order.readJournalAt {
 		return true
 	}
 	if e.checkIsDue(now) {
@@ -146,26 +147,26 @@
 		if now >= e.wakeAt {
 			return true
 		}
-	case phaseAsking:
-		if now-e.progress > ownerPatience {
+	case phasePlacing:
+		if now-e.lastProgress > ownerReplyTimeout {
 			return true
 		}
 	}
 	return now >= e.order.flow.NextTick()
 }
 
-// orderDue acts on an order whose time has come.
-func (n *Node) orderDue(now time.Duration, e *entry) {
-	if e.order.lookAt > 0 && now >= e.order.lookAt {
-		e.order.lookAt = 0
+// handleOrderDue acts on an order that is due.
+func (n *Node) handleOrderDue(now time.Duration, e *entryRequest) {
+	if e.order.readJournalAt > 0 && now >= e.order.readJournalAt {
+		e.order.readJournalAt = 0
 		look := orders.Command{Op: orders.OpReserve, Key: e.order.key, Digest: e.order.digest}
-		n.performOrder(now, e, orders.Propose{Command: look})
+		n.performOrderOutput(now, e, orders.Propose{Command: look})
 	}
 	if now >= e.order.flow.NextTick() {
 		n.stepOrder(now, e, orders.Tick{})
 		return
 	}
-	if e.checkIsDue(now) && n.check(now, e) {
+	if e.checkIsDue(now) && n.checkOwner(now, e) {
 		n.orderOwnerLost(now, e)
 		return
 	}
@@ -174,36 +175,37 @@
 		if now >= e.wakeAt {
 			n.place(now, e)
 		}
-	case phaseAsking:
-		if now-e.progress > ownerPatience {
+	case phasePlacing:
+		if now-e.lastProgress > ownerReplyTimeout {
 			n.orderOwnerLost(now, e)
 		}
 	}
 }
 
-// orderOwnerLost lets the flow read from the journal what became of the
-// attempt. Another may follow only if the journal says that nobody holds it.
-func (n *Node) orderOwnerLost(now time.Duration, e *entry) {
+// orderOwnerLost makes the flow read the outcome of the attempt from the
+// journal. Another attempt may follow only if no owner holds the order in the
+// journal.
+func (n *Node) orderOwnerLost(now time.Duration, e *entryRequest) {
 	e.phase = phaseJournal
 	n.stepOrder(now, e, orders.DispatcherLost{})
 }
 
-// orderRefused seals the order at once: the fleet has given up on it, and the
-// caller must not be held back until its deadline.
-func (n *Node) orderRefused(now time.Duration, e *entry) {
+// orderRefused makes the flow seal the order at once: an owner has refused it,
+// and the caller should not have to wait until the deadline.
+func (n *Node) orderRefused(now time.Duration, e *entryRequest) {
 	e.phase = phaseJournal
 	n.stepOrder(now, e, orders.Refused{})
 }
 
-// orderCallerGone lets the order go on without its caller, who may ask for the
-// outcome by the key.
-func (n *Node) orderCallerGone(now time.Duration, e *entry) {
+// orderCallerGone continues the order without its caller, who can ask for the
+// outcome with the same key later.
+func (n *Node) orderCallerGone(now time.Duration, e *entryRequest) {
 	n.stepOrder(now, e, orders.CallerGone{})
 }
 
-// orderReport takes an owner's word on an attempt.
-func (n *Node) orderReport(now time.Duration, in PeerOrderReport) {
-	e := n.live(in.Report.Attempt)
+// handleOrderReport handles an owner's report on an attempt.
+func (n *Node) handleOrderReport(now time.Duration, in PeerOrderReport) {
+	e := n.currentEntry(in.Report.Attempt)
 	if e == nil || e.order == nil {
 		return
 	}
@@ -212,17 +214,17 @@
 	n.stepOrder(now, e, orders.Reported{Report: orders.Report{Kind: in.Report.Kind, Record: in.Report.Record}})
 }
 
-// journalResult hands a result to the flow that asked.
-func (n *Node) journalResult(now time.Duration, in JournalResult) {
+// handleJournalResult passes a result to the flow that proposed the command.
+func (n *Node) handleJournalResult(now time.Duration, in JournalResult) {
 	input := orders.Input(orders.Committed{Op: in.Op, Result: in.Result})
 	if in.Failed {
 		input = orders.ProposalLost{Op: in.Op}
 	}
-	if in.Caller.Owner {
-		n.stepDispatchOf(now, in.Caller.Attempt, input)
+	if in.Flow.Owner {
+		n.stepDispatchOf(now, in.Flow.Attempt, input)
 		return
 	}
-	if e := n.entries[in.Caller.Attempt.Request]; e != nil && e.order != nil {
+	if e := n.entries[in.Flow.Attempt.Request]; e != nil && e.order != nil {
 		n.stepOrder(now, e, input)
 	}
 }
--- a/coordination/node/outputs.go
+++ b/coordination/node/outputs.go
@@ -13,10 +13,10 @@
 	"endiveplank/protocol/wire"
 )
 
-// Output is something the driver is to do.
+// Output is an action that the driver must carry out.
 type Output interface{ output() }
 
-// Send sends a message to a peer. Messages of the data path are reliable.
+// Send sends a message to a peer. All messages of the data path are Reliable.
 type Send struct {
 	To       protocol.RouterID
 	Kind     wire.Kind
@@ -24,29 +24,30 @@
 	Reliable bool
 }
 
-// Spread tells every other router of a crash or quarantine, as a PeerNotice
-// there. The driver chooses how; it may reach a router twice.
-type Spread struct{ Notice quarantine.Notice }
+// Broadcast sends a notice of a crash or quarantine to every other router, which
+// receives it as a PeerQuarantineNotice. The driver chooses the transport, and a
+// router may receive the same notice twice.
+type Broadcast struct{ Notice quarantine.Notice }
 
-// CallUpstream starts an HTTP call. Its answer comes back as UpstreamChunk
-// and one UpstreamEnd.
+// CallUpstream starts an HTTP call to an upstream. The driver returns the answer
+// as UpstreamChunk inputs and one UpstreamEnd.
 type CallUpstream struct {
 	Attempt fleet.Attempt
 	Address string
 	Place   fleet.Place
 }
 
-// CancelUpstream ends a call; no UpstreamEnd is needed for it any more.
+// CancelUpstream cancels a call. The driver need not send an UpstreamEnd for it.
 type CancelUpstream struct{ Attempt fleet.Attempt }
 
-// ProbeUpstream asks whether an upstream takes connections; the answer is an
-// UpstreamProbed.
+// ProbeUpstream checks whether an upstream accepts connections. The driver
+// returns an UpstreamProbed.
 type ProbeUpstream struct {
 	Upstream protocol.UpstreamID
 	Address  string
 }
 
-// AnswerHead starts the answer to a caller.
+// AnswerHead starts the answer to a caller with its status and headers.
 type AnswerHead struct {
 	Request protocol.RequestID
 	Status  int
@@ -54,59 +55,62 @@
 	Outcome protocol.RunOutcome
 }
 
-// AnswerChunk adds to the answer.
+// AnswerChunk adds data to the answer.
 type AnswerChunk struct {
 	Request protocol.RequestID
 	Index   int
 	Data    []byte
 }
 
-// AnswerEnd closes the answer. Broken means that the answer had begun and
-// can't be finished; the driver makes that visible to the caller.
+// AnswerEnd ends the answer. Broken means that the answer has begun and can't
+// be completed; the driver must make that visible to the caller.
 type AnswerEnd struct {
 	Request protocol.RequestID
 	Broken  bool
 	Reason  reason.Code
 }
 
-// AnswerError answers a caller whose answer had not begun.
+// AnswerError sends an error to a caller whose answer has not begun.
 type AnswerError struct {
 	Request protocol.RequestID
 	Status  int
 	Reason  reason.Code
-	// Detail is for people.
+	// Detail is an explanation for humans.
 	Detail     string
 	Outcome    protocol.RunOutcome
 	RetryAfter time.Duration
 }
 
-// JournalCaller names the flow that a journal command belongs to.
-type JournalCaller struct {
+// JournalFlow identifies the flow of an order that a journal command belongs to.
+type JournalFlow struct {
 	Attempt fleet.Attempt
-	// Owner tells the owner's flow of an attempt from the entry's.
+	// Owner is true for the owner's flow of an attempt and false for the entry
+	// router's flow of the request.
 	Owner bool
 }
 
-// Journal proposes a command to the journal of orders; its answer comes back
-// as JournalResult.
+// Journal proposes a command to the journal of orders. The driver returns a
+// JournalResult.
 type Journal struct {
-	Caller  JournalCaller
+	Flow    JournalFlow
 	Command orders.Command
 }
 
-// RegisterUpstream proposes what an upstream announced as configuration.
+// RegisterUpstream proposes to write an upstream's announcement to the
+// replicated state.
 type RegisterUpstream struct{ Announcement upstreamapi.Announcement }
 
-// RemoveUpstream proposes that an upstream is gone.
+// RemoveUpstream proposes to remove an upstream from the replicated state.
 type RemoveUpstream struct {
 	Upstream    protocol.UpstreamID
 	Incarnation uint64
 	Reason      reason.Code
 }
 
-// OrderEngine sends an order to an engine, unless the ask is to read only, and
-// then reads the engine's state. Exactly one EngineAnswered comes back. At
-// NotAfter or later nothing may be sent: the ownership may have ended.
+// OrderEngine sends an order to an engine, unless the ask is read-only, and then
+// reads the engine's state. The driver returns exactly one EngineAnswered. The
+// driver must send nothing at or after NotAfter, because this router may no
+// longer own the engine then.
 type OrderEngine struct {
 	From     protocol.RouterID
 	Ask      engineorders.Ask
@@ -114,30 +118,30 @@
 	NotAfter time.Duration
 }
 
-// ReplyIssuer sends the answer to an ask back to the issuer, which may be on
-// this router.
+// ReplyIssuer sends the reply to an ask to the issuer, which may run on this
+// router.
 type ReplyIssuer struct {
 	To    protocol.RouterID
 	Reply engineorders.Reply
 }
 
-// Event explains a decision.
+// Event records a decision and its reason, for operators.
 type Event struct {
 	Request  protocol.RequestID
 	Attempt  uint32
 	Customer protocol.CustomerID
 	Upstream protocol.UpstreamID
 	Router   protocol.RouterID
-	// What names the decision: placed, spilled, queued, refused, retried,
-	// ended, answered, quarantined, removed.
-	What   string
+	// Kind names the decision, for example placed, spilled, queued, refused,
+	// attempt-failed, ended, answered or removed.
+	Kind   string
 	Reason reason.Code
-	// Detail holds the figures behind the decision.
+	// Detail holds the numbers or the explanation behind the decision.
 	Detail string
 }
 
 func (Send) output()             {}
-func (Spread) output()           {}
+func (Broadcast) output()        {}
 func (CallUpstream) output()     {}
 func (CancelUpstream) output()   {}
 func (ProbeUpstream) output()    {}
