--- a/coordination/node/owner.go
+++ b/coordination/node/owner.go
@@ -18,101 +18,107 @@
 	"endiveplank/protocol/upstreamapi"
 )
 
-// silentAfter is how long an upstream may go without an announcement before
-// it gets no new work: three missed ones.
+// silentAfter is how long an upstream may send no announcement before it gets no
+// new work: it has then missed three.
 const silentAfter = 3*upstreamapi.AnnounceInterval + upstreamapi.AnnounceInterval/2
 
-// assumedTokenTime is how long an engine is taken to need for one token of
-// one stream before any was measured. It is the time users aim at.
+// assumedTokenTime is the assumed time for one token of one stream before any
+// was measured. It is the time between tokens that users want.
 const assumedTokenTime = 27 * time.Millisecond
 
-// owned is an upstream that this router owns, or still relays for.
-type owned struct {
+// ownedUpstream is an upstream that this router owns, or owned before and still
+// relays answers for.
+type ownedUpstream struct {
 	id     protocol.UpstreamID
 	config *Upstream
-	// holds says that the view names this router as the owner.
-	holds bool
-	// heard says that the upstream's own report came since the tenure began.
-	// Without it the work that a former owner left is not known, and nothing
-	// is admitted.
-	heard bool
+	// isOwner means that the view names this router as the owner and does not
+	// ask it to release the upstream.
+	isOwner bool
+	// hasReport means that an announcement of the upstream has arrived since this
+	// ownership began. Before that the load that a former owner left there is
+	// unknown, and nothing is admitted.
+	hasReport bool
 	// running holds the attempts that were sent to the upstream.
 	running map[fleet.Attempt]*relay
-	// queue decides the order of what waits; waiting finds its relays.
+	// queue orders the waiting requests. waiting maps the IDs in the queue to
+	// their relays.
 	queue   *admission.Queue
 	waiting map[protocol.RequestID]*relay
-	// onHold are requests that wait for the end of a suspect's trial, or for
-	// one of their own.
-	onHold []*relay
-	// leaving is set by a goodbye or by an announcement that says so.
-	leaving     bool
-	incarnation uint64
-	sequence    uint64
-	announced   time.Duration
-	reported    upstreamapi.Load
-	pace        *stream.WaitEstimator
-	// seen is the load of other upstreams as an entry heard it at seenAt.
-	seen   float64
-	seenAt time.Duration
-	// done counts the tokens that its streams made since the queue was told.
-	done int
-	// tokenTime is the lately measured time of one token of one stream.
+	// heldForTrial holds requests that wait for the end of the trial of a suspect
+	// request, or for a trial of their own.
+	heldForTrial []*relay
+	// leaving means that the upstream has announced that it leaves.
+	leaving       bool
+	incarnation   uint64
+	sequence      uint64
+	announcedAt   time.Duration
+	reportedLoad  upstreamapi.Load
+	waitEstimator *stream.WaitEstimator
+	// loadBeside is the load of other upstreams as an entry router last reported
+	// it, at loadBesideAt.
+	loadBeside   float64
+	loadBesideAt time.Duration
+	// unreportedTokens counts the tokens that the streams have produced since the
+	// last updateQueue.
+	unreportedTokens int
+	// tokenTime is the moving average of the time for one token of one stream.
 	tokenTime time.Duration
-	crash     crashWatch
+	crash     crashDetector
 }
 
 // relay is one attempt on the owner's side.
 type relay struct {
-	place    fleet.Place
-	from     protocol.RouterID
-	ask      placement.Ask
-	deadline time.Duration
+	place       fleet.Place
+	entryRouter protocol.RouterID
+	placeAsk    placement.Ask
+	deadline    time.Duration
 	// cost is the work that the load bound counts, in generated tokens.
 	cost float64
-	// drained is the part of cost that the upstream has done.
-	drained float64
-	// answer holds what placement wants back at the end.
-	answer placement.Answer
-	// queuedAt is when it began to wait here.
+	// doneCost is the part of cost that the upstream has done.
+	doneCost float64
+	// placeAnswer is the answer of placement, which needs the ticket in it back
+	// at the end of the attempt.
+	placeAnswer placement.Answer
+	// queuedAt is when the request entered the queue here.
 	queuedAt time.Duration
-	// sentAt and progress are when it was sent to the upstream and when the
-	// upstream last sent something.
-	sentAt   time.Duration
-	progress time.Duration
-	chunks   int
-	// dispatch is set for an order.
+	// sentAt is when the request was sent to the upstream, and lastProgress when
+	// the upstream last sent a chunk.
+	sentAt       time.Duration
+	lastProgress time.Duration
+	chunks       int
+	// dispatch is set for orders only.
 	dispatch *dispatch
 }
 
-func newOwned(now time.Duration, upstream *Upstream) *owned {
-	return &owned{
-		id:        upstream.ID,
-		config:    upstream,
-		holds:     !upstream.Moving,
-		running:   map[fleet.Attempt]*relay{},
-		queue:     admission.New(admission.DefaultConfig(queueRates(upstream))),
-		waiting:   map[protocol.RequestID]*relay{},
-		announced: now,
-		pace:      stream.NewWaitEstimator(stream.DefaultWaitEstimatorConfig()),
-		tokenTime: assumedTokenTime,
+func newOwnedUpstream(now time.Duration, upstream *Upstream) *ownedUpstream {
+	return &ownedUpstream{
+		id:            upstream.ID,
+		config:        upstream,
+		isOwner:       !upstream.Moving,
+		running:       map[fleet.Attempt]*relay{},
+		queue:         admission.New(admission.DefaultConfig(queueRates(upstream))),
+		waiting:       map[protocol.RequestID]*relay{},
+		announcedAt:   now,
+		waitEstimator: stream.NewWaitEstimator(stream.DefaultWaitEstimatorConfig()),
+		tokenTime:     assumedTokenTime,
 	}
 }
 
-// isEngine says whether the upstream runs a model; the load bound and the
-// quarantine are about these.
-func (t *owned) isEngine() bool { return t.config.Kind == upstreamapi.KindEngine }
+// isEngine reports whether the upstream runs a model. The load bound and the
+// quarantine apply to engines only.
+func (t *ownedUpstream) isEngine() bool { return t.config.Kind == upstreamapi.KindEngine }
 
-// ownerPlace decides on a request for an upstream: start, queue, spill or
-// refuse.
+// handlePlace decides on a request for an upstream: the request starts, is
+// queued, spills (the entry router asks another owner) or is refused.
 //
-// Load: any mix; the harm prevented is an upstream with more work than its
-// share, which makes every caller on it wait. The limits: only the holder of
-// the upstream's ownership admits, and only under a valid lease, so that the
-// count is exact; the load bound and the upstream's own limit, because what
-// waits inside an engine no longer obeys priorities.
-func (n *Node) ownerPlace(now time.Duration, in PeerPlace) {
+// This prevents an upstream from getting more work than its share, which would
+// make every caller on it wait. Only the upstream's owner admits work, and only
+// under a valid lease, so the owner's count of the load is exact. The owner
+// enforces the load bound and the upstream's own limit, because requests that
+// wait inside an engine are no longer ordered by priority.
+func (n *Node) handlePlace(now time.Duration, in PeerPlace) {
 	target := n.owned[in.Place.Upstream]
-	if !n.mayServe(now) || target == nil || !target.holds || target.config.Fence != in.Place.Fence {
+	if !n.leaseValid(now) || target == nil || !target.isOwner || target.config.Fence != in.Place.Fence {
 		n.replyPlace(in.From, in.Place, fleet.PlaceReply{Outcome: fleet.PlaceNotOwner, Reason: string(reason.NotOwner)})
 		return
 	}
@@ -120,60 +126,60 @@
 		n.replyPlace(in.From, in.Place, fleet.PlaceReply{Outcome: fleet.PlaceNotOwner, Reason: string(why)})
 		return
 	}
-	n.decide(now, target, n.newRelay(now, target, in))
+	n.decidePlace(now, target, n.newRelay(now, target, in))
 }
 
-func (n *Node) newRelay(now time.Duration, target *owned, in PeerPlace) *relay {
+func (n *Node) newRelay(now time.Duration, target *ownedUpstream, in PeerPlace) *relay {
 	place := in.Place
-	fresh := &relay{
-		place:    place,
-		from:     in.From,
-		deadline: now + time.Duration(place.RemainingMS)*time.Millisecond,
-		cost:     1,
+	r := &relay{
+		place:       place,
+		entryRouter: in.From,
+		deadline:    now + time.Duration(place.RemainingMS)*time.Millisecond,
+		cost:        1,
 	}
 	if target.isEngine() {
-		fresh.ask = placement.Ask{
+		r.placeAsk = placement.Ask{
 			Upstream:     place.Upstream,
 			Stage:        placement.Stage(place.Stage),
 			Home:         place.Home,
-			Chain:        coreChain(place.Chain),
+			Chain:        decodeChain(place.Chain),
 			Root:         place.Root,
 			OutputTokens: max(1, place.OutputTokens-place.ResumeAt),
 			Seen:         place.SeenLoad,
 		}
-		fresh.cost = n.policy.Cost(place.PromptTokens, 0, fresh.ask.OutputTokens)
+		r.cost = n.policy.Cost(place.PromptTokens, 0, r.placeAsk.OutputTokens)
 	}
-	return fresh
+	return r
 }
 
-// usable says whether an upstream may get new work at all.
-func (n *Node) usable(now time.Duration, target *owned) (reason.Code, bool) {
+// usable reports whether an upstream may get new work at all, and why not.
+func (n *Node) usable(now time.Duration, target *ownedUpstream) (reason.Code, bool) {
 	switch {
 	case target.leaving || target.config.Drain || n.draining:
 		return reason.UpstreamLeaving, false
-	case !target.heard || now-target.announced > silentAfter || target.crash.down:
+	case !target.hasReport || now-target.announcedAt > silentAfter || target.crash.down:
 		return reason.UpstreamSilent, false
 	}
 	return "", true
 }
 
-// decide finds out whether a request may start now.
-func (n *Node) decide(now time.Duration, target *owned, r *relay) {
+// decidePlace decides whether a request may start now.
+func (n *Node) decidePlace(now time.Duration, target *ownedUpstream, r *relay) {
 	final := placement.Stage(r.place.Stage) == placement.Final
 	if target.isEngine() {
 		if hold := n.holdFor(now, target, r); hold != quarantine.HoldNone {
-			n.decideHold(now, target, r, hold, final)
+			n.applyHold(now, target, r, hold, final)
 			return
 		}
 	}
-	target.hear(now, r.place.SeenLoad)
+	target.recordLoadBeside(now, r.place.SeenLoad)
 	if target.queue.Len() > 0 {
-		// What waits goes first, by the queue's rules, and the news that this
-		// request brings may make room for it.
+		// Waiting requests go first, by the rules of the queue. The load that this
+		// Place carries may show that the load bound now admits some of them.
 		n.startQueued(now, target)
 	}
 	if target.queue.Len() > 0 {
-		n.spillOrSubmit(now, target, r, final, n.behindQueue(now, target, r))
+		n.spillOrEnqueue(now, target, r, final, n.answerBehindQueue(now, target, r))
 		return
 	}
 	if !target.isEngine() {
@@ -181,36 +187,39 @@
 			n.start(now, target, r, reason.FirstChoice)
 			return
 		}
-		n.spillOrSubmit(now, target, r, final, placement.Answer{})
+		n.spillOrEnqueue(now, target, r, final, placement.Answer{})
 		return
 	}
 	n.decideEngine(now, target, r, final)
 }
 
-// seenFor is how long what an entry heard of other upstreams counts. Within it
-// an engine drains less than the share that the load bound allows for.
-const seenFor = TickInterval / 2
+// loadBesideMaxAge is how long the load of other upstreams that an entry router
+// reported is used. Within this time an engine completes less work than the
+// tolerance of the load bound.
+const loadBesideMaxAge = TickInterval / 2
 
-// hear keeps what an entry has just heard of other upstreams.
-func (t *owned) hear(now time.Duration, seen float64) {
+// recordLoadBeside records the load of other upstreams that an entry router has
+// just reported.
+func (t *ownedUpstream) recordLoadBeside(now time.Duration, seen float64) {
 	if seen > 0 {
-		t.seen = seen
-		t.seenAt = now
+		t.loadBeside = seen
+		t.loadBesideAt = now
 	}
 }
 
-// heardBeside is the load of other upstreams, if it was heard just now.
-func (t *owned) heardBeside(now time.Duration) float64 {
-	if now-t.seenAt > seenFor {
+// recentLoadBeside returns the load of other upstreams, or 0 if the last report
+// is too old.
+func (t *ownedUpstream) recentLoadBeside(now time.Duration) float64 {
+	if now-t.loadBesideAt > loadBesideMaxAge {
 		return 0
 	}
-	return t.seen
+	return t.loadBeside
 }
 
-// behindQueue is the answer to a question about an upstream whose queue isn't
-// empty. The ratio counts what waits there as well, so that the entry doesn't
-// take an upstream with a queue for the one with the least to do.
-func (n *Node) behindQueue(now time.Duration, target *owned, r *relay) placement.Answer {
+// answerBehindQueue is the answer for an upstream whose queue isn't empty. Its
+// load ratio includes the queued requests, so that the entry router doesn't
+// consider an upstream with a queue the least loaded one.
+func (n *Node) answerBehindQueue(now time.Duration, target *ownedUpstream, r *relay) placement.Answer {
 	answer := placement.Answer{Verdict: placement.NoRoom, Reason: loadbound.QueueAhead}
 	if !target.isEngine() {
 		return answer
@@ -219,22 +228,22 @@
 	for class := range admission.NumClasses {
 		waiting += target.queue.Tokens(admission.Class(class))
 	}
-	return n.placer.Weigh(now, r.ask, float64(waiting))
+	return n.placer.Weigh(now, r.placeAsk, float64(waiting))
 }
 
-// decideEngine puts a chat to placement and the load bound.
-func (n *Node) decideEngine(now time.Duration, target *owned, r *relay, final bool) {
-	answer := n.placer.Ask(now, r.ask)
+// decideEngine decides on a chat by placement and the load bound.
+func (n *Node) decideEngine(now time.Duration, target *ownedUpstream, r *relay, final bool) {
+	answer := n.placer.Ask(now, r.placeAsk)
 	switch answer.Verdict {
 	case placement.Admitted:
-		r.answer = answer
+		r.placeAnswer = answer
 		n.start(now, target, r, startReason(answer))
 	case placement.Queued:
-		n.spillOrSubmit(now, target, r, true, answer)
+		n.spillOrEnqueue(now, target, r, true, answer)
 	case placement.Refused:
-		n.replyPlace(r.from, r.place, fleet.PlaceReply{Outcome: fleet.PlaceNotOwner, Reason: string(answer.Reason)})
+		n.replyPlace(r.entryRouter, r.place, fleet.PlaceReply{Outcome: fleet.PlaceNotOwner, Reason: string(answer.Reason)})
 	default:
-		n.spillOrSubmit(now, target, r, final && answer.Verdict == placement.NoRoom, answer)
+		n.spillOrEnqueue(now, target, r, final && answer.Verdict == placement.NoRoom, answer)
 	}
 }
 
@@ -245,15 +254,15 @@
 	return reason.FirstChoice
 }
 
-// spillOrSubmit sends the entry on, or at its last question puts the request
-// into the queue.
-func (n *Node) spillOrSubmit(now time.Duration, target *owned, r *relay, final bool, answer placement.Answer) {
+// spillOrEnqueue tells the entry router to ask another owner, or queues the
+// request if this is the final stage of its search.
+func (n *Node) spillOrEnqueue(now time.Duration, target *ownedUpstream, r *relay, final bool, answer placement.Answer) {
 	if final {
-		n.submit(now, target, r)
+		n.enqueue(now, target, r)
 		return
 	}
 	load, _, _ := n.ledger.Load(now, target.id)
-	n.replyPlace(r.from, r.place, fleet.PlaceReply{
+	n.replyPlace(r.entryRouter, r.place, fleet.PlaceReply{
 		Load:       load,
 		Outcome:    fleet.PlaceSpilled,
 		Reason:     string(spillReason(answer)),
@@ -278,13 +287,13 @@
 	return reason.Saturated
 }
 
-// queueID names an attempt in the queue.
+// queueID is the ID of an attempt in the queue.
 func queueID(attempt fleet.Attempt) protocol.RequestID {
 	return protocol.RequestID(fmt.Sprintf("%s/%d", attempt.Request, attempt.Number))
 }
 
-// submit puts a request to the queue, which admits, keeps or refuses it.
-func (n *Node) submit(now time.Duration, target *owned, r *relay) {
+// enqueue passes a request to the queue, which admits, queues or refuses it.
+func (n *Node) enqueue(now time.Duration, target *ownedUpstream, r *relay) {
 	id := queueID(r.place.Attempt)
 	outcome := target.queue.Submit(now, admission.Request{
 		ID:       id,
@@ -294,79 +303,80 @@
 		Tokens:   int(math.Ceil(r.cost)),
 		Deadline: r.deadline,
 		Steps:    r.steps(),
-	}, n.gate(now, target))
+	}, n.queueGate(now, target))
 	switch outcome.Kind {
 	case admission.Admitted:
 		n.startFromQueue(now, target, r)
 	case admission.Queued:
 		target.waiting[id] = r
 		r.queuedAt = now
-		n.replyPlace(r.from, r.place, fleet.PlaceReply{Outcome: fleet.PlaceQueued, Reason: string(reason.Saturated)})
+		n.replyPlace(r.entryRouter, r.place, fleet.PlaceReply{Outcome: fleet.PlaceQueued, Reason: string(reason.Saturated)})
 		n.emit(Event{
 			Request: r.place.Attempt.Request, Attempt: r.place.Attempt.Number, Customer: r.place.Customer, Upstream: target.id,
-			What: "queued", Reason: reason.Saturated, Detail: fmt.Sprintf("position %d, expected wait %v", outcome.Position, outcome.Wait.Round(time.Millisecond)),
+			Kind: "queued", Reason: reason.Saturated, Detail: fmt.Sprintf("position %d, expected wait %v", outcome.Position, outcome.Wait.Round(time.Millisecond)),
 		})
 	default:
 		n.refusePlace(r, admissionReason(outcome.Reason), outcome.RetryAfter)
 	}
 }
 
-// queueRates are an upstream's announced speeds in all and for one stream, in
-// tokens a second, until they are measured.
+// queueRates returns an upstream's announced throughput in total and for one
+// stream, in tokens a second. The queue uses them until it has measured values.
 func queueRates(upstream *Upstream) (all, stream float64) {
 	all = max(1, upstream.Capacity)
 	return all, all / float64(max(1, upstream.MaxConcurrent))
 }
 
-// steps is the length of the answer in tokens; a plain service has none.
+// steps is the expected length of the answer in tokens, 0 for a plain service.
 func (r *relay) steps() int {
 	if r.place.Model == "" {
 		return 0
 	}
-	return r.ask.OutputTokens
+	return r.placeAsk.OutputTokens
 }
 
 // runTime is how long the upstream is expected to work on a request.
-func (n *Node) runTime(target *owned, r *relay) time.Duration {
+func (n *Node) runTime(target *ownedUpstream, r *relay) time.Duration {
 	if !target.isEngine() {
 		return 0
 	}
-	return time.Duration(r.ask.OutputTokens) * target.tokenTime
+	return time.Duration(r.placeAsk.OutputTokens) * target.tokenTime
 }
 
-// gate says whether a request of some cost fits the upstream now.
-func (n *Node) gate(now time.Duration, target *owned) admission.Gate {
+// queueGate returns the function by which the queue asks whether the upstream
+// can take a request of some cost now.
+func (n *Node) queueGate(now time.Duration, target *ownedUpstream) admission.Gate {
 	return func(tokens int) bool {
 		if !target.isEngine() {
 			return len(target.running) < target.config.MaxConcurrent
 		}
-		decision := n.ledger.Judge(now, target.id, loadbound.Ask{Cost: float64(tokens), Seen: target.heardBeside(now), Final: true})
+		decision := n.ledger.Judge(now, target.id, loadbound.Ask{Cost: float64(tokens), Seen: target.recentLoadBeside(now), Final: true})
 		return decision.Outcome == loadbound.Admit
 	}
 }
 
-// startFromQueue starts a request whose turn has come. The load bound counts
-// it now; if it doesn't fit after all, because the cache has changed since it
-// was queued, it goes back to the queue.
-func (n *Node) startFromQueue(now time.Duration, target *owned, r *relay) {
+// startFromQueue starts a request whose turn has come, and counts it in the load
+// bound. If it doesn't fit after all, because the engine's cache has changed
+// since it was queued, it goes back to its entry router, which places it again.
+func (n *Node) startFromQueue(now time.Duration, target *ownedUpstream, r *relay) {
 	if target.isEngine() {
-		// It may have come under suspicion, or been condemned, while it waited.
+		// The request may have become suspect or quarantined while it waited.
 		if hold := n.holdFor(now, target, r); hold != quarantine.HoldNone {
-			n.decideHold(now, target, r, hold, true)
+			n.applyHold(now, target, r, hold, true)
 			return
 		}
-		r.ask.Stage = placement.Final
-		r.ask.Seen = target.heardBeside(now)
-		r.answer = n.placer.Ask(now, r.ask)
-		if r.answer.Verdict != placement.Admitted {
-			n.replyPlace(r.from, r.place, fleet.PlaceReply{Outcome: fleet.PlaceNotOwner, Reason: string(reason.LoadBound)})
+		r.placeAsk.Stage = placement.Final
+		r.placeAsk.Seen = target.recentLoadBeside(now)
+		r.placeAnswer = n.placer.Ask(now, r.placeAsk)
+		if r.placeAnswer.Verdict != placement.Admitted {
+			n.replyPlace(r.entryRouter, r.place, fleet.PlaceReply{Outcome: fleet.PlaceNotOwner, Reason: string(reason.LoadBound)})
 			return
 		}
 	}
 	n.start(now, target, r, reason.QueueTurn)
 }
 
-// admissionReason is the queue's reason as callers and events see it.
+// admissionReason translates the queue's reason for callers and events.
 func admissionReason(why admission.Reason) reason.Code {
 	switch why {
 	case admission.ReasonQueueFull:
@@ -381,9 +391,9 @@
 	return reason.BodyInvalid
 }
 
-// refusePlace gives a request up.
+// refusePlace tells the entry router that the request is refused.
 func (n *Node) refusePlace(r *relay, why reason.Code, retryAfter time.Duration) {
-	n.replyPlace(r.from, r.place, fleet.PlaceReply{Outcome: fleet.PlaceRefused, Reason: string(why), RetryAfterMS: retryAfter.Milliseconds()})
+	n.replyPlace(r.entryRouter, r.place, fleet.PlaceReply{Outcome: fleet.PlaceRefused, Reason: string(why), RetryAfterMS: retryAfter.Milliseconds()})
 }
 
 func (n *Node) replyPlace(to protocol.RouterID, place fleet.Place, reply fleet.PlaceReply) {
@@ -391,17 +401,17 @@
 	n.send(to, reply)
 }
 
-// startQueued starts what waits while there is room.
-func (n *Node) startQueued(now time.Duration, target *owned) {
-	if !n.mayServe(now) || !target.holds {
+// startQueued starts waiting requests while the upstream has spare capacity.
+func (n *Node) startQueued(now time.Duration, target *ownedUpstream) {
+	if !n.leaseValid(now) || !target.isOwner {
 		return
 	}
 	if _, usable := n.usable(now, target); !usable {
 		return
 	}
-	n.reviewHeld(now, target)
+	n.recheckHeld(now, target)
 	for {
-		next, found := target.queue.Next(now, n.gate(now, target))
+		next, found := target.queue.Next(now, n.queueGate(now, target))
 		if !found {
 			return
 		}
@@ -412,26 +422,27 @@
 }
 
 const (
-	// reofferAfter is how long a request waits for a load bound before it is
-	// offered elsewhere. Its next walk hears the owners' present loads, so it
-	// needn't wait for an exchange of totals; a fifth of the time that a first
-	// token may take is short enough not to be felt.
+	// reofferAfter is how long a request waits here for the load bound before its
+	// entry router offers it to other upstreams. The new walk gets the present
+	// loads from the owners, so the request needn't wait for an exchange of load
+	// totals. A fifth of the time that a first token may take goes unnoticed.
 	reofferAfter = 2 * TickInterval
-	// maxReoffers bounds what one upstream sends back at a tick. A walk costs
-	// some messages, and in a flood hundreds of requests wait.
+	// maxReoffers is the number of requests that one upstream returns at a tick.
+	// Each walk costs several messages, and under overload hundreds of requests
+	// wait.
 	maxReoffers = 8
 )
 
-// reoffer sends requests back to their entries that wait here for the load
-// bound alone, so that they look for room again.
+// returnForReoffer returns requests that wait here only because of the load
+// bound to their entry routers, which search for capacity again.
 //
-// Load: a burst comes before the owners know of each other's share of it.
-// Harm: each owner takes the mean for lower than it is, queues, and then works
-// its queue off one by one while other engines are idle, because its engine is
-// the only one with load. What the bound keeps back here has room elsewhere,
-// by the meaning of a mean. While the engine itself is full nothing is sent
-// back: then waiting is right.
-func (n *Node) reoffer(now time.Duration, target *owned) {
+// A burst can arrive before the owners know each other's share of it. Each owner
+// then underestimates the mean load and queues requests. Later its engine may be
+// the only one with load, so the load bound admits its queue one by one while
+// other engines are idle. An engine above the bound is above the mean, so other
+// engines have capacity. While the engine itself is full nothing is returned,
+// because then the requests should wait.
+func (n *Node) returnForReoffer(now time.Duration, target *ownedUpstream) {
 	if !target.isEngine() || target.queue.Len() == 0 || len(target.running) >= target.config.MaxConcurrent {
 		return
 	}
@@ -448,12 +459,13 @@
 		id := queueID(r.place.Attempt)
 		target.queue.Cancel(now, id)
 		delete(target.waiting, id)
-		n.replyPlace(r.from, r.place, fleet.PlaceReply{Outcome: fleet.PlaceSpilled, Reason: string(reason.LoadBound)})
+		n.replyPlace(r.entryRouter, r.place, fleet.PlaceReply{Outcome: fleet.PlaceSpilled, Reason: string(reason.LoadBound)})
 	}
 }
 
-// refuseLate answers at once what waited past its last moment to start.
-func (n *Node) refuseLate(now time.Duration, target *owned) {
+// refuseExpired refuses at once the queued requests that can no longer start in
+// time.
+func (n *Node) refuseExpired(now time.Duration, target *ownedUpstream) {
 	for _, refused := range target.queue.Expire(now) {
 		r := target.waiting[refused.Request.ID]
 		delete(target.waiting, refused.Request.ID)
@@ -461,21 +473,21 @@
 	}
 }
 
-// handBack returns what waits for an upstream to the entries, which try
-// elsewhere.
-func (n *Node) handBack(now time.Duration, target *owned) {
+// returnWaiting returns all requests that wait for an upstream to their entry
+// routers, which try other upstreams.
+func (n *Node) returnWaiting(now time.Duration, target *ownedUpstream) {
 	for _, request := range target.queue.Requests() {
 		target.queue.Cancel(now, request.ID)
 	}
-	back := target.onHold
-	target.onHold = nil
+	back := target.heldForTrial
+	target.heldForTrial = nil
 	for _, r := range target.waiting {
 		back = append(back, r)
 	}
 	clear(target.waiting)
 	slices.SortFunc(back, func(a, b *relay) int { return compareAttempts(a.place.Attempt, b.place.Attempt) })
 	for _, r := range back {
-		n.replyPlace(r.from, r.place, fleet.PlaceReply{Outcome: fleet.PlaceNotOwner, Reason: string(reason.UpstreamLeaving)})
+		n.replyPlace(r.entryRouter, r.place, fleet.PlaceReply{Outcome: fleet.PlaceNotOwner, Reason: string(reason.UpstreamLeaving)})
 	}
 }
 
@@ -483,13 +495,13 @@
 	return cmp.Or(cmp.Compare(a.Request, b.Request), cmp.Compare(a.Number, b.Number))
 }
 
-// ownedInOrder lists the upstreams by ID, so that a replay gives the same
-// outputs.
-func (n *Node) ownedInOrder() []*owned {
-	list := make([]*owned, 0, len(n.owned))
+// ownedInOrder returns the owned upstreams sorted by ID, so that a replay gives
+// the same outputs.
+func (n *Node) ownedInOrder() []*ownedUpstream {
+	list := make([]*ownedUpstream, 0, len(n.owned))
 	for _, target := range n.owned {
 		list = append(list, target)
 	}
-	slices.SortFunc(list, func(a, b *owned) int { return cmp.Compare(a.id, b.id) })
+	slices.SortFunc(list, func(a, b *ownedUpstream) int { return cmp.Compare(a.id, b.id) })
 	return list
 }
--- a/coordination/node/relay.go
+++ b/coordination/node/relay.go
@@ -12,92 +12,96 @@
 	"endiveplank/protocol/fleet"
 )
 
-// start sends a request to its upstream.
-func (n *Node) start(now time.Duration, target *owned, r *relay, why reason.Code) {
+// start sends a request to its upstream and tells the entry router.
+func (n *Node) start(now time.Duration, target *ownedUpstream, r *relay, why reason.Code) {
 	r.sentAt = now
-	r.progress = now
+	r.lastProgress = now
 	target.running[r.place.Attempt] = r
 	n.running[r.place.Attempt] = target
-	n.replyPlace(r.from, r.place, fleet.PlaceReply{
+	n.replyPlace(r.entryRouter, r.place, fleet.PlaceReply{
 		Outcome:    fleet.PlaceStarted,
 		Reason:     string(why),
-		Verdict:    uint8(r.answer.Verdict),
-		Bound:      string(r.answer.Reason),
-		SavedShare: r.answer.SavedShare,
-		Ratio:      r.answer.Ratio,
+		Verdict:    uint8(r.placeAnswer.Verdict),
+		Bound:      string(r.placeAnswer.Reason),
+		SavedShare: r.placeAnswer.SavedShare,
+		Ratio:      r.placeAnswer.Ratio,
 	})
 	if target.isEngine() {
-		n.crashes.Started(now, target.id, quarantine.Digest(r.place.Digest), r.place.Customer)
+		n.quarantine.Started(now, target.id, quarantine.Digest(r.place.Digest), r.place.Customer)
 	}
 	if r.place.Order != nil {
-		n.startDispatch(now, r)
+		n.startOrderDispatch(now, r)
 	} else {
 		n.emit(CallUpstream{Attempt: r.place.Attempt, Address: target.config.Address, Place: r.place})
 	}
 	n.emit(Event{
 		Request: r.place.Attempt.Request, Attempt: r.place.Attempt.Number, Customer: r.place.Customer,
-		Upstream: target.id, Router: r.from, What: "placed", Reason: why,
-		Detail: fmt.Sprintf("running %d of %d, load %.2f of the mean, %.0f%% of the prompt cached", len(target.running), target.config.MaxConcurrent, r.answer.Ratio, 100*r.answer.SavedShare),
+		Upstream: target.id, Router: r.entryRouter, Kind: "placed", Reason: why,
+		Detail: fmt.Sprintf("running %d of %d, load %.2f of the mean, %.0f%% of the prompt cached", len(target.running), target.config.MaxConcurrent, r.placeAnswer.Ratio, 100*r.placeAnswer.SavedShare),
 	})
 }
 
-// ownerChunk relays a piece of an answer.
-func (n *Node) ownerChunk(now time.Duration, in UpstreamChunk) {
+// handleUpstreamChunk relays a chunk of an answer to the entry router.
+func (n *Node) handleUpstreamChunk(now time.Duration, in UpstreamChunk) {
 	target := n.running[in.Chunk.Attempt]
 	if target == nil {
 		return
 	}
 	r := target.running[in.Chunk.Attempt]
-	n.noteProgress(now, target, r)
+	n.recordProgress(now, target, r)
 	if r.dispatch != nil {
-		r.dispatch.take(in.Chunk)
+		r.dispatch.addChunk(in.Chunk)
 		return
 	}
-	n.send(r.from, in.Chunk)
+	n.send(r.entryRouter, in.Chunk)
 }
 
-// paceMemory is the weight of one new token time in the average.
-const paceMemory = 0.05
+// tokenTimeWeight is the weight of a new sample in the moving average of token
+// times.
+const tokenTimeWeight = 0.05
 
-// noteProgress teaches the upstream's pace.
-func (n *Node) noteProgress(now time.Duration, target *owned, r *relay) {
-	wait := now - r.progress
+// recordProgress records how long the upstream took for a chunk.
+func (n *Node) recordProgress(now time.Duration, target *ownedUpstream, r *relay) {
+	wait := now - r.lastProgress
 	phase := stream.NextToken
 	if r.chunks == 0 {
 		phase = stream.FirstToken
-		n.drained(target, r, r.cost-float64(r.ask.OutputTokens))
+		n.recordDone(target, r, r.cost-float64(r.placeAsk.OutputTokens))
 	} else {
-		n.drained(target, r, 1)
-		target.tokenTime += time.Duration(paceMemory * float64(wait-target.tokenTime))
+		n.recordDone(target, r, 1)
+		target.tokenTime += time.Duration(tokenTimeWeight * float64(wait-target.tokenTime))
 	}
 	if r.place.Streamed {
-		target.pace.Observe(stream.Sample{Phase: phase, Wait: wait})
+		target.waitEstimator.Observe(stream.Sample{Phase: phase, Wait: wait})
 	}
 	r.chunks++
-	r.progress = now
+	r.lastProgress = now
 }
 
-// drained notes work that the upstream has done. Counting it as
-// it is done, and not at the end of each answer, keeps the queue from taking
-// an engine that has just filled up for one that does nothing.
-func (n *Node) drained(target *owned, r *relay, tokens float64) {
-	tokens = min(tokens, r.cost-r.drained)
-	whole := int(r.drained+tokens) - int(r.drained)
-	r.drained += tokens
-	target.done += whole
+// recordDone records work that the upstream has done, in tokens. It is counted
+// as it is done and not at the end of each answer: otherwise an engine that has
+// just filled up would look to the queue like an engine that does nothing.
+func (n *Node) recordDone(target *ownedUpstream, r *relay, tokens float64) {
+	tokens = min(tokens, r.cost-r.doneCost)
+	whole := int(r.doneCost+tokens) - int(r.doneCost)
+	r.doneCost += tokens
+	target.unreportedTokens += whole
 }
 
-// tellQueue passes on what the streams did since the last time.
-func (n *Node) tellQueue(now time.Duration, target *owned) {
-	if target.done == 0 && len(target.running) == 0 {
+// updateQueue tells the queue how many tokens the streams have produced since
+// the last call.
+func (n *Node) updateQueue(now time.Duration, target *ownedUpstream) {
+	if target.unreportedTokens == 0 && len(target.running) == 0 {
 		return
 	}
-	target.queue.Drained(now, target.done, len(target.running))
-	target.done = 0
+	target.queue.Drained(now, target.unreportedTokens, len(target.running))
+	target.unreportedTokens = 0
 }
 
-// ownerEnd closes an upstream call and tells the entry how it ended.
-func (n *Node) ownerEnd(now time.Duration, in UpstreamEnd) {
+// handleUpstreamEnd handles the end of an upstream call. The end of an engine's
+// call without an answer is held back until it is known whether the engine
+// crashed.
+func (n *Node) handleUpstreamEnd(now time.Duration, in UpstreamEnd) {
 	target := n.running[in.Attempt]
 	if target == nil {
 		return
@@ -108,25 +112,25 @@
 		return
 	}
 	if !in.Complete && target.isEngine() && in.Status == 0 {
-		n.suspectCrash(now, target, r, in)
+		n.suspendBrokenCall(now, target, r, in)
 		return
 	}
 	n.closeRelay(now, target, r, in)
 }
 
-// closeRelay takes an ended call off the count and tells the entry.
-func (n *Node) closeRelay(now time.Duration, target *owned, r *relay, in UpstreamEnd) {
+// closeRelay removes an ended call and tells the entry router how it ended.
+func (n *Node) closeRelay(now time.Duration, target *ownedUpstream, r *relay, in UpstreamEnd) {
 	ending := quarantine.Interrupted
 	end := fleet.End{Attempt: in.Attempt, Outcome: failedOutcome(in.Sent), Reason: string(failedReason(in))}
 	if in.Complete {
 		ending = quarantine.Completed
 		end = fleet.End{Attempt: in.Attempt, Complete: true, Outcome: protocol.Ran, CachedTokens: in.CachedTokens}
 	}
-	n.drop(now, target, r, ending, in.CachedTokens, in.Complete)
-	n.send(r.from, end)
+	n.removeRelay(now, target, r, ending, in.CachedTokens, in.Complete)
+	n.send(r.entryRouter, end)
 	n.emit(Event{
 		Request: in.Attempt.Request, Attempt: in.Attempt.Number, Customer: r.place.Customer, Upstream: target.id,
-		What: "ended", Reason: endReason(in), Detail: fmt.Sprintf("status %d, cached %d of %d prompt tokens", in.Status, in.CachedTokens, r.place.PromptTokens),
+		Kind: "ended", Reason: endReason(in), Detail: fmt.Sprintf("status %d, cached %d of %d prompt tokens", in.Status, in.CachedTokens, r.place.PromptTokens),
 	})
 	n.startQueued(now, target)
 }
@@ -152,29 +156,29 @@
 	return failedReason(in)
 }
 
-// drop takes an attempt out of every count of its upstream.
-func (n *Node) drop(now time.Duration, target *owned, r *relay, ending quarantine.End, cached int, whole bool) {
+// removeRelay removes an attempt and its load from its upstream.
+func (n *Node) removeRelay(now time.Duration, target *ownedUpstream, r *relay, ending quarantine.End, cached int, complete bool) {
 	delete(target.running, r.place.Attempt)
 	delete(n.running, r.place.Attempt)
-	// What the answer did not need of its estimate is room as well.
-	n.drained(target, r, r.cost-r.drained)
+	// The part of the estimated cost that the answer did not need is free too.
+	n.recordDone(target, r, r.cost-r.doneCost)
 	if !target.isEngine() {
 		return
 	}
-	if !whole {
+	if !complete {
 		cached = -1
 	}
-	n.placer.Finished(now, r.answer.Ticket, r.answer.Hit, cached)
-	n.crashes.Ended(now, target.id, quarantine.Digest(r.place.Digest), ending)
+	n.placer.Finished(now, r.placeAnswer.Ticket, r.placeAnswer.Hit, cached)
+	n.quarantine.Ended(now, target.id, quarantine.Digest(r.place.Digest), ending)
 }
 
-// ownerCancel gives up an attempt, wherever it stands.
-func (n *Node) ownerCancel(now time.Duration, in PeerCancel) {
+// handleCancel cancels an attempt that runs, is queued or is held for a trial.
+func (n *Node) handleCancel(now time.Duration, in PeerCancel) {
 	attempt := in.Cancel.Attempt
 	if target := n.running[attempt]; target != nil {
 		r := target.running[attempt]
-		target.crash.forget(attempt)
-		n.drop(now, target, r, quarantine.Interrupted, 0, false)
+		target.crash.remove(attempt)
+		n.removeRelay(now, target, r, quarantine.Interrupted, 0, false)
 		n.emit(CancelUpstream{Attempt: attempt})
 		n.startQueued(now, target)
 		return
@@ -185,59 +189,61 @@
 			target.queue.Cancel(now, id)
 			delete(target.waiting, id)
 		}
-		target.onHold = slices.DeleteFunc(target.onHold, func(r *relay) bool { return r.place.Attempt == attempt })
+		target.heldForTrial = slices.DeleteFunc(target.heldForTrial, func(r *relay) bool { return r.place.Attempt == attempt })
 	}
 }
 
-// tickOwned meets the owner's deadlines.
-func (n *Node) tickOwned(now time.Duration) {
+// tickOwnedUpstreams acts on everything that is due on the owned upstreams.
+func (n *Node) tickOwnedUpstreams(now time.Duration) {
 	for _, target := range n.ownedInOrder() {
-		n.tellQueue(now, target)
+		n.updateQueue(now, target)
 		n.failStalled(now, target)
-		n.refuseLate(now, target)
-		n.tickCrash(now, target)
-		n.watchSilence(now, target)
+		n.refuseExpired(now, target)
+		n.advanceCrashDetection(now, target)
+		n.removeIfSilent(now, target)
 		n.startQueued(now, target)
-		n.reoffer(now, target)
+		n.returnForReoffer(now, target)
 	}
 }
 
-// failStalled ends calls whose upstream makes no progress against what it
-// lately delivered: a connection gone silent or a stuck engine. The entry
-// resumes the answer over a new connection, then elsewhere.
-func (n *Node) failStalled(now time.Duration, target *owned) {
+// failStalled cancels calls that have been silent for longer than the upstream's
+// recent answers allow: the connection is silent, or the engine hangs. The entry
+// router resumes the answer over a new connection first, then on another
+// upstream.
+func (n *Node) failStalled(now time.Duration, target *ownedUpstream) {
 	for _, r := range target.runningInOrder() {
 		if r.dispatch != nil {
 			n.tickDispatch(now, target, r)
 			continue
 		}
-		if target.crash.holds(r.place.Attempt) || now-r.progress <= n.allowedSilence(target, r) {
+		if target.crash.isSuspended(r.place.Attempt) || now-r.lastProgress <= n.allowedSilence(target, r) {
 			continue
 		}
-		n.drop(now, target, r, quarantine.Interrupted, 0, false)
+		n.removeRelay(now, target, r, quarantine.Interrupted, 0, false)
 		n.emit(CancelUpstream{Attempt: r.place.Attempt})
-		n.send(r.from, fleet.End{Attempt: r.place.Attempt, Outcome: protocol.UnknownRun, Reason: string(reason.UpstreamStalled)})
+		n.send(r.entryRouter, fleet.End{Attempt: r.place.Attempt, Outcome: protocol.UnknownRun, Reason: string(reason.UpstreamStalled)})
 		n.emit(Event{
 			Request: r.place.Attempt.Request, Attempt: r.place.Attempt.Number, Customer: r.place.Customer, Upstream: target.id,
-			What: "stalled", Reason: reason.UpstreamStalled, Detail: fmt.Sprintf("silent for %v after %d pieces", (now - r.progress).Round(time.Millisecond), r.chunks),
+			Kind: "stalled", Reason: reason.UpstreamStalled, Detail: fmt.Sprintf("silent for %v after %d pieces", (now - r.lastProgress).Round(time.Millisecond), r.chunks),
 		})
 	}
 }
 
-// allowedSilence is how long an upstream may take for the next piece. Only a
-// token stream has a pace; the whole of another answer comes at its end.
-func (n *Node) allowedSilence(target *owned, r *relay) time.Duration {
+// allowedSilence is how long an upstream may take for the next chunk. Only a
+// token stream is expected to arrive steadily; any other answer may arrive all
+// at once at its end, so it may take until its deadline.
+func (n *Node) allowedSilence(target *ownedUpstream, r *relay) time.Duration {
 	if !r.place.Streamed {
-		return max(n.config.Stall, r.deadline-r.sentAt)
+		return max(n.config.StallTimeout, r.deadline-r.sentAt)
 	}
 	phase := stream.NextToken
 	if r.chunks == 0 {
 		phase = stream.FirstToken
 	}
-	return target.pace.MaxSilence(phase)
+	return target.waitEstimator.MaxSilence(phase)
 }
 
-func (t *owned) runningInOrder() []*relay {
+func (t *ownedUpstream) runningInOrder() []*relay {
 	list := make([]*relay, 0, len(t.running))
 	for _, r := range t.running {
 		list = append(list, r)
@@ -246,23 +252,24 @@
 	return list
 }
 
-// ownedLostEntry cancels what was relayed to a router that is gone: nobody
-// takes those answers any more. Orders go on; their answers are recorded.
-func (n *Node) ownedLostEntry(now time.Duration, peer protocol.RouterID) {
+// handleEntryLost cancels the attempts of an unreachable entry router, because
+// nobody receives their answers any more. Orders that were sent to their
+// upstream continue, because the journal records their answers.
+func (n *Node) handleEntryLost(now time.Duration, peer protocol.RouterID) {
 	for _, target := range n.ownedInOrder() {
 		for _, r := range target.runningInOrder() {
-			if r.from == peer && r.dispatch == nil {
-				n.drop(now, target, r, quarantine.Interrupted, 0, false)
+			if r.entryRouter == peer && r.dispatch == nil {
+				n.removeRelay(now, target, r, quarantine.Interrupted, 0, false)
 				n.emit(CancelUpstream{Attempt: r.place.Attempt})
 			}
 		}
 		for id, r := range target.waiting {
-			if r.from == peer {
+			if r.entryRouter == peer {
 				target.queue.Cancel(now, id)
 				delete(target.waiting, id)
 			}
 		}
-		target.onHold = slices.DeleteFunc(target.onHold, func(r *relay) bool { return r.from == peer })
+		target.heldForTrial = slices.DeleteFunc(target.heldForTrial, func(r *relay) bool { return r.entryRouter == peer })
 		n.startQueued(now, target)
 	}
 }
--- a/coordination/node/upstreams.go
+++ b/coordination/node/upstreams.go
@@ -14,18 +14,19 @@
 	"endiveplank/protocol/wire"
 )
 
-// removeAfter is how long an upstream may be silent before it is taken out of
+// removeAfter is how long an upstream may be silent before it is removed from
 // the replicated state. It is much longer than silentAfter, so that a short
-// silence moves no chats for good.
+// silence doesn't move chats permanently.
 const removeAfter = 10 * time.Second
 
-// cachedChats is for how many chats the owner keeps an index of one engine's
-// cache. An engine's own cache holds some thousands of chats.
-const cachedChats = 4096
+// maxCachedChats is the number of chats that the owner's index of one engine's
+// cache covers. The cache of an engine holds some thousands of chats.
+const maxCachedChats = 4096
 
-// announced takes an upstream's announcement. Whatever router hears it passes
-// it to the owner; what is new in it becomes a change of the replicated state.
-func (n *Node) announced(now time.Duration, in Announced) {
+// handleAnnounced handles an upstream's announcement. The router that receives
+// it forwards it to the owner, and proposes a change of the replicated state if
+// the announcement differs from it.
+func (n *Node) handleAnnounced(now time.Duration, in UpstreamAnnounced) {
 	announcement := in.Announcement
 	known := n.view.Upstreams[announcement.ID]
 	if (known == nil || known.differs(announcement)) && !announcement.Leaving {
@@ -40,19 +41,19 @@
 		}
 		return
 	}
-	n.learnUpstream(now, announcement)
+	n.updateUpstream(now, announcement)
 }
 
-// differs says whether an announcement changes what is configured.
+// differs reports whether an announcement differs from the replicated state.
 func (u *Upstream) differs(a upstreamapi.Announcement) bool {
 	return u.Address != a.Address || u.Kind != a.Kind || u.DataCentre != a.DataCentre ||
-		u.Service != a.Service || u.Announced != a.Capacity || u.AnnouncedMax != a.MaxConcurrent ||
+		u.Service != a.Service || u.AnnouncedCapacity != a.Capacity || u.AnnouncedMaxConcurrent != a.MaxConcurrent ||
 		u.ChecksFence != a.ChecksFence || !slices.Equal(u.Models, a.Models)
 }
 
-// learnUpstream updates an owned upstream. A late announcement changes
-// nothing.
-func (n *Node) learnUpstream(now time.Duration, a upstreamapi.Announcement) {
+// updateUpstream updates an owned upstream from an announcement. It ignores an
+// announcement that is older than one it has handled.
+func (n *Node) updateUpstream(now time.Duration, a upstreamapi.Announcement) {
 	target := n.owned[a.ID]
 	if target == nil || a.Incarnation < target.incarnation {
 		return
@@ -61,66 +62,66 @@
 		return
 	}
 	if a.Incarnation > target.incarnation {
-		n.restarted(now, target, a.Incarnation)
+		n.handleRestart(now, target, a.Incarnation)
 	}
 	target.sequence = a.Sequence
-	target.announced = now
-	target.reported = a.Load
+	target.announcedAt = now
+	target.reportedLoad = a.Load
 	target.crash.down = false
 	target.leaving = target.leaving || a.Leaving
 	if target.isEngine() {
-		n.learnEngine(now, target, a)
+		n.updateEngine(now, target, a)
 	}
-	target.heard = true
+	target.hasReport = true
 	if target.leaving {
-		n.handBack(now, target)
+		n.returnWaiting(now, target)
 	}
 	n.startQueued(now, target)
 }
 
-// restarted notes that an upstream is a new process. Calls to the old one that
-// broke were broken by its end.
-func (n *Node) restarted(now time.Duration, target *owned, incarnation uint64) {
-	if len(target.crash.broken) > 0 {
-		n.crashed(now, target)
+// handleRestart records that an upstream is a new process. Broken calls whose
+// cause was unknown broke because the old process ended.
+func (n *Node) handleRestart(now time.Duration, target *ownedUpstream, incarnation uint64) {
+	if len(target.crash.brokenCalls) > 0 {
+		n.handleCrash(now, target)
 	}
 	target.incarnation = incarnation
 	target.leaving = false
 }
 
-// learnEngine passes an engine's report on to load bound and placement.
-func (n *Node) learnEngine(now time.Duration, target *owned, a upstreamapi.Announcement) {
-	n.placer.Hold(now, target.id, a.Incarnation, cachedChats)
-	if !target.heard {
+// updateEngine passes an engine's announcement to the load bound and placement.
+func (n *Node) updateEngine(now time.Duration, target *ownedUpstream, a upstreamapi.Announcement) {
+	n.placer.Hold(now, target.id, a.Incarnation, maxCachedChats)
+	if !target.hasReport {
 		n.ledger.Own(now, target.id, n.grant(target))
 	}
 	n.ledger.Reported(now, target.id, a.Load)
 	if a.Cache != nil {
-		n.placer.CacheEvents(now, target.id, a.Cache.First, coreEvents(a.Cache.Events))
+		n.placer.CacheEvents(now, target.id, a.Cache.First, decodeCacheEvents(a.Cache.Events))
 	}
 }
 
-// grant is this router's ownership of an engine as the load bound sees it.
-func (n *Node) grant(target *owned) loadbound.Grant {
+// grant describes this router's ownership of an engine to the load bound.
+func (n *Node) grant(target *ownedUpstream) loadbound.Grant {
 	return loadbound.Grant{
 		Fence:       target.config.Fence,
 		Until:       n.leaseUntil,
 		Capacity:    max(1, target.config.Capacity),
 		MaxRequests: target.config.MaxConcurrent,
-		Reported:    target.reported,
+		Reported:    target.reportedLoad,
 	}
 }
 
-// hexadecimal is the base of chain hashes in cache events, and hashBits their
-// size.
+// hexadecimal is the base of chain hashes in cache events, and hashBits is their
+// size in bits.
 const (
 	hexadecimal = 16
 	hashBits    = 64
 )
 
-// coreEvents reads cache events. One with a bad hash is left out: it can name
-// no chat.
-func coreEvents(events []upstreamapi.CacheEvent) []placement.Event {
+// decodeCacheEvents decodes cache events. It skips an event with an invalid
+// hash, which can't belong to any chat.
+func decodeCacheEvents(events []upstreamapi.CacheEvent) []placement.Event {
 	read := make([]placement.Event, 0, len(events))
 	for _, event := range events {
 		hash, err := strconv.ParseUint(event.Hash, hexadecimal, hashBits)
@@ -136,9 +137,9 @@
 	return read
 }
 
-// leaving takes an upstream's goodbye: it gets no new work from now on, and
-// finishes what it has.
-func (n *Node) leaving(now time.Duration, in Leaving) {
+// handleLeaving handles the message of an upstream that leaves: the upstream
+// gets no new work from now on, and finishes the requests that it has.
+func (n *Node) handleLeaving(now time.Duration, in UpstreamLeaving) {
 	known := n.view.Upstreams[in.Leave.ID]
 	if known == nil {
 		return
@@ -151,60 +152,61 @@
 		return
 	}
 	target.leaving = true
-	n.handBack(now, target)
+	n.returnWaiting(now, target)
 	n.emit(RemoveUpstream{Upstream: target.id, Incarnation: in.Leave.Incarnation, Reason: reason.UpstreamLeaving})
-	n.emit(Event{Upstream: target.id, What: "removed", Reason: reason.UpstreamLeaving})
+	n.emit(Event{Upstream: target.id, Kind: "removed", Reason: reason.UpstreamLeaving})
 }
 
-// watchSilence takes an upstream out of the replicated state once its
-// announcements have stopped for long.
-func (n *Node) watchSilence(now time.Duration, target *owned) {
-	if !target.holds || !n.mayServe(now) || now-target.announced < removeAfter {
+// removeIfSilent proposes to remove an upstream from the replicated state once
+// no announcement has arrived for removeAfter.
+func (n *Node) removeIfSilent(now time.Duration, target *ownedUpstream) {
+	if !target.isOwner || !n.leaseValid(now) || now-target.announcedAt < removeAfter {
 		return
 	}
-	n.handBack(now, target)
+	n.returnWaiting(now, target)
 	n.emit(RemoveUpstream{Upstream: target.id, Incarnation: target.incarnation, Reason: reason.UpstreamSilent})
-	n.emit(Event{Upstream: target.id, What: "removed", Reason: reason.UpstreamSilent})
-	// Asked again only after as long, should the proposal be lost.
-	target.announced = now - silentAfter
+	n.emit(Event{Upstream: target.id, Kind: "removed", Reason: reason.UpstreamSilent})
+	// If the proposal is lost, it is repeated after removeAfter - silentAfter.
+	target.announcedAt = now - silentAfter
 }
 
-// viewChanged puts a newer configuration in force. An older one is never put
-// in force again.
-func (n *Node) viewChanged(now time.Duration, view *View) {
+// handleViewChanged puts a newer configuration in force. It ignores an older
+// one.
+func (n *Node) handleViewChanged(now time.Duration, view *View) {
 	if view.Revision < n.view.Revision {
 		return
 	}
 	n.view = view
 	n.buildSets()
 	for _, target := range n.ownedInOrder() {
-		n.reviewOwned(now, target)
+		n.updateOwned(now, target)
 	}
 	for id, upstream := range view.Upstreams {
-		if upstream.Mine && n.owned[id] == nil {
-			n.owned[id] = newOwned(now, upstream)
+		if upstream.OwnedHere && n.owned[id] == nil {
+			n.owned[id] = newOwnedUpstream(now, upstream)
 		}
 	}
 	n.ledger.SetFleetCapacity(view.engineCapacity())
-	n.reviewRouters(now, view)
-	n.home.SetTable(view.limits())
+	n.updateRouters(now, view)
+	n.limitHome.SetTable(view.limits())
 }
 
-// reviewRouters follows the fleet's routers. The exchange begins anew only
-// when they change, so that other changes of the view don't disturb its waves.
-func (n *Node) reviewRouters(now time.Duration, view *View) {
+// updateRouters updates the list of the fleet's routers. The exchange of load
+// totals restarts only when the list changes, so that other changes of the view
+// don't disturb its rounds.
+func (n *Node) updateRouters(now time.Duration, view *View) {
 	if slices.Equal(n.routers, view.Routers) || !slices.Contains(view.Routers, n.config.Self) {
 		return
 	}
 	n.routers = view.Routers
-	n.exchange = loadbound.NewExchange(n.config.Self, view.Routers, now)
-	n.ledger.Keep(n.exchange.Peers())
+	n.loadExchange = loadbound.NewExchange(n.config.Self, view.Routers, now)
+	n.ledger.Keep(n.loadExchange.Peers())
 	n.limiter.SetRouters(len(view.Routers))
 }
 
-// buildSets orders the upstreams of each model for placement.
+// buildSets builds the placement set of each model.
 func (n *Node) buildSets() {
-	n.sets = make(map[protocol.Model]*placement.Set, len(n.view.Models))
+	n.placementSets = make(map[protocol.Model]*placement.Set, len(n.view.Models))
 	for model, upstreams := range n.view.Models {
 		var members []placement.Member
 		for _, upstream := range upstreams {
@@ -212,7 +214,7 @@
 				members = append(members, placement.Member{ID: upstream.ID, Weight: upstream.Capacity})
 			}
 		}
-		n.sets[model] = newSet(n.view.Revision, members)
+		n.placementSets[model] = newSet(n.view.Revision, members)
 	}
 }
 
@@ -227,55 +229,58 @@
 	return max(sum, 1)
 }
 
-// reviewOwned compares an upstream this router knows with the new view.
-func (n *Node) reviewOwned(now time.Duration, target *owned) {
+// updateOwned updates an owned upstream to the new view.
+func (n *Node) updateOwned(now time.Duration, target *ownedUpstream) {
 	configured := n.view.Upstreams[target.id]
-	renewed := configured != nil && configured.Mine && configured.Fence != target.config.Fence
-	target.holds = configured != nil && configured.Mine && !configured.Moving
+	renewed := configured != nil && configured.OwnedHere && configured.Fence != target.config.Fence
+	target.isOwner = configured != nil && configured.OwnedHere && !configured.Moving
 	if configured != nil {
 		target.config = configured
 	}
-	if target.holds {
+	if target.isOwner {
 		if renewed {
-			// A new tenure begins with the upstream's own report.
-			target.heard = false
+			// A new ownership admits nothing before the upstream's next announcement.
+			target.hasReport = false
 		}
 		return
 	}
 	n.ledger.Disown(target.id)
-	n.handBack(now, target)
+	n.returnWaiting(now, target)
 	if len(target.running) == 0 {
 		n.placer.Drop(target.id)
 		delete(n.owned, target.id)
 	}
 }
 
-// leaseChanged takes this router's new lease and extends what rests on it.
-func (n *Node) leaseChanged(now time.Duration, in LeaseChanged) {
+// handleLeaseChanged records this router's new lease and extends the grants that
+// depend on it.
+func (n *Node) handleLeaseChanged(now time.Duration, in LeaseChanged) {
 	if n.leaseUntil > 0 {
-		n.leaseLost = min(now, n.leaseUntil)
+		n.leaseLostAt = min(now, n.leaseUntil)
 	}
 	n.leaseUntil = in.Until
 	n.session = in.Session
 	for _, target := range n.owned {
-		if target.holds && target.heard && target.isEngine() {
+		if target.isOwner && target.hasReport && target.isEngine() {
 			n.ledger.Own(now, target.id, n.grant(target))
 		}
 	}
-	n.unpark(now)
+	n.retryParked(now)
 }
 
-// shareTotals tells the neighbours the load of this router's upstreams.
-func (n *Node) shareTotals(now time.Duration) {
-	for _, peer := range n.exchange.Due(now) {
-		summary := n.ledger.Summary(now, peer, n.exchange.Relay())
+// sendLoadTotals sends the load of this router's upstreams to the peers whose
+// turn it is in the exchange.
+func (n *Node) sendLoadTotals(now time.Duration) {
+	for _, peer := range n.loadExchange.Due(now) {
+		summary := n.ledger.Summary(now, peer, n.loadExchange.Relay())
 		n.emit(Send{To: peer, Kind: wire.KindLoadTotals, Payload: summary})
 	}
 }
 
-// moved notes where a chat ran whose first choice is owned here.
-func (n *Node) moved(now time.Duration, in PeerMoved) {
-	if target := n.owned[in.Moved.FirstChoice]; target != nil && target.holds {
+// handleChatMoved records on which upstream a chat ran whose first choice this
+// router owns.
+func (n *Node) handleChatMoved(now time.Duration, in PeerChatMoved) {
+	if target := n.owned[in.Moved.FirstChoice]; target != nil && target.isOwner {
 		n.placer.Moved(now, chat.ChainHash(in.Moved.Root), in.Moved.Ran)
 	}
 }
--- a/coordination/node/view.go
+++ b/coordination/node/view.go
@@ -9,45 +9,46 @@
 	"endiveplank/protocol/upstreamapi"
 )
 
-// View is the configuration in force on this router: what the replicated
-// state says at one revision, indexed for the decisions. It is never changed
-// once built.
+// View is the configuration in force on this router: the replicated state at
+// one revision, indexed for lookups. It is immutable once built.
 type View struct {
 	Revision uint64
-	// Customers finds customers by the digests of their bearer keys.
+	// Customers maps the digests of bearer keys to customers.
 	Customers Keys
 	Routes    []Route
 	Upstreams map[protocol.UpstreamID]*Upstream
-	// Models and Services list the upstreams that serve each, sorted by ID.
+	// Models and Services list the upstreams of each model and each plain
+	// service, sorted by ID.
 	Models   map[protocol.Model][]*Upstream
 	Services map[protocol.Service][]*Upstream
 	// Routers lists the routers with an open session, sorted.
 	Routers []protocol.RouterID
 }
 
-// Customer is one customer's row.
+// Customer is one customer's row of the table.
 type Customer struct {
 	ID       protocol.CustomerID
 	Disabled bool
-	// Class is the priority class, 0 the most urgent.
+	// Class is the priority class; 0 is the most urgent.
 	Class  int
 	Weight float64
-	// Limits over the whole fleet; 0 means none.
+	// The limits hold over the whole fleet; 0 means no limit.
 	RequestsPerSecond float64
 	TokensPerSecond   float64
 	Concurrent        int
 }
 
-// Route sends a path prefix to a plain service.
+// Route sends requests whose path has a prefix to a plain service.
 type Route struct {
 	Prefix  string
 	Service protocol.Service
-	// Idempotent says that a request may be sent again.
+	// Idempotent means that a request may be sent more than once. Requests of
+	// other routes are orders, which may run at most once.
 	Idempotent bool
 	Deadline   time.Duration
 }
 
-// Upstream is what the replicated state says about one upstream.
+// Upstream is one upstream as the replicated state describes it.
 type Upstream struct {
 	ID         protocol.UpstreamID
 	Kind       upstreamapi.Kind
@@ -55,33 +56,34 @@
 	DataCentre protocol.DataCentre
 	Models     []protocol.Model
 	Service    protocol.Service
-	// Announced and AnnouncedMax are capacity and concurrency as announced;
-	// Capacity and MaxConcurrent are what operators made of them.
-	Announced     float64
-	AnnouncedMax  int
-	Capacity      float64
-	MaxConcurrent int
-	ChecksFence   bool
-	// Drain means that an operator wants no new work on it.
+	// AnnouncedCapacity and AnnouncedMaxConcurrent are the values that the
+	// upstream announced. Capacity and MaxConcurrent are the values in force
+	// after the operators' settings.
+	AnnouncedCapacity      float64
+	AnnouncedMaxConcurrent int
+	Capacity               float64
+	MaxConcurrent          int
+	ChecksFence            bool
+	// Drain means that operators want no new work on the upstream.
 	Drain bool
 	// Owner is empty while the upstream has no owning router.
 	Owner protocol.RouterID
 	Fence protocol.Fence
-	// Moving means that the owner was asked to give it up.
+	// Moving means that the owner was asked to release the upstream.
 	Moving bool
-	// Mine means that this router's own session is the owner. An earlier
-	// session of the same router doesn't count.
-	Mine bool
-	// Index numbers the upstreams of a view from 0.
+	// OwnedHere means that the present session of this router is the owner. An
+	// earlier session of the same router doesn't count.
+	OwnedHere bool
+	// Index is the position of the upstream in its view, from 0.
 	Index int
 }
 
-// route returns the longest route whose prefix the path has.
+// route returns the route with the longest prefix that matches the path.
 func (v *View) route(path string) (Route, bool) {
 	best := Route{}
 	found := false
 	for _, candidate := range v.Routes {
-		if !matches(path, candidate.Prefix) {
+		if !hasPathPrefix(path, candidate.Prefix) {
 			continue
 		}
 		if !found || len(candidate.Prefix) > len(best.Prefix) {
@@ -92,8 +94,9 @@
 	return best, found
 }
 
-// matches says whether a path stands under a prefix, at a slash.
-func matches(path, prefix string) bool {
+// hasPathPrefix reports whether a path equals a prefix or continues it at a
+// slash or at the query string.
+func hasPathPrefix(path, prefix string) bool {
 	if !strings.HasPrefix(path, prefix) {
 		return false
 	}
@@ -101,7 +104,7 @@
 	return rest == "" || strings.HasSuffix(prefix, "/") || rest[0] == '/' || rest[0] == '?'
 }
 
-// limits lists the customers that have limits.
+// limits returns the limits of all customers.
 func (v *View) limits() map[protocol.CustomerID]limits.Limit {
 	listed := map[protocol.CustomerID]limits.Limit{}
 	v.Customers.Each(func(customer *Customer) { listed[customer.ID] = customer.limit() })
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -137,14 +137,14 @@
 		events:   explain.NewRing(eventRingSize),
 		hops:     hops{tracer: d.tracer, open: map[fleet.Attempt]hop{}},
 		core: node.New(node.Config{
-			Self:        d.settings.RouterID,
-			DataCentre:  d.settings.DataCentre,
-			Multiple:    d.settings.Load.Multiple,
-			ReuseWeight: d.settings.Load.ReuseWeight,
-			Stall:       d.settings.Timing.Stall(),
-			Deadline:    time.Duration(d.settings.Callers.DeadlineMS) * time.Millisecond,
-			Incarnation: uint32(d.epoch.Unix()),
-			Random:      newRandom(),
+			Self:            d.settings.RouterID,
+			DataCentre:      d.settings.DataCentre,
+			Multiple:        d.settings.Load.Multiple,
+			ReuseWeight:     d.settings.Load.ReuseWeight,
+			StallTimeout:    d.settings.Timing.Stall(),
+			DefaultDeadline: time.Duration(d.settings.Callers.DeadlineMS) * time.Millisecond,
+			Incarnation:     uint32(d.epoch.Unix()),
+			Random:          newRandom(),
 		}),
 	}
 	d.runner.client = upstream.New(d.runner, d.tracer)
--- a/daemon/frames.go
+++ b/daemon/frames.go
@@ -84,28 +84,28 @@
 		if err := wire.Decode(frame.Payload, &announcement); err != nil {
 			return err
 		}
-		d.runner.Input(node.Announced{Announcement: announcement, Forwarded: true})
+		d.runner.Input(node.UpstreamAnnounced{Announcement: announcement, Forwarded: true})
 		return nil
 	case wire.KindLeave:
 		var leave upstreamapi.Leave
 		if err := wire.Decode(frame.Payload, &leave); err != nil {
 			return err
 		}
-		d.runner.Input(node.Leaving{Leave: leave, Forwarded: true})
+		d.runner.Input(node.UpstreamLeaving{Leave: leave, Forwarded: true})
 		return nil
 	case wire.KindLoadTotals:
 		summary, ok := loadbound.DecodeSummary(frame.Payload)
 		if !ok {
 			return eris.New("load summary of the wrong size")
 		}
-		d.runner.Input(node.PeerTotals{From: from, Summary: summary})
+		d.runner.Input(node.PeerLoadTotals{From: from, Summary: summary})
 		return nil
 	case wire.KindQuarantine:
 		var notice quarantine.Notice
 		if err := wire.Decode(frame.Payload, &notice); err != nil {
 			return err
 		}
-		d.runner.Input(node.PeerNotice{Notice: notice})
+		d.runner.Input(node.PeerQuarantineNotice{Notice: notice})
 		return nil
 	}
 	return eris.Errorf("frame of kind %d is unknown", frame.Kind)
--- a/daemon/gossip.go
+++ b/daemon/gossip.go
@@ -115,7 +115,7 @@
 // callers whose owner died are served by another. A wrong verdict costs a
 // resumed answer, as a broken connection does; who owns what is not touched.
 func (g *gossip) act(event membership.Event) {
-	g.explain(node.Event{Router: event.Member.ID, What: string(event.Kind), Detail: string(event.Why)})
+	g.explain(node.Event{Router: event.Member.ID, Kind: string(event.Kind), Detail: string(event.Why)})
 	switch event.Kind {
 	case membership.Died, membership.Departed:
 		g.log.Warn().Str("peer", string(event.Member.ID)).Str("why", string(event.Why)).Msg("membership: " + string(event.Kind))
@@ -139,7 +139,7 @@
 		g.log.Warn().Err(err).Str("peer", string(item.Origin)).Msg("membership: item dropped")
 		return
 	}
-	g.input(node.PeerNotice{Notice: notice})
+	g.input(node.PeerQuarantineNotice{Notice: notice})
 }
 
 // living returns the routers believed to live, this one included.
--- a/daemon/member.go
+++ b/daemon/member.go
@@ -294,7 +294,7 @@
 		command := out.Command
 		command.At = time.Now().UnixMilli()
 		result, err := m.propose(ctx, fleetstate.Command{Order: &command}, false)
-		answer := node.JournalResult{Caller: out.Caller, Op: out.Command.Op, Failed: err != nil}
+		answer := node.JournalResult{Flow: out.Flow, Op: out.Command.Op, Failed: err != nil}
 		if err == nil && result.Order != nil {
 			answer.Result = *result.Order
 		}
--- a/daemon/runner.go
+++ b/daemon/runner.go
@@ -85,7 +85,7 @@
 	case node.Send:
 		r.hops.sent(out.Payload)
 		r.mesh.Send(out.To, out.Kind, encodePayload(out.Payload), out.Reliable)
-	case node.Spread:
+	case node.Broadcast:
 		r.spread(out.Notice)
 	case node.CallUpstream:
 		r.client.Call(out)
@@ -190,7 +190,7 @@
 func (r *runner) explain(event node.Event, trace string) {
 	r.eventsMu.Lock()
 	defer r.eventsMu.Unlock()
-	r.counters.decision(event.What)
+	r.counters.decision(event.Kind)
 	r.events.Add(explain.Event{
 		UnixMS:   time.Now().UnixMilli(),
 		Router:   r.self,
@@ -199,13 +199,13 @@
 		Customer: event.Customer,
 		Upstream: event.Upstream,
 		Peer:     event.Router,
-		What:     event.What,
+		What:     event.Kind,
 		Reason:   event.Reason,
 		Detail:   event.Detail,
 		Trace:    trace,
 	})
 	r.log.Debug().Str("request", string(event.Request)).Str("upstream", string(event.Upstream)).
-		Str("reason", string(event.Reason)).Msg("node: " + event.What)
+		Str("reason", string(event.Reason)).Msg("node: " + event.Kind)
 }
 
 // explainApart keeps an event that no request caused. Other parts call it from
--- a/daemon/view.go
+++ b/daemon/view.go
@@ -66,17 +66,17 @@
 // and who owns it.
 func buildUpstream(view *fleetstate.View, descriptor registry.Descriptor, session ownership.SessionID) *node.Upstream {
 	upstream := &node.Upstream{
-		ID:            descriptor.ID,
-		Kind:          descriptor.Kind,
-		Address:       descriptor.Address,
-		DataCentre:    descriptor.DataCentre,
-		Models:        descriptor.Models,
-		Service:       descriptor.Service,
-		Announced:     descriptor.Capacity,
-		Capacity:      descriptor.Capacity,
-		MaxConcurrent: descriptor.MaxConcurrent,
-		AnnouncedMax:  descriptor.MaxConcurrent,
-		ChecksFence:   descriptor.ChecksFence,
+		ID:                     descriptor.ID,
+		Kind:                   descriptor.Kind,
+		Address:                descriptor.Address,
+		DataCentre:             descriptor.DataCentre,
+		Models:                 descriptor.Models,
+		Service:                descriptor.Service,
+		AnnouncedCapacity:      descriptor.Capacity,
+		Capacity:               descriptor.Capacity,
+		MaxConcurrent:          descriptor.MaxConcurrent,
+		AnnouncedMaxConcurrent: descriptor.MaxConcurrent,
+		ChecksFence:            descriptor.ChecksFence,
 	}
 	if row, found := view.Row(table.Upstreams, string(descriptor.ID)); found {
 		applySettings(upstream, table.UpstreamOf(row))
@@ -89,7 +89,7 @@
 		upstream.Owner = owner.Router
 		upstream.Fence = assignment.Fence
 		upstream.Moving = assignment.Moving
-		upstream.Mine = assignment.Owner == session
+		upstream.OwnedHere = assignment.Owner == session
 	}
 	return upstream
 }
@@ -101,10 +101,10 @@
 func applySettings(upstream *node.Upstream, row table.Upstream) {
 	upstream.Drain = row.Drain
 	if row.WeightPercent > 0 {
-		upstream.Capacity = upstream.Announced * float64(row.WeightPercent) / percent
+		upstream.Capacity = upstream.AnnouncedCapacity * float64(row.WeightPercent) / percent
 	}
 	if row.MaxConcurrent > 0 {
-		upstream.MaxConcurrent = min(row.MaxConcurrent, upstream.AnnouncedMax)
+		upstream.MaxConcurrent = min(row.MaxConcurrent, upstream.AnnouncedMaxConcurrent)
 	}
 }
 
--- a/transport/announce/announce.go
+++ b/transport/announce/announce.go
@@ -71,7 +71,7 @@
 		h.refuse(w, problem)
 		return
 	}
-	h.sink.Input(node.Announced{Announcement: announcement})
+	h.sink.Input(node.UpstreamAnnounced{Announcement: announcement})
 	reply(w, http.StatusOK, upstreamapi.AnnounceReply{Accepted: true})
 }
 
@@ -81,7 +81,7 @@
 		h.refuse(w, "the body names no upstream")
 		return
 	}
-	h.sink.Input(node.Leaving{Leave: leave})
+	h.sink.Input(node.UpstreamLeaving{Leave: leave})
 	reply(w, http.StatusOK, upstreamapi.AnnounceReply{Accepted: true})
 }
 
