--- a/coordination/node/bench_test.go
+++ b/coordination/node/bench_test.go
@@ -137,6 +137,9 @@
 	}
 }
 
+// A change of the data path could add allocations for each token or each request,
+// which cost time on every router. The bounds must hold with few and with many
+// engines.
 func TestAllocationsOfTheDataPathAreBounded(t *testing.T) {
 	r := newOneRouter(12)
 	r.start()
--- a/coordination/node/golden_test.go
+++ b/coordination/node/golden_test.go
@@ -15,6 +15,8 @@
 // outputs of the entry router's Node. Run them with -update to record the
 // sessions again, and read the difference before you commit it.
 
+// The owner of a chat's engine dies after a few tokens. The entry router must
+// detect that by its check, and continue with the next token on another engine.
 func TestGoldenChatResumedAfterItsOwnerDied(t *testing.T) {
 	f := newFleet(3)
 	f.Record("r3")
@@ -29,6 +31,8 @@
 	golden.Assert(t, f.Transcript(), "chat-owner-died.golden")
 }
 
+// A caller sends an order, sends it again, and reuses its key for another order.
+// The repeated order must get the recorded answer, and the other one a conflict.
 func TestGoldenOrderSentTwice(t *testing.T) {
 	f := orderFleet()
 	f.Record("r2")
@@ -41,6 +45,9 @@
 	golden.Assert(t, f.Transcript(), "order-sent-twice.golden")
 }
 
+// The owner dies after it has sent an order to the desk. The entry router must
+// read the journal until the deadline, and then answer that the outcome is
+// unknown.
 func TestGoldenOrderWhoseOwnerDied(t *testing.T) {
 	f := orderFleet()
 	f.Engines["desk"].TokenTime = 300 * time.Millisecond
--- a/coordination/node/nodetest/fleet.go
+++ b/coordination/node/nodetest/fleet.go
@@ -132,7 +132,7 @@
 	open := fleetstate.Command{Open: &ownership.Open{Router: id, Incarnation: 1, DataCentre: "dc1", Address: "127.0.0.1:1", Capacity: 100}}
 	result, err := fleetstate.DecodeResult(f.Journal.Apply(f.journalIndex, open.Encode()))
 	if err != nil || result.Ownership == nil {
-		panic("nodetest: a session could not be opened")
+		panic(fmt.Sprintf("nodetest: can't open a session for router %q: %v", id, err))
 	}
 	r := &Router{ID: id, session: result.Ownership.Session, Core: node.New(node.Config{
 		Self:            id,
@@ -148,7 +148,7 @@
 	f.tick(r)
 }
 
-// Customer adds a customer with a bearer key and a priority class.
+// AddCustomer adds a customer with a bearer key and a priority class.
 func (f *Fleet) AddCustomer(id protocol.CustomerID, key string, class int) {
 	f.customers[sha256.Sum256([]byte(key))] = &node.Customer{ID: id, Class: class, Weight: 100}
 	f.pushViews()
@@ -160,7 +160,7 @@
 	f.pushViews()
 }
 
-// Route adds a route to a plain service.
+// AddRoute adds a route to a plain service.
 func (f *Fleet) AddRoute(route node.Route) {
 	f.routes = append(f.routes, route)
 	f.pushViews()
@@ -254,7 +254,7 @@
 	return answer
 }
 
-// Input gives a router any input.
+// Input passes any input to a router.
 func (f *Fleet) Input(router protocol.RouterID, in node.Input) {
 	r := f.Routers[router]
 	f.runOn(r, func() { f.step(r, in) })
@@ -267,9 +267,9 @@
 func (f *Fleet) Thaw(router protocol.RouterID) {
 	r := f.Routers[router]
 	r.Frozen = false
-	held := r.pending
+	pending := r.pending
 	r.pending = nil
-	for _, run := range held {
+	for _, run := range pending {
 		run()
 	}
 }
@@ -341,6 +341,7 @@
 	f.after(renewEvery, func() { f.renew(r) })
 }
 
+// step passes an input to a router's Node and carries out its outputs.
 func (f *Fleet) step(r *Router, in node.Input) {
 	outs := slices.Clone(r.Core.Step(f.Now, in))
 	f.recordStep(r, in, outs)
@@ -449,11 +450,11 @@
 }
 
 // callUpstream starts a request on an engine.
-func (f *Fleet) callUpstream(r *Router, callUpstream node.CallUpstream) {
-	engine := f.Engines[callUpstream.Place.Upstream]
-	engine.start(r, callUpstream)
+func (f *Fleet) callUpstream(r *Router, call node.CallUpstream) {
+	engine := f.Engines[call.Place.Upstream]
+	engine.start(r, call)
 	if f.OnCall != nil {
-		f.OnCall(r.ID, callUpstream)
+		f.OnCall(r.ID, call)
 	}
 }
 
--- a/coordination/node/owner.go
+++ b/coordination/node/owner.go
@@ -66,7 +66,8 @@
 	crash     crashDetector
 }
 
-// relay is one attempt on the owner's side.
+// relay is one attempt on the owner's side: it waits for the upstream, or the
+// owner relays its answer to the entry router.
 type relay struct {
 	place       fleet.Place
 	entryRouter protocol.RouterID
@@ -335,7 +336,8 @@
 	return r.placeAsk.OutputTokens
 }
 
-// runTime is how long the upstream is expected to work on a request.
+// runTime is how long an engine is expected to generate the answer, 0 for a plain
+// service.
 func (n *Node) runTime(target *ownedUpstream, r *relay) time.Duration {
 	if !target.isEngine() {
 		return 0
--- a/coordination/node/place.go
+++ b/coordination/node/place.go
@@ -236,9 +236,9 @@
 // loadBeside sums the reported loads of all other upstreams.
 func (e *entryRequest) loadBeside(id protocol.UpstreamID) float64 {
 	sum := 0.0
-	for _, heard := range e.seenLoads {
-		if heard.upstream != id {
-			sum += heard.tokens
+	for _, seen := range e.seenLoads {
+		if seen.upstream != id {
+			sum += seen.tokens
 		}
 	}
 	return sum
@@ -319,7 +319,8 @@
 // the request as the upstream's owner.
 func (n *Node) handleNotOwner(now time.Duration, e *entryRequest) {
 	if e.phase == phaseQueued || !e.walking {
-		// The walk has ended, or there was none: search from the beginning.
+		// The walk has ended, or there was none: search from the beginning after a
+		// wait.
 		n.waitForOwner(now, e)
 		return
 	}
