--- a/daemon/frames.go
+++ b/daemon/frames.go
@@ -83,28 +83,28 @@
 		if err := wire.Decode(frame.Payload, &announcement); err != nil {
 			return err
 		}
-		d.runner.Input(node.Announced{Announcement: announcement, Forwarded: true})
+		d.runner.Input(node.UpstreamAnnounced{Announcement: announcement, Forwarded: true})
 		return nil
 	case wire.KindLeave:
 		var leave upstreamapi.Leave
 		if err := wire.Decode(frame.Payload, &leave); err != nil {
 			return err
 		}
-		d.runner.Input(node.Leaving{Leave: leave, Forwarded: true})
+		d.runner.Input(node.UpstreamLeaving{Leave: leave, Forwarded: true})
 		return nil
 	case wire.KindLoadTotals:
 		summary, ok := loadbound.DecodeSummary(frame.Payload)
 		if !ok {
 			return eris.Errorf("load summary has an invalid size of %d bytes", len(frame.Payload))
 		}
-		d.runner.Input(node.PeerTotals{From: from, Summary: summary})
+		d.runner.Input(node.PeerLoadTotals{From: from, Summary: summary})
 		return nil
 	case wire.KindQuarantine:
 		var notice quarantine.Notice
 		if err := wire.Decode(frame.Payload, &notice); err != nil {
 			return err
 		}
-		d.runner.Input(node.PeerNotice{Notice: notice})
+		d.runner.Input(node.PeerQuarantineNotice{Notice: notice})
 		return nil
 	}
 	return eris.Errorf("frame of unknown kind %d", frame.Kind)
--- a/daemon/gossip.go
+++ b/daemon/gossip.go
@@ -116,7 +116,7 @@
 // that callers whose owner died are served by another router. A wrong death report costs resumed
 // answers, as a broken connection does. It doesn't change who owns what.
 func (g *gossip) handleEvent(event membership.Event) {
-	g.recordEvent(node.Event{Router: event.Member.ID, What: string(event.Kind), Detail: string(event.Why)})
+	g.recordEvent(node.Event{Router: event.Member.ID, Kind: string(event.Kind), Detail: string(event.Why)})
 	switch event.Kind {
 	case membership.Died, membership.Departed:
 		g.log.Warn().Str("peer", string(event.Member.ID)).Str("why", string(event.Why)).Msg("membership: " + string(event.Kind))
@@ -140,7 +140,7 @@
 		g.log.Warn().Err(err).Str("peer", string(item.Origin)).Msg("membership: item dropped")
 		return
 	}
-	g.input(node.PeerNotice{Notice: notice})
+	g.input(node.PeerQuarantineNotice{Notice: notice})
 }
 
 // liveMembers returns the routers that this member considers alive, itself included.
--- a/daemon/runner.go
+++ b/daemon/runner.go
@@ -85,7 +85,7 @@
 	case node.Send:
 		r.ownerSpans.handleSend(out.Payload)
 		r.mesh.Send(out.To, out.Kind, encodePayload(out.Payload), out.Reliable)
-	case node.Spread:
+	case node.Broadcast:
 		r.broadcast(out.Notice)
 	case node.CallUpstream:
 		r.client.Call(out)
@@ -191,7 +191,7 @@
 func (r *runner) recordEvent(event node.Event, trace string) {
 	r.eventsMu.Lock()
 	defer r.eventsMu.Unlock()
-	r.counters.countDecision(event.What)
+	r.counters.countDecision(event.Kind)
 	r.events.Add(explain.Event{
 		UnixMS:   time.Now().UnixMilli(),
 		Router:   r.self,
@@ -200,13 +200,13 @@
 		Customer: event.Customer,
 		Upstream: event.Upstream,
 		Peer:     event.Router,
-		What:     event.What,
+		What:     event.Kind,
 		Reason:   event.Reason,
 		Detail:   event.Detail,
 		Trace:    trace,
 	})
 	r.log.Debug().Str("request", string(event.Request)).Str("upstream", string(event.Upstream)).
-		Str("reason", string(event.Reason)).Msg("node: " + event.What)
+		Str("reason", string(event.Reason)).Msg("node: " + event.Kind)
 }
 
 // recordEventWithoutRequest records an event that no request caused. Other parts call it from
@@ -253,9 +253,9 @@
 	case wire.KindAttemptAlive:
 		return decodeInput[fleet.AttemptAlive](from, frame)
 	case wire.KindLimitAsk:
-		return decodeInput[limits.Ask](from, frame)
+		return decodeInput[limits.CreditRequest](from, frame)
 	case wire.KindLimitAnswer:
-		return decodeInput[limits.Answer](from, frame)
+		return decodeInput[limits.CreditGrant](from, frame)
 	case wire.KindChatMoved:
 		return decodeInput[fleet.ChatMoved](from, frame)
 	case wire.KindOrderReport:
