--- a/coordination/lease/doc.go
+++ b/coordination/lease/doc.go
@@ -47,5 +47,6 @@
 //
 // The clocks are monotonic and must advance while a process is stopped. A clock
 // that stands still while a whole VM is suspended would keep a lease valid for
-// too long. On such platforms the fencing number is needed as well.
+// too long. Such platforms also need the fencing number of each assignment
+// (ownership.Assignment.Fence).
 package lease
--- a/coordination/lease/feed.go
+++ b/coordination/lease/feed.go
@@ -20,8 +20,9 @@
 	sent     fleetstate.Position
 	pushedAt time.Duration
 	// acked is the position in the router's last renewal. While acked lies
-	// before sent, waitingSince is the time since when the feed has waited for
-	// the router to advance.
+	// before sent, waitingSince is when the feed began to wait for the router
+	// to advance: when the first unacknowledged delta or a resend was sent, or
+	// when the router last advanced.
 	acked        fleetstate.Position
 	waitingSince time.Duration
 }
@@ -51,8 +52,8 @@
 	timing  Timing
 	machine *fleetstate.Machine
 	routers map[ownership.SessionID]*progress
-	// pushed is the newest revision for which MinPushInterval delays no push
-	// any more.
+	// pushed is the revision up to which pushes has nothing left to send. A
+	// push that MinPushInterval delays keeps it at an older revision.
 	pushed uint64
 }
 
--- a/coordination/lease/handover_test.go
+++ b/coordination/lease/handover_test.go
@@ -76,7 +76,7 @@
 // its lease must have expired earlier, on its own clock. The other routers
 // serve under the new row, and the operator waits about Timing.ExpireAfter at
 // most.
-func TestChangeWaitsForCutOffRouter(t *testing.T) {
+func TestChangeWaitsForPartitionedRouter(t *testing.T) {
 	for seed := range uint64(20) {
 		s := newSim(seed, 3, 0, "")
 		s.run(5 * time.Second)
--- a/coordination/lease/messages.go
+++ b/coordination/lease/messages.go
@@ -35,13 +35,14 @@
 	MaxPause time.Duration
 }
 
-// DefaultTiming reassigns the upstreams of a lost router, and puts a change
-// into force without that router, within 3 s: ExpireAfter, BundleDelay, and one
-// or two commits. With a renewal every 1.25 s a relay of 55 routers sends about
-// 3 KB a second. A renewal is repeated every 300 ms until it is answered, so
-// three may be lost before a healthy router stops. The 0.4 s between Lease and
-// ExpireAfter allow for clocks whose speeds differ by one sixth, far more than
-// those of real clocks.
+// DefaultTiming returns the timing of a fleet. Within 3 s of the loss of a
+// router, its upstreams are reassigned and a change is in force without it:
+// after ExpireAfter, BundleDelay, and one or two commits. With a renewal every
+// 1.25 s a relay of 55 routers sends about 3 KB a second. A router repeats a
+// renewal every 300 ms until it is answered, so three may be lost before a
+// healthy router's lease expires. The 0.4 s between Lease and ExpireAfter allow
+// for clocks whose speeds differ by one sixth, far more than those of real
+// clocks.
 func DefaultTiming() Timing {
 	return Timing{
 		Lease:           2300 * time.Millisecond,
--- a/coordination/lease/relay.go
+++ b/coordination/lease/relay.go
@@ -26,7 +26,7 @@
 	Renewals []BundledRenewal `msgpack:"r"`
 }
 
-// BundleReply replies a bundle. If the outcome is Granted, all sessions of the
+// BundleReply answers a Bundle. If the outcome is Granted, all sessions of the
 // bundle are renewed except those in Closed. Encode it with
 // codec.MarshalArrays.
 type BundleReply struct {
@@ -51,12 +51,13 @@
 // Relay runs on a voter or learner between routers and the leader. It bundles
 // the routers' renewals and sends them deltas from its own applied state.
 //
-// It is designed for 330 routers and 7 disk VMs (the leader and 6 relays).
-// Without relays the leader exchanges one packet a second in each direction
-// with each router and pushes each change to each router. That costs it about
-// 19 KB a second with 330 routers and 59 KB with 1,000, far more than the
-// budget of 3 KB a second for a VM. With relays the leader exchanges a few
-// bundles a second with each relay and sends no deltas to routers.
+// It is designed for 330 routers and the seven VMs at most that may be set
+// aside for control: the leader and 6 relays. Without relays the leader
+// exchanges one packet a second in each direction with each router and pushes
+// each change to each router. That costs it about 19 KB a second with 330
+// routers and 59 KB with 1,000, far more than the budget of 3 KB a second for a
+// VM. With relays the leader exchanges a few bundles a second with each relay
+// and sends no deltas to routers.
 //
 // Correctness does not depend on the relay's clock. A router counts its lease
 // from when it sent its renewal; the leader counts from when it received the
@@ -147,8 +148,8 @@
 // Pushes returns the deltas to send now to the relay's routers.
 func (r *Relay) Pushes(now time.Duration) []Push { return r.feed.pushes(now) }
 
-// HandleBundle replies a relay's bundle. leading has the same meaning as in
-// HandleRenewal.
+// HandleBundle answers a relay's bundle. leading has the same meaning as in
+// Leader.HandleRenewal.
 func (l *Leader) HandleBundle(now time.Duration, leading bool, bundle Bundle) BundleReply {
 	if !leading {
 		return BundleReply{Outcome: NotLeader, Seq: bundle.Seq}
--- a/coordination/lease/safety_test.go
+++ b/coordination/lease/safety_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-var storms = flag.Uint64("storms", 60, "how many seeds of TestInvariantsHoldUnderFaults to run")
+var faultSeeds = flag.Uint64("storms", 60, "how many seeds of TestInvariantsHoldUnderFaults to run")
 
 // runWithFaults runs 40 simulated seconds in which routers freeze, restart and
 // are partitioned, leaders are partitioned and replaced, messages are lost,
@@ -50,27 +50,27 @@
 	}
 }
 
-// Guards the three invariants of the package. Routers freeze and resume, are
-// partitioned together with the old leader, restart, and lose messages, while
-// operators change rows and upstreams change owners. At no moment may two
-// routers admit requests to one upstream, may a router serve under settings
-// older than those that an operator was told are in force, or may a router's
-// revision go back.
+// Checks the three invariants of the package under faults. Routers freeze and
+// resume, are partitioned together with the old leader, restart, and lose
+// messages, while operators change rows and upstreams change owners. At no
+// moment may two routers admit requests to one upstream, may a router serve
+// under settings older than those that an operator was told are in force, or
+// may a router's revision go back.
 func TestInvariantsHoldUnderFaults(t *testing.T) {
 	changes := 0
-	for seed := range *storms {
+	for seed := range *faultSeeds {
 		s := runWithFaults(seed, "")
 		assert.Equal(t, s.violation, "", "seed %d", seed)
 		changes += len(s.inForce)
 	}
-	for seed := range *storms / 2 {
+	for seed := range *faultSeeds / 2 {
 		s := newSim(seed, 5, 6, "")
 		s.addRelays(2)
 		runFaults(s)
 		assert.Equal(t, s.violation, "", "seed %d with relays", seed)
 		changes += len(s.inForce)
 	}
-	assert.Assert(t, changes > 20*int(*storms), "only %d changes came into force", changes)
+	assert.Assert(t, changes > 20*int(*faultSeeds), "only %d changes came into force", changes)
 }
 
 // Shows that each rule is needed: when any one of them is switched off, some
@@ -79,13 +79,13 @@
 func TestLeaseRulesAreNeeded(t *testing.T) {
 	for mutation, from := range map[string]uint64{
 		"leader waits no longer than the lease": 152,
-		"guard does not ask the lease":          0,
+		"guard does not check the lease":        0,
 		"valid before it caught up":             0,
 		"new leader does not wait":              0,
 		"old leader grants":                     0,
-		"run-out session is granted":            134,
-		"lease counts from the answer":          0,
-		"a late release counts":                 982,
+		"expired session is granted a lease":    134,
+		"lease counts from the reply":           0,
+		"a late release is accepted":            982,
 		"assigned while owned":                  0,
 	} {
 		t.Run(mutation, func(t *testing.T) {
@@ -95,7 +95,7 @@
 					return
 				}
 			}
-			t.Fatal("no seed noticed that the rule is off")
+			t.Fatal("no seed violated an invariant with the rule switched off")
 		})
 	}
 }
--- a/coordination/lease/sim_test.go
+++ b/coordination/lease/sim_test.go
@@ -42,15 +42,22 @@
 	// takes a millisecond and up to extraLatency more.
 	loss         int
 	extraLatency time.Duration
-	mutation     string
-	upstreams    []ownership.Upstream
-	awaited      map[Waiter]simChange
-	inForce      []time.Duration
-	revision     uint64
-	violation    string
-	checking     bool
-}
-
+	// mutation names the rule that is switched off, if any.
+	mutation  string
+	upstreams []ownership.Upstream
+	awaited   map[Waiter]simChange
+	// inForce holds, for each change that came into force, how long that took.
+	inForce []time.Duration
+	// inForceRevision is the newest revision that an operator was told is in
+	// force.
+	inForceRevision uint64
+	// violation describes the first invariant that was broken. It ends the run.
+	violation string
+	// checking is set in runs with faults: each event checks the invariants.
+	checking bool
+}
+
+// simChange is a change whose operator waits for it to be in force.
 type simChange struct {
 	revision uint64
 	at       time.Duration
@@ -72,8 +79,9 @@
 	machine     *fleetstate.Machine
 	leader      *Leader
 	partitioned bool
-	until       time.Duration
-	sent        int
+	// leaseUntil is when the leader's own lease ends, in true time.
+	leaseUntil time.Duration
+	sent       int
 }
 
 type simRouter struct {
@@ -152,7 +160,7 @@
 
 func (l simLease) Valid(now time.Duration) bool {
 	switch l.mutation {
-	case "guard does not ask the lease":
+	case "guard does not check the lease":
 		return true
 	case "valid before it caught up":
 		return now < l.expiresAt && l.session != ownership.NoSession
@@ -165,7 +173,7 @@
 }
 
 func (s *sim) newLeader() *simLeader {
-	l := &simLeader{clock: s.clock(), machine: s.machine, until: 1 << 62}
+	l := &simLeader{clock: s.clock(), machine: s.machine, leaseUntil: 1 << 62}
 	l.leader = NewLeader(s.timing, s.machine)
 	l.leader.StartTerm(l.clock.read(s.now))
 	if s.mutation == "new leader does not wait" {
@@ -215,7 +223,7 @@
 		if l != s.current || l.partitioned {
 			return
 		}
-		if s.mutation == "a late release counts" && command.Release != nil {
+		if s.mutation == "a late release is accepted" && command.Release != nil {
 			now, _ := s.machine.Ownership().Assignment(command.Release.Held[0].Upstream)
 			command.Release.Held[0].Fence = now.Fence
 		}
@@ -296,12 +304,12 @@
 	for _, waiter := range l.leader.TakeInForce() {
 		change := s.awaited[waiter]
 		s.inForce = append(s.inForce, s.now-change.at)
-		s.revision = max(s.revision, change.revision)
+		s.inForceRevision = max(s.inForceRevision, change.revision)
 	}
 }
 
 func (s *sim) holdsLease(l *simLeader) bool {
-	return s.mutation == "old leader grants" || s.now < l.until
+	return s.mutation == "old leader grants" || s.now < l.leaseUntil
 }
 
 // sendToRouter delivers a leader's message unless it is lost or the partition
@@ -380,7 +388,7 @@
 	s.after(s.latency(), nil, func() {
 		var got Renewal
 		_ = codec.Unmarshal(encoded, &got)
-		if session := l.leader.tracker.sessions[got.Session]; session != nil && s.mutation == "run-out session is granted" {
+		if session := l.leader.tracker.sessions[got.Session]; session != nil && s.mutation == "expired session is granted a lease" {
 			session.expired = false
 			session.renewedAt = l.clock.read(s.now)
 		}
@@ -401,7 +409,7 @@
 	_ = codec.Unmarshal(encoded, &reply)
 	now := r.clock.read(s.now)
 	outputs := r.HandleReply(now, reply)
-	if s.mutation == "lease counts from the answer" && reply.Outcome == Granted {
+	if s.mutation == "lease counts from the reply" && reply.Outcome == Granted {
 		r.holder.expiresAt = now + s.timing.Lease
 	}
 	s.execute(r, outputs)
--- a/coordination/lease/simfaults_test.go
+++ b/coordination/lease/simfaults_test.go
@@ -22,7 +22,7 @@
 		panic(err)
 	}
 	old.partitioned, old.machine, old.leader.machine, old.leader.feed.machine = true, copied, copied, copied
-	old.until = s.now + leaderLease
+	old.leaseUntil = s.now + leaderLease
 	s.old = old
 	for _, r := range s.routers {
 		r.partitioned = s.rng.IntN(2) == 0
@@ -78,8 +78,8 @@
 	}
 	for _, r := range s.routers {
 		revision := r.holder.View().Revision()
-		if s.now >= r.frozenUntil && revision < s.revision && (simLease{r.holder, s.mutation}).Valid(r.clock.read(s.now)) {
-			s.violation = fmt.Sprintf("router %d serves revision %d, but %d is in force at %v", r.id, revision, s.revision, s.now)
+		if s.now >= r.frozenUntil && revision < s.inForceRevision && (simLease{r.holder, s.mutation}).Valid(r.clock.read(s.now)) {
+			s.violation = fmt.Sprintf("router %d serves revision %d, but %d is in force at %v", r.id, revision, s.inForceRevision, s.now)
 		}
 		if revision < r.lastRevision {
 			s.violation = fmt.Sprintf("router %d went back to revision %d at %v", r.id, revision, s.now)
--- a/coordination/lease/simrelay_test.go
+++ b/coordination/lease/simrelay_test.go
@@ -65,10 +65,10 @@
 }
 
 func (s *sim) deliverBundleReply(relay *simRelay, reply BundleReply) {
-	for _, answer := range relay.relay.HandleBundleReply(relay.clock.read(s.now), reply) {
-		encoded := codec.MarshalArrays(&answer.Reply)
+	for _, routerReply := range relay.relay.HandleBundleReply(relay.clock.read(s.now), reply) {
+		encoded := codec.MarshalArrays(&routerReply.Reply)
 		relay.sent += len(encoded) + frameBytes
-		r := relay.routers[answer.Session]
+		r := relay.routers[routerReply.Session]
 		holder := r.holder
 		s.relayToRouter(r, func() {
 			if r.holder == holder {
