--- a/coordination/fleetstate/machine_test.go
+++ b/coordination/fleetstate/machine_test.go
@@ -225,9 +225,9 @@
 	}
 }
 
-// Guards against bytes that stop a voter and that no leader wrote (a bug, a
-// newer version, a flipped bit). All voters would stop at the same entry, at
-// every start.
+// Guards against a voter that stops at bytes that no leader of this version
+// wrote (a bug, a newer version, a flipped bit). All voters would stop at the
+// same entry, at every start.
 func FuzzApply(f *testing.F) {
 	f.Add(Command{Order: &orders.Command{Op: orders.OpReserve, Key: orders.Key{Customer: "c", Key: "k"}}}.Encode())
 	f.Add(Command{Assign: &ownership.Assign{Targets: []ownership.Target{{Upstream: "u", Owner: 1}}}}.Encode())
--- a/coordination/fleetstate/view.go
+++ b/coordination/fleetstate/view.go
@@ -18,6 +18,7 @@
 	staged *viewContent
 	// position is where the next delta must begin.
 	position Position
+	// revision is the revision of current.
 	revision uint64
 }
 
@@ -91,7 +92,8 @@
 }
 
 // targetContent returns the content to which a delta's entries are added: the
-// current content for a delta in one piece, a copy for a delta in chunks.
+// current content for a delta in one piece, a copy for a delta in chunks, and
+// an empty one for a delta that resets the view.
 func (v *View) targetContent(delta Delta) *viewContent {
 	switch {
 	case delta.Reset:
