--- a/tool/client.go
+++ b/tool/client.go
@@ -15,8 +15,9 @@
 const maxResponseBytes = 64 << 20
 
 // call sends one request to the admin address and decodes the response into
-// answer. body is nil for a GET. The returned HTTP status is 200, or 409
-// (conflict) or 422 (invalid), whose responses carry a typed answer as well.
+// answer. body is nil for a GET. Without an error, the returned HTTP status is
+// 200, or 409 (conflict) or 422 (invalid) with an answer that says why nothing
+// was changed.
 func (o *options) call(ctx context.Context, method, path string, body, answer any) (int, error) {
 	if o.admin == "" {
 		return 0, &Failure{Status: ExitUsage, What: "no admin address", Next: "set --admin, " + envAdmin + " or a profile"}
--- a/tool/status.go
+++ b/tool/status.go
@@ -92,7 +92,8 @@
 var errRequestNotInLogs = eris.New("no line of these logs is about this request")
 
 // explainLogsCommand shows a request's timeline from log files. It serves fleets
-// whose routers send to upstreams directly, and processes that have ended.
+// whose routers send to upstreams directly and have no admin listener, and
+// requests of processes that have ended.
 func explainLogsCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "logs ID [FILE...]",
--- a/tool/table.go
+++ b/tool/table.go
@@ -62,9 +62,9 @@
 		head = append(head, strings.ToUpper(column.Name))
 	}
 	printRow(w, head...)
-	for _, line := range rows {
-		cells := []any{line.Key, line.Revision}
-		for _, cell := range line.Cells {
+	for _, row := range rows {
+		cells := []any{row.Key, row.Revision}
+		for _, cell := range row.Cells {
 			cells = append(cells, truncateCell(cell))
 		}
 		printRow(w, cells...)
