--- a/report/report_test.go
+++ b/report/report_test.go
@@ -65,6 +65,8 @@
 	return directory
 }
 
+// Guards against an unnoticed change of the page. CI draws committed reports
+// again and compares them, so they would no longer agree with their results.
 func TestMarkdownPage(t *testing.T) {
 	golden.Assert(t, report.Markdown([]report.Run{{Name: "sample", Result: sample()}}, "svg"), "report.md")
 }
--- a/report/story/story.go
+++ b/report/story/story.go
@@ -69,7 +69,7 @@
 	}
 	var fields map[string]any
 	decoder := json.NewDecoder(bytes.NewReader(text[start:]))
-	// Digests have more digits than a float holds.
+	// Digests have more digits than a float64 holds exactly.
 	decoder.UseNumber()
 	if err := decoder.Decode(&fields); err != nil {
 		return
@@ -114,13 +114,13 @@
 	var selected []logLine
 	for _, entry := range l.lines {
 		inTime := !entry.at.Before(from) && !entry.at.After(to)
-		if isOf(entry, request) || inTime && l.isContext(entry, requestLog[0].process, upstreams) {
+		if belongsTo(entry, request) || inTime && l.isContext(entry, requestLog[0].process, upstreams) {
 			selected = append(selected, entry)
 		}
 	}
 	slices.SortStableFunc(selected, func(a, b logLine) int { return a.at.Compare(b.at) })
 	for _, entry := range selected {
-		if _, err := fmt.Fprintln(w, entry.format(isOf(entry, request))); err != nil {
+		if _, err := fmt.Fprintln(w, entry.format(belongsTo(entry, request))); err != nil {
 			return true, err
 		}
 	}
@@ -131,7 +131,7 @@
 func (l *Logs) requestLines(request string) []logLine {
 	var requestLog []logLine
 	for _, entry := range l.lines {
-		if isOf(entry, request) {
+		if belongsTo(entry, request) {
 			requestLog = append(requestLog, entry)
 		}
 	}
@@ -139,7 +139,10 @@
 	return requestLog
 }
 
-func isOf(entry logLine, request string) bool { return textField(entry.fields, "request") == request }
+// belongsTo reports whether a line carries the ID of a request.
+func belongsTo(entry logLine, request string) bool {
+	return textField(entry.fields, "request") == request
+}
 
 // upstreamsOf returns the upstreams that a request was sent to.
 func upstreamsOf(requestLog []logLine) map[string]bool {
