--- a/loadgen/loadgen.go
+++ b/loadgen/loadgen.go
@@ -67,8 +67,10 @@
 	Trace           trace.Model
 	Duration        time.Duration
 	// Requests ends a phase early; 0 for no limit.
-	Requests     int
-	MaxInFlight  int
+	Requests    int
+	MaxInFlight int
+	// Timeout is the timeout of one attempt. Retries is the maximum number of
+	// attempts after the first, and MaxRetryWait the longest pause before one.
 	Timeout      time.Duration
 	Retries      int
 	MaxRetryWait time.Duration
--- a/loadgen/recorder.go
+++ b/loadgen/recorder.go
@@ -41,7 +41,7 @@
 	outcome string
 	// requestID is the ID that the fleet gave the request.
 	requestID string
-	// reasonCode is the code of a refusal.
+	// reasonCode is the code of a refusal or of an error within a stream.
 	reasonCode string
 	retryAfter time.Duration
 	// retry means that another attempt may succeed.
@@ -170,19 +170,19 @@
 	if got.requestID == "" {
 		return
 	}
-	named := ListedRequest{Request: got.requestID, FirstTokenMs: round(float64(got.firstToken.Microseconds()) / 1000)}
+	listed := ListedRequest{Request: got.requestID, FirstTokenMs: round(float64(got.firstToken.Microseconds()) / 1000)}
 	if got.verdict != whole && len(r.notWhole) < maxListedRequests {
-		named.Verdict = verdictNames[got.verdict]
-		r.notWhole = append(r.notWhole, named)
+		listed.Verdict = verdictNames[got.verdict]
+		r.notWhole = append(r.notWhole, listed)
 	}
 	if got.tokens == 0 {
 		return
 	}
-	at, _ := slices.BinarySearchFunc(r.slowest, named, func(a, b ListedRequest) int {
+	at, _ := slices.BinarySearchFunc(r.slowest, listed, func(a, b ListedRequest) int {
 		return cmp.Compare(b.FirstTokenMs, a.FirstTokenMs)
 	})
 	if at < maxListedRequests {
-		r.slowest = slices.Insert(r.slowest, at, named)
+		r.slowest = slices.Insert(r.slowest, at, listed)
 		r.slowest = r.slowest[:min(len(r.slowest), maxListedRequests)]
 	}
 }
--- a/loadgen/runner.go
+++ b/loadgen/runner.go
@@ -17,7 +17,7 @@
 const lateThreshold = 50 * time.Millisecond
 
 // minRetryPause is the shortest pause before another attempt. It applies when the
-// answer did not say when to come back.
+// answer has no Retry-After, or a Retry-After of zero.
 const minRetryPause = 50 * time.Millisecond
 
 // runner sends one phase's trace to its targets.
--- a/loadgen/trace/trace.go
+++ b/loadgen/trace/trace.go
@@ -225,38 +225,38 @@
 }
 
 // nextTurn returns a chat's next request and may schedule the one after it.
-func (g *Generator) nextTurn(s *pausedChat) Item {
+func (g *Generator) nextTurn(c *pausedChat) Item {
 	length := shortWords + g.rng.IntN(shortWordsSpread)
 	tokens := shortTokens + g.rng.IntN(shortTokensSpread)
 	if g.rng.Float64() < g.model.LongShare {
 		length = longWords + g.rng.IntN(longWordsSpread)
 		tokens = longTokens + g.rng.IntN(longTokensSpread)
 	}
-	text := fmt.Sprintf("chat %d turn %d. %s", s.id, s.turn, randomWords(g.rng.Uint64(), length))
-	s.messages = append(s.messages, chat.Message{Role: "user", Content: text})
+	text := fmt.Sprintf("chat %d turn %d. %s", c.id, c.turn, randomWords(g.rng.Uint64(), length))
+	c.messages = append(c.messages, chat.Message{Role: "user", Content: text})
 	request := chat.Request{
-		Model:     s.model,
-		Messages:  s.messages[:len(s.messages):len(s.messages)],
+		Model:     c.model,
+		Messages:  c.messages[:len(c.messages):len(c.messages)],
 		Stream:    true,
 		MaxTokens: tokens,
 	}
-	item := Item{At: g.now, Customer: s.customer, Chat: s.id, Turn: s.turn, Request: request}
-	g.schedule(s, request)
+	item := Item{At: g.now, Customer: c.customer, Chat: c.id, Turn: c.turn, Request: request}
+	g.schedule(c, request)
 	return item
 }
 
 // schedule adds a chat to the paused ones with the time of its return, unless the
 // chat ends here.
-func (g *Generator) schedule(s *pausedChat, request chat.Request) {
-	s.turn++
-	if s.turn >= g.model.MaxTurns || len(g.paused) >= g.model.MaxPaused || g.rng.Float64() >= g.model.ReturnShare {
+func (g *Generator) schedule(c *pausedChat, request chat.Request) {
+	c.turn++
+	if c.turn >= g.model.MaxTurns || len(g.paused) >= g.model.MaxPaused || g.rng.Float64() >= g.model.ReturnShare {
 		return
 	}
 	reply := chat.Message{Role: "assistant", Content: answer.For(request).Text()}
-	s.messages = append(s.messages, reply)
+	c.messages = append(c.messages, reply)
 	ratio := float64(g.model.PauseMax) / float64(g.model.PauseMin)
-	s.due = g.now + time.Duration(float64(g.model.PauseMin)*math.Pow(ratio, g.rng.Float64()))
-	heap.Push(&g.paused, s)
+	c.due = g.now + time.Duration(float64(g.model.PauseMin)*math.Pow(ratio, g.rng.Float64()))
+	heap.Push(&g.paused, c)
 }
 
 // randomWords returns n pseudo-random words that depend only on the seed.
--- a/loadgen/trace/trace_test.go
+++ b/loadgen/trace/trace_test.go
@@ -36,7 +36,7 @@
 	model := trace.DefaultModel()
 	customers := make([]int, model.Customers)
 	last := map[uint64]chat.Request{}
-	var orders, resent, returning, surge int
+	var orders, resent, returning, inBurst int
 	var now time.Duration
 	for _, item := range draw(model) {
 		assert.Assert(t, item.At >= now)
@@ -50,7 +50,7 @@
 			continue
 		}
 		if now >= model.BurstEvery && now < model.BurstEvery+model.BurstLength && item.Customer == 1 {
-			surge++
+			inBurst++
 		}
 		before, seen := last[item.Chat]
 		assert.Equal(t, seen, item.Turn > 0)
@@ -61,7 +61,7 @@
 		}
 		last[item.Chat] = item.Request
 	}
-	shape := fmt.Sprintf("largest customer %d%%, orders %d%%, resent %d%%, returning %d%%, surge %d",
-		100*customers[0]/items, 100*orders/items, 100*resent/orders, 100*returning/items, surge)
-	assert.Equal(t, shape, "largest customer 20%, orders 4%, resent 9%, returning 58%, surge 226")
+	shape := fmt.Sprintf("largest customer %d%%, orders %d%%, resent %d%%, returning %d%%, in first burst %d",
+		100*customers[0]/items, 100*orders/items, 100*resent/orders, 100*returning/items, inBurst)
+	assert.Equal(t, shape, "largest customer 20%, orders 4%, resent 9%, returning 58%, in first burst 226")
 }
