--- a/coordination/node/classify.go
+++ b/coordination/node/classify.go
@@ -82,7 +82,7 @@
 	template.Model = model
 	template.Streamed = in.Chat.Stream
 	template.Idempotent = true
-	template.Root = placement.RootLink(in.Chat.Messages)
+	template.RootIndex = placement.RootIndex(in.Chat.Messages)
 	template.Chain = wireChain(fresh.chain)
 	template.PromptTokens = fresh.chain[len(fresh.chain)-1].Tokens
 	template.OutputTokens = in.Chat.MaxTokens
--- a/coordination/node/crash.go
+++ b/coordination/node/crash.go
@@ -159,7 +159,7 @@
 		return
 	}
 	if !final {
-		n.spillOrSubmit(now, target, r, false, placement.Answer{Verdict: placement.NoRoom})
+		n.spillOrSubmit(now, target, r, false, placement.Answer{Verdict: placement.NoCapacity})
 		return
 	}
 	target.onHold = append(target.onHold, r)
@@ -183,7 +183,7 @@
 	hold := n.holdFor(now, target, r)
 	switch hold {
 	case quarantine.HoldNone:
-		r.ask.Stage = placement.Final
+		r.ask.Stage = placement.StageFinal
 		n.decideEngine(now, target, r, true)
 	case quarantine.HoldQuarantined:
 		n.decideHold(now, target, r, hold, true)
--- a/coordination/node/entry.go
+++ b/coordination/node/entry.go
@@ -371,7 +371,7 @@
 	if same := e.again; same != nil && n.view.Upstreams[same.ID] != nil {
 		e.again = nil
 		e.walking = false
-		n.ask(now, e, n.view.Upstreams[same.ID], placement.Final, false)
+		n.ask(now, e, n.view.Upstreams[same.ID], placement.StageFinal, false)
 		return
 	}
 	n.place(now, e)
--- a/coordination/node/kvmove.go
+++ b/coordination/node/kvmove.go
@@ -58,10 +58,10 @@
 }
 
 // keyOf is what the chat of an ask is placed by.
-func keyOf(ask placement.Ask) placement.Key {
-	key := placement.Key{Root: ask.Chain[ask.Root].Hash}
-	if ask.Root > 0 {
-		key.Group = ask.Chain[ask.Root-1].Hash
+func keyOf(ask placement.Query) placement.Key {
+	key := placement.Key{Root: ask.Chain[ask.RootIndex].Hash}
+	if ask.RootIndex > 0 {
+		key.Group = ask.Chain[ask.RootIndex-1].Hash
 	}
 	return key
 }
--- a/coordination/node/owner.go
+++ b/coordination/node/owner.go
@@ -65,7 +65,7 @@
 type relay struct {
 	place    fleet.Place
 	from     protocol.RouterID
-	ask      placement.Ask
+	ask      placement.Query
 	deadline time.Duration
 	// cost is the work that the load bound counts, in generated tokens.
 	cost float64
@@ -132,14 +132,14 @@
 		cost:     1,
 	}
 	if target.isEngine() {
-		fresh.ask = placement.Ask{
+		fresh.ask = placement.Query{
 			Upstream:     place.Upstream,
 			Stage:        placement.Stage(place.Stage),
-			Home:         place.Home,
+			FirstChoice:  place.FirstChoice,
 			Chain:        coreChain(place.Chain),
-			Root:         place.Root,
+			RootIndex:    place.RootIndex,
 			OutputTokens: max(1, place.OutputTokens-place.ResumeAt),
-			Seen:         place.Seen,
+			SeenLoad:     place.Seen,
 		}
 		fresh.cost = n.policy.Cost(place.PromptTokens, 0, fresh.ask.OutputTokens)
 	}
@@ -159,7 +159,7 @@
 
 // decide finds out whether a request may start now.
 func (n *Node) decide(now time.Duration, target *owned, r *relay) {
-	final := placement.Stage(r.place.Stage) == placement.Final
+	final := placement.Stage(r.place.Stage) == placement.StageFinal
 	if target.isEngine() {
 		if hold := n.holdFor(now, target, r); hold != quarantine.HoldNone {
 			n.decideHold(now, target, r, hold, final)
@@ -211,7 +211,7 @@
 // empty. The ratio counts what waits there as well, so that the entry doesn't
 // take an upstream with a queue for the one with the least to do.
 func (n *Node) behindQueue(now time.Duration, target *owned, r *relay) placement.Answer {
-	answer := placement.Answer{Verdict: placement.NoRoom, Reason: loadbound.QueueAhead}
+	answer := placement.Answer{Verdict: placement.NoCapacity, Reason: loadbound.QueueAhead}
 	if !target.isEngine() {
 		return answer
 	}
@@ -219,12 +219,12 @@
 	for class := range admission.NumClasses {
 		waiting += target.queue.Tokens(admission.Class(class))
 	}
-	return n.placer.Weigh(now, r.ask, float64(waiting))
+	return n.placer.EstimateBehindQueue(now, r.ask, float64(waiting))
 }
 
 // decideEngine puts a chat to placement and the load bound.
 func (n *Node) decideEngine(now time.Duration, target *owned, r *relay, final bool) {
-	answer := n.placer.Ask(now, r.ask)
+	answer := n.placer.HandleQuery(now, r.ask)
 	switch answer.Verdict {
 	case placement.Admitted:
 		r.answer = answer
@@ -234,7 +234,7 @@
 	case placement.Refused:
 		n.replyPlace(r.from, r.place, fleet.PlaceReply{Outcome: fleet.PlaceNotOwner, Reason: string(answer.Reason)})
 	default:
-		n.spillOrSubmit(now, target, r, final && answer.Verdict == placement.NoRoom, answer)
+		n.spillOrSubmit(now, target, r, final && answer.Verdict == placement.NoCapacity, answer)
 	}
 }
 
@@ -269,7 +269,7 @@
 	switch answer.Verdict {
 	case placement.Forward:
 		return reason.ChatElsewhere
-	case placement.Unknown, placement.Cold:
+	case placement.Unknown, placement.NotCached:
 		return reason.ChatNotHere
 	}
 	if answer.Reason == loadbound.OverBound || answer.Reason == loadbound.OverSoftBound {
@@ -355,9 +355,9 @@
 			n.decideHold(now, target, r, hold, true)
 			return
 		}
-		r.ask.Stage = placement.Final
-		r.ask.Seen = target.heardBeside(now)
-		r.answer = n.placer.Ask(now, r.ask)
+		r.ask.Stage = placement.StageFinal
+		r.ask.SeenLoad = target.heardBeside(now)
+		r.answer = n.placer.HandleQuery(now, r.ask)
 		if r.answer.Verdict != placement.Admitted {
 			n.replyPlace(r.from, r.place, fleet.PlaceReply{Outcome: fleet.PlaceNotOwner, Reason: string(reason.LoadBound)})
 			return
--- a/coordination/node/relay.go
+++ b/coordination/node/relay.go
@@ -164,7 +164,7 @@
 	if !whole {
 		cached = -1
 	}
-	n.placer.Finished(now, r.answer.Ticket, r.answer.Hit, cached)
+	n.placer.Finish(now, r.answer.Ticket, r.answer.Hit, cached)
 	n.crashes.Ended(now, target.id, quarantine.Digest(r.place.Digest), ending)
 }
 
--- a/coordination/node/seek.go
+++ b/coordination/node/seek.go
@@ -40,9 +40,9 @@
 	}
 	e.walking = true
 	e.seen = nil
-	e.walk = placement.Begin(n.setFor(e), n.policy, placement.Request{
+	e.walk = placement.StartWalk(n.setFor(e), n.policy, placement.Request{
 		Chain:        e.chain,
-		Root:         e.template.Root,
+		RootIndex:    e.template.RootIndex,
 		OutputTokens: e.template.OutputTokens,
 	})
 	n.stepWalk(now, e)
@@ -95,7 +95,7 @@
 	if !found {
 		return false
 	}
-	n.ask(now, e, n.view.Upstreams[chosen], placement.Final, false)
+	n.ask(now, e, n.view.Upstreams[chosen], placement.StageFinal, false)
 	return true
 }
 
@@ -106,13 +106,13 @@
 		n.walkEnded(now, e)
 		return
 	}
-	upstream := n.view.Upstreams[step.Ask.Upstream]
+	upstream := n.view.Upstreams[step.Query.Upstream]
 	if upstream == nil || !upstream.placeable() {
-		e.walk.Answered(placement.Silent)
+		e.walk.HandleAnswer(placement.NoAnswer)
 		n.stepWalk(now, e)
 		return
 	}
-	n.ask(now, e, upstream, step.Ask.Stage, step.Ask.Home)
+	n.ask(now, e, upstream, step.Query.Stage, step.Query.FirstChoice)
 }
 
 // walkEnded waits for an upstream with an owner while there is time.
@@ -136,12 +136,12 @@
 	if !result.Moved {
 		return
 	}
-	home := n.view.Upstreams[result.Home]
+	home := n.view.Upstreams[result.FirstChoice]
 	if home == nil || home.Owner == "" {
 		return
 	}
-	root := e.chain[e.template.Root].Hash
-	n.send(home.Owner, fleet.Moved{Home: result.Home, Root: uint64(root), Ran: result.Upstream})
+	root := e.chain[e.template.RootIndex].Hash
+	n.send(home.Owner, fleet.Moved{Home: result.FirstChoice, Root: uint64(root), Ran: result.Upstream})
 }
 
 // rankServers orders the servers of a plain service by rendezvous hashing of
@@ -178,10 +178,10 @@
 		n.waitForOwner(now, e)
 		return
 	}
-	stage := placement.Open
+	stage := placement.StageInOrder
 	index := e.next
 	if e.next >= min(maxServiceSpills, len(e.candidates)) {
-		stage = placement.Final
+		stage = placement.StageFinal
 		index = 0
 	}
 	e.next++
@@ -204,7 +204,7 @@
 	message.Fence = upstream.Fence
 	message.ResumeAt = e.delivered()
 	message.Stage = uint8(stage)
-	message.Home = home
+	message.FirstChoice = home
 	message.Seen = e.seenBeside(upstream.ID)
 	message.RemainingMS = (e.deadline - now).Milliseconds()
 	n.send(upstream.Owner, message)
@@ -273,7 +273,7 @@
 	if !e.walking {
 		return
 	}
-	e.walk.Answered(answer)
+	e.walk.HandleAnswer(answer)
 	n.tellHome(e.walk.Result(), e)
 }
 
@@ -305,7 +305,7 @@
 		n.waitForOwner(now, e)
 		return
 	}
-	e.walk.Answered(walkAnswer(reply))
+	e.walk.HandleAnswer(walkAnswer(reply))
 	n.stepWalk(now, e)
 }
 
@@ -316,7 +316,7 @@
 		n.waitForOwner(now, e)
 		return
 	}
-	e.walk.Answered(placement.Silent)
+	e.walk.HandleAnswer(placement.NoAnswer)
 	n.stepWalk(now, e)
 }
 
--- a/coordination/node/upstreams.go
+++ b/coordination/node/upstreams.go
@@ -90,13 +90,13 @@
 
 // learnEngine passes an engine's report on to load bound and placement.
 func (n *Node) learnEngine(now time.Duration, target *owned, a upstreamapi.Announcement) {
-	n.placer.Hold(now, target.id, a.Incarnation, cachedChats)
+	n.placer.AddUpstream(now, target.id, a.Incarnation, cachedChats)
 	if !target.heard {
 		n.ledger.Own(now, target.id, n.grant(target))
 	}
 	n.ledger.Reported(now, target.id, a.Load)
 	if a.Cache != nil {
-		n.placer.CacheEvents(now, target.id, a.Cache.First, coreEvents(a.Cache.Events))
+		n.placer.HandleCacheEvents(now, target.id, a.Cache.First, coreEvents(a.Cache.Events))
 	}
 }
 
@@ -245,7 +245,7 @@
 	n.ledger.Disown(target.id)
 	n.handBack(now, target)
 	if len(target.running) == 0 {
-		n.placer.Drop(target.id)
+		n.placer.RemoveUpstream(target.id)
 		delete(n.owned, target.id)
 	}
 }
@@ -276,6 +276,6 @@
 // moved notes where a chat ran whose first choice is owned here.
 func (n *Node) moved(now time.Duration, in PeerMoved) {
 	if target := n.owned[in.Moved.Home]; target != nil && target.holds {
-		n.placer.Moved(now, chat.ChainHash(in.Moved.Root), in.Moved.Ran)
+		n.placer.RecordMove(now, chat.ChainHash(in.Moved.Root), in.Moved.Ran)
 	}
 }
--- a/coordination/placement/index.go
+++ b/coordination/placement/index.go
@@ -6,88 +6,96 @@
 	"endiveplank/protocol/chat"
 )
 
-// EventOp says what a cache event reports.
+// EventOp is the kind of a cache event.
 type EventOp uint8
 
-// Operations of an Event.
+// Kinds of an Event: the engine stored or evicted a prefix.
 const (
 	Stored EventOp = iota + 1
 	Evicted
 )
 
-// Event is one change of an engine's prompt cache.
+// Event is one change of an engine's prefix cache.
 type Event struct {
 	Op   EventOp
 	Hash chat.ChainHash
 }
 
-// BatchResult says what became of a batch of cache events.
+// BatchResult says how a batch of cache events was applied.
 type BatchResult uint8
 
-// Results of Index.Apply.
+// Results of Index.ApplyEvents.
 const (
 	// BatchApplied: the batch followed the last one without a gap.
 	BatchApplied BatchResult = iota + 1
-	// BatchAfterGap: events before it were missed; entries older than now
-	// are uncertain.
+	// BatchAfterGap: events before the batch were missed, so that all entries
+	// that exist now are uncertain.
 	BatchAfterGap
-	// BatchStale: all of its events had been seen.
+	// BatchStale: all events of the batch had been received before.
 	BatchStale
 )
 
 // Limits of an Index.
 const (
-	// maxProbes bounds the lookups of one request: the deepest links. A
-	// returning chat adds two or three messages a turn, so its last cached
-	// prefix is among them.
-	maxProbes = 16
-	// Entries younger than evictsFrom, in usual ages of eviction, are hardly
-	// ever evicted; one age later all but leastKept of them are.
-	evictsFrom = 0.5
-	leastKept  = 0.02
-	// missedShare is the divisor of a hit under which an answer's cached
-	// tokens mean an eviction; a smaller shortfall is a message that the
-	// caller changed or an answer cut off.
-	missedShare = 2
-	// horizonSmoothing is the weight of a newly seen eviction age.
-	horizonSmoothing = 1.0 / 64
+	// maxLookups bounds the lookups for one request, from the last link
+	// backwards. A returning chat adds two or three messages a turn, so its
+	// last cached prefix is among them.
+	maxLookups = 16
+	// Entries younger than evictionStart, as a multiple of the usual eviction
+	// age, are hardly ever evicted. One eviction age later, all but a share of
+	// minKept are.
+	evictionStart = 0.5
+	minKept       = 0.02
+	// An answer that reports fewer cached tokens than those of the hit divided
+	// by missedDivisor shows that the prefix had been evicted. A smaller
+	// shortfall comes from a message that the caller changed or from an answer
+	// that was cut off.
+	missedDivisor = 2
+	// evictionAgeSmoothing is the weight of a new sample in the mean eviction
+	// age.
+	evictionAgeSmoothing = 1.0 / 64
 )
 
-// Hit is what an Index knows of a request's prefix.
+// Hit is the longest prefix of a request that an Index considers cached.
 type Hit struct {
-	// Tokens is the length of the longest prefix believed cached.
+	// Tokens is the length of that prefix.
 	Tokens int
-	// Confidence is the chance that it still is, 0 to 1.
+	// Confidence is the probability, from 0 to 1, that it is still cached.
 	Confidence float64
-	// Link is its position in the chain, -1 for none.
+	// Link is the position of its link in the chain, or -1 when no prefix is
+	// cached.
 	Link int
 }
 
-// Expected is the number of tokens that are saved in the mean.
+// Expected is the expected number of cached tokens.
 func (h Hit) Expected() float64 { return float64(h.Tokens) * h.Confidence }
 
-// Index is an owner's belief of which prefixes an engine's cache holds. It
-// is fed by own placements, by the engine's numbered events and by the cached
-// tokens that each finished answer reports.
+// Index is an owner's view of which prefixes an engine has in its cache. It
+// learns from the owner's own placements, from the engine's numbered cache
+// events and from the number of cached tokens that each finished answer
+// reports.
 //
-// Failure guarded: events come late or not at all. A lost "stored" costs
-// nothing, since placements are known here first. A lost "evicted" leaves an
-// entry that promises a prefix that is gone. A gap in the numbers makes older
-// entries uncertain by the share of events missed and by their age against
-// that at which the engine usually evicts. Answers set
-// entries right one by one, which resynchronises the index without any
-// control traffic.
+// Failure guarded against: events arrive late or not at all. A lost "stored"
+// event costs nothing, since placements are recorded here first. A lost
+// "evicted" event leaves an entry for a prefix that is gone. After a gap in
+// the numbers, older entries are uncertain. Their confidence depends on the
+// share of events missed and on their age relative to the age at which the
+// engine usually evicts. The cached tokens in answers correct entries one by
+// one, which resynchronises the index without any control traffic.
 type Index struct {
 	table table
-	// next is the number of the next event, 0 before the first batch.
-	next uint64
-	// lost and seen count events of late; both are halved once a horizon.
-	lost, seen float64
-	halvedAt   time.Duration
-	// gapAt is when events were last known to be missed.
+	// nextEvent is the number of the next expected event, 0 before the first
+	// batch.
+	nextEvent uint64
+	// missed and received count recent events. Both are halved once in an
+	// evictionAge.
+	missed, received float64
+	halvedAt         time.Duration
+	// gapAt is when the index last found that events had been missed.
 	gapAt time.Duration
-	// horizon is the usual age at which the engine evicts, 0 when unknown.
-	horizon time.Duration
+	// evictionAge is the usual age at which the engine evicts, 0 while
+	// unknown.
+	evictionAge time.Duration
 }
 
 // NewIndex returns an index for about the given number of chats.
@@ -95,37 +103,36 @@
 	return &Index{table: newTable(entries)}
 }
 
-// Lookup returns the longest prefix of the chain believed cached. A prompt
-// that was placed here is cached together with its answer, which is the next
-// message of the chain; links before the root are shared prompts and have no
-// answer of their own.
+// Lookup returns the longest prefix of the chain that is considered cached. A
+// prompt that was placed here is cached together with its answer, which is the
+// next message of the chain. Links before the root are shared prompts, which
+// have no answer of their own.
 func (x *Index) Lookup(now time.Duration, chain []chat.Link, root int) Hit {
-	hit := x.longest(now, chain)
+	hit := x.longestPrefix(now, chain)
 	if answer := hit.Link + 1; hit.Link >= root && answer < len(chain) {
 		hit.Tokens = chain[answer].Tokens
 	}
 	return hit
 }
 
-// longest looks up the links from the deepest on.
-func (x *Index) longest(now time.Duration, chain []chat.Link) Hit {
-	last := max(0, len(chain)-maxProbes)
+// longestPrefix looks the links up, from the last one backwards.
+func (x *Index) longestPrefix(now time.Duration, chain []chat.Link) Hit {
+	last := max(0, len(chain)-maxLookups)
 	for i := len(chain) - 1; i >= last; i-- {
-		if hit, ok := x.probe(now, chain, i); ok {
+		if hit, ok := x.lookupLink(now, chain, i); ok {
 			return hit
 		}
 	}
-	// The first links are shared by many chats and worth one more look.
+	// Many chats share the first link, so it is worth one more lookup.
 	if last > 0 {
-		if hit, ok := x.probe(now, chain, 0); ok {
+		if hit, ok := x.lookupLink(now, chain, 0); ok {
 			return hit
 		}
 	}
 	return Hit{Link: -1}
 }
 
-// probe looks one link up.
-func (x *Index) probe(now time.Duration, chain []chat.Link, i int) (Hit, bool) {
+func (x *Index) lookupLink(now time.Duration, chain []chat.Link, i int) (Hit, bool) {
 	_, stamp, ok := x.table.get(uint64(chain[i].Hash))
 	if !ok {
 		return Hit{}, false
@@ -133,24 +140,26 @@
 	return Hit{Tokens: chain[i].Tokens, Confidence: x.confidence(now, stamp), Link: i}, true
 }
 
-// confidence is the chance that an entry is still cached, given that no
-// event has said it is not: the chance that an entry of its age is kept,
-// against that of being evicted with the event missed.
+// confidence is the probability that an entry is still cached although no
+// event has reported its eviction: the probability that the engine keeps an
+// entry of this age, relative to the probability that it evicted the entry and
+// the event was missed.
 func (x *Index) confidence(now time.Duration, stamp uint64) float64 {
 	age := ageOf(now, stamp)
-	if x.lost == 0 || x.horizon == 0 || age <= now-x.gapAt {
+	if x.missed == 0 || x.evictionAge == 0 || age <= now-x.gapAt {
 		return 1
 	}
-	evicted := float64(age)/float64(x.horizon) - evictsFrom
-	kept := min(1, max(leastKept, 1-evicted))
-	missed := (1 - kept) * x.lost / (x.lost + x.seen)
+	evicted := float64(age)/float64(x.evictionAge) - evictionStart
+	kept := min(1, max(minKept, 1-evicted))
+	missed := (1 - kept) * x.missed / (x.missed + x.received)
 	return kept / (kept + missed)
 }
 
-// Placed notes that a request was sent to the engine, which caches its whole
-// prompt. The entry of its earlier turn is dropped, so that a chat takes one
-// entry however long it grows; links before the root are shared and stay.
-func (x *Index) Placed(now time.Duration, chain []chat.Link, root int, hit Hit) {
+// RecordPlaced stores that a request was sent to the engine, which caches its
+// whole prompt. It removes the entry of the chat's earlier turn, so that a
+// chat takes one entry however long it grows. Links before the root are shared
+// with other chats and stay.
+func (x *Index) RecordPlaced(now time.Duration, chain []chat.Link, root int, hit Hit) {
 	if len(chain) == 0 {
 		return
 	}
@@ -159,70 +168,72 @@
 		x.table.remove(uint64(chain[hit.Link].Hash))
 	}
 	if root > 0 {
-		x.store(now, chain[root-1])
+		x.put(now, chain[root-1])
 	}
-	x.store(now, chain[deepest])
+	x.put(now, chain[deepest])
 }
 
-// store sets the entry of one link.
-func (x *Index) store(now time.Duration, link chat.Link) {
+// put sets the entry of one link.
+func (x *Index) put(now time.Duration, link chat.Link) {
 	x.table.put(now, uint64(link.Hash), uint64(link.Tokens))
 }
 
-// Observed takes what an answer reported as served from cache. When that is
-// less than the hit, the prefix had been evicted unseen.
-func (x *Index) Observed(now time.Duration, hit Hit, cached int) {
-	if hit.Link < 0 || cached >= hit.Tokens/missedShare {
+// RecordCachedTokens takes the number of prompt tokens that an answer reported
+// as served from cache. When it is far below that of the hit, the prefix had
+// been evicted and the event was missed.
+func (x *Index) RecordCachedTokens(now time.Duration, hit Hit, cached int) {
+	if hit.Link < 0 || cached >= hit.Tokens/missedDivisor {
 		return
 	}
-	// The request itself has put its prompt back, so the entry is right
-	// again; what is learnt is that an eviction went unseen.
-	x.miss(now, 1)
+	// The request itself has put its prompt back into the cache, so the entry
+	// is right again. Only the missed eviction has to be counted.
+	x.recordMissed(now, 1)
 }
 
-// Apply takes a run of events numbered from first.
-func (x *Index) Apply(now time.Duration, first uint64, events []Event) BatchResult {
+// ApplyEvents applies a batch of events that are numbered from first.
+func (x *Index) ApplyEvents(now time.Duration, first uint64, events []Event) BatchResult {
 	end := first + uint64(len(events))
 	result := BatchApplied
 	switch {
-	case end < first || (x.next > 0 && end <= x.next):
+	case end < first || (x.nextEvent > 0 && end <= x.nextEvent):
 		return BatchStale
-	case x.next > 0 && first < x.next:
-		events = events[x.next-first:]
-	case x.next > 0 && first > x.next:
-		x.miss(now, first-x.next)
+	case x.nextEvent > 0 && first < x.nextEvent:
+		events = events[x.nextEvent-first:]
+	case x.nextEvent > 0 && first > x.nextEvent:
+		x.recordMissed(now, first-x.nextEvent)
 		result = BatchAfterGap
 	}
-	x.next = end
-	x.seen += float64(len(events))
-	x.fade(now)
+	x.nextEvent = end
+	x.received += float64(len(events))
+	x.decayCounts(now)
 	for _, event := range events {
-		x.event(now, event)
+		x.applyEvent(now, event)
 	}
 	return result
 }
 
-// miss notes missed events.
-func (x *Index) miss(now time.Duration, count uint64) {
-	x.lost = min(x.lost+float64(count), float64(max(1, x.table.live)))
+// recordMissed counts missed events.
+func (x *Index) recordMissed(now time.Duration, count uint64) {
+	x.missed = min(x.missed+float64(count), float64(max(1, x.table.used)))
 	x.gapAt = now
-	x.fade(now)
+	x.decayCounts(now)
 }
 
-// fade halves the counts once a horizon: by then most entries that older
-// misses concerned have been replaced.
-func (x *Index) fade(now time.Duration) {
-	if x.horizon == 0 || now-x.halvedAt < x.horizon {
+// decayCounts halves the counts once in an evictionAge: by then most entries
+// that could be wrong because of earlier missed events have been replaced.
+func (x *Index) decayCounts(now time.Duration) {
+	if x.evictionAge == 0 || now-x.halvedAt < x.evictionAge {
 		return
 	}
-	x.lost /= 2
-	x.seen /= 2
+	x.missed /= 2
+	x.received /= 2
 	x.halvedAt = now
 }
 
-// event applies one event. Stored events of links that no placement put here
-// are not kept: they are the shorter prefixes of entries held.
-func (x *Index) event(now time.Duration, event Event) {
+// applyEvent applies one event. It ignores "stored" events: those of links
+// that were not placed here are the shorter prefixes of entries that the index
+// has.
+func (x *Index) applyEvent(now time.Duration, event Event) {
 	if event.Op != Evicted {
 		return
 	}
@@ -231,23 +242,24 @@
 		return
 	}
 	age := ageOf(now, stamp)
-	if x.horizon == 0 {
-		x.horizon = age
+	if x.evictionAge == 0 {
+		x.evictionAge = age
 	}
-	x.horizon += time.Duration(horizonSmoothing * float64(age-x.horizon))
+	x.evictionAge += time.Duration(evictionAgeSmoothing * float64(age-x.evictionAge))
 }
 
-// Reset empties the index: the engine restarted with an empty cache.
+// Reset empties the index. It is used when the engine restarted with an empty
+// cache.
 func (x *Index) Reset() {
 	x.table.clear()
-	x.next = 0
-	x.lost = 0
-	x.seen = 0
-	x.horizon = 0
+	x.nextEvent = 0
+	x.missed = 0
+	x.received = 0
+	x.evictionAge = 0
 }
 
-// Len is the number of entries held.
-func (x *Index) Len() int { return x.table.live }
+// Len is the number of entries.
+func (x *Index) Len() int { return x.table.used }
 
-// Bytes is the memory that the index holds.
+// Bytes is the memory that the index takes.
 func (x *Index) Bytes() int { return x.table.bytes() }
--- a/coordination/placement/owner.go
+++ b/coordination/placement/owner.go
@@ -8,121 +8,136 @@
 	"endiveplank/protocol/chat"
 )
 
-// Stage says what an entry router wants to know from an owner.
+// Stage is the part of a walk that a Query belongs to. It decides which
+// answers the owner may give.
 type Stage uint8
 
-// Stages of an Ask.
+// Stages of a Query.
 const (
-	// AtHome asks the chat's first choice: admit, or say where it is.
-	AtHome Stage = iota + 1
-	// Probe asks an upstream that may hold the chat: admit only if it does.
-	Probe
-	// Open asks for room in the chat's order.
-	Open
-	// Final asks the best of those that had none; the answer is admit or
-	// queue.
-	Final
+	// StageFirstChoice asks the owner of the chat's first choice to admit the
+	// request, or to say where the chat ran last.
+	StageFirstChoice Stage = iota + 1
+	// StageProbe asks about an upstream that may hold the chat in its cache.
+	// The owner admits the request only if it does.
+	StageProbe
+	// StageInOrder asks the upstreams in rendezvous order for capacity within
+	// the soft bound.
+	StageInOrder
+	// StageFinal asks the best of the upstreams that had no capacity. The
+	// owner admits or queues the request.
+	StageFinal
 )
 
-// Ask is one question of an entry router to the owner of an upstream.
-type Ask struct {
+// Query asks the owner of an upstream to admit a request. The entry router
+// sends it.
+type Query struct {
 	Upstream protocol.UpstreamID
 	Stage    Stage
-	// Home says that the upstream is the chat's first choice.
-	Home bool
-	// Chain is the request's links and Root the position of its root.
-	Chain []chat.Link
-	Root  int
+	// FirstChoice says that the upstream is the chat's first choice.
+	FirstChoice bool
+	// Chain holds one link for each message of the request. RootIndex is the
+	// position of its root, see the function RootIndex.
+	Chain     []chat.Link
+	RootIndex int
 	// OutputTokens is the expected length of the answer.
 	OutputTokens int
-	// Seen is the load of other upstreams that the asker heard in this walk.
-	Seen float64
+	// SeenLoad is the load of other upstreams that the entry router received
+	// in answers during this walk, in tokens.
+	SeenLoad float64
 }
 
-// Verdict is what an owner answers.
+// Verdict is an owner's decision on a Query.
 type Verdict uint8
 
 // Verdicts of an Answer.
 const (
-	// Admitted: counted, and may be sent to the upstream.
+	// Admitted: the owner counts the request, which may be sent to the
+	// upstream.
 	Admitted Verdict = iota + 1
-	// Forward: the chat's home is here but it last ran at Answer.Forward.
+	// Forward: this upstream is, or was, the chat's first choice, but the chat
+	// last ran on the upstream Answer.Forward.
 	Forward
-	// Unknown: a returning chat that this owner has no knowledge of, because
-	// its tenure is young.
+	// Unknown: the chat returns, and this owner has not owned the upstream for
+	// long enough to know whether the chat is cached elsewhere.
 	Unknown
-	// Cold: a probe found nothing of the chat.
-	Cold
-	// NoRoom: the upstream has no room within the bound of this stage.
-	NoRoom
-	// Queued: wait in this owner's queue.
+	// NotCached: a probe found no prefix of the chat in the cache.
+	NotCached
+	// NoCapacity: the upstream has no capacity within the bound of this stage.
+	NoCapacity
+	// Queued: the request must wait in this owner's queue.
 	Queued
-	// Refused: see the reason.
+	// Refused: Answer.Reason says why.
 	Refused
 )
 
-// Answer answers an Ask.
+// Answer is an owner's reply to a Query.
 type Answer struct {
 	Verdict Verdict
-	// Reason is the load bound's reason, where it decided.
+	// Reason is the reason of the load bound, if the load bound decided.
 	Reason loadbound.Reason
 	// Forward is the short identifier of the upstream to probe.
 	Forward uint32
 	// SavedShare is the expected share of the prompt cached here.
 	SavedShare float64
-	// Ratio is the load over mean with the request.
+	// Ratio is the upstream's load, with the request, over the fleet's mean.
 	Ratio float64
-	// Hit is what is cached here; it goes back with Owner.Finished, as does
-	// Ticket.
+	// Hit is the prefix cached here. Hit and Ticket are passed back to
+	// Owner.Finish.
 	Hit    Hit
 	Ticket loadbound.Ticket
 }
 
-// Silent is the answer to note for an owner that did not answer in time.
-var Silent = Answer{Verdict: Refused, Reason: loadbound.NotOwner}
+// NoAnswer is passed to Walk.HandleAnswer for an owner that did not answer in
+// time.
+var NoAnswer = Answer{Verdict: Refused, Reason: loadbound.NotOwner}
 
-// youngFor is how long after a tenure starts a chat that the owner does not
-// know may be cached elsewhere. Most chats return within minutes and some
-// after hours; what has not returned after two hours is mostly evicted.
-const youngFor = 2 * time.Hour
+// incompleteFor is how long after it became the owner a router assumes that a
+// chat it does not know may be cached elsewhere. Most chats return within
+// minutes and some after hours. After two hours, the cache of a chat that has
+// not returned is mostly evicted.
+const incompleteFor = 2 * time.Hour
 
-// holding is what an owner knows of one upstream's cache.
-type holding struct {
+// cacheState is what an owner knows of one upstream's cache.
+type cacheState struct {
 	index       *Index
 	incarnation uint64
-	since       time.Duration
-	// recent are the last admissions that counted on a cached prefix.
-	recent     [recentHits]recentHit
-	recentNext int
+	ownedSince  time.Duration
+	// recentHits is a ring buffer of the last admissions that relied on a
+	// cached prefix.
+	recentHits [maxRecentHits]recentHit
+	nextRecent int
 }
 
-// recentHits is how many admissions an owner remembers for late events: more
-// than an engine starts within eventLag.
-const recentHits = 64
+// maxRecentHits is how many admissions an owner keeps to correct when an
+// eviction is reported late. It is more than an engine starts within
+// maxEventDelay.
+const maxRecentHits = 64
 
-// eventLag is the longest delay of cache events that is corrected for.
-const eventLag = 2 * time.Second
+// maxEventDelay is the longest delay of a cache event for which an owner
+// corrects the costs of admissions.
+const maxEventDelay = 2 * time.Second
 
-// recentHit is one admission that counted on a cached prefix.
+// recentHit is an admission that relied on a cached prefix.
 type recentHit struct {
 	hash   chat.ChainHash
 	at     time.Duration
 	ticket loadbound.Ticket
-	// cold is the cost without the prefix.
-	cold float64
+	// coldCost is the cost of the request if nothing is cached.
+	coldCost float64
 }
 
-// Owner answers asks for the upstreams that one router owns. It is not safe
-// for concurrent use.
+// Owner answers queries about the upstreams that one router owns. It is not
+// safe for concurrent use.
 type Owner struct {
 	ledger   *loadbound.Ledger
 	policy   Policy
-	holdings map[protocol.UpstreamID]*holding
-	pointers *Pointers
+	caches   map[protocol.UpstreamID]*cacheState
+	pointers *ForwardingPointers
 }
 
-// NewOwner returns an owner that admits through the ledger and keeps about
-// the given number of pointers. It panics when policy.Check fails.
+// NewOwner returns an owner that admits requests through the ledger and keeps
+// about the given number of forwarding pointers. It panics when policy.Check
+// fails.
 func NewOwner(ledger *loadbound.Ledger, policy Policy, pointerEntries int) *Owner {
 	if err := policy.Check(); err != nil {
 		panic("placement: policy must be checked before use: " + err.Error())
@@ -130,90 +145,94 @@
 	return &Owner{
 		ledger:   ledger,
 		policy:   policy,
-		holdings: make(map[protocol.UpstreamID]*holding),
-		pointers: NewPointers(pointerEntries),
+		caches:   make(map[protocol.UpstreamID]*cacheState),
+		pointers: NewForwardingPointers(pointerEntries),
 	}
 }
 
-// Hold starts keeping an index of about the given chats for an upstream. The
-// same incarnation keeps its index, so an upstream that flaps without a
-// restart stays warm; a new one starts with an empty cache.
-func (o *Owner) Hold(now time.Duration, id protocol.UpstreamID, incarnation uint64, entries int) {
-	held, ok := o.holdings[id]
+// AddUpstream starts an index of about the given number of chats for an
+// upstream. An upstream that is added again with the same incarnation keeps
+// its index, so that one that leaves and returns without a restart keeps its
+// cached chats. A new incarnation starts with an empty cache.
+func (o *Owner) AddUpstream(now time.Duration, id protocol.UpstreamID, incarnation uint64, entries int) {
+	held, ok := o.caches[id]
 	if ok && held.incarnation == incarnation {
 		return
 	}
-	o.holdings[id] = &holding{index: NewIndex(entries), incarnation: incarnation, since: now}
+	o.caches[id] = &cacheState{index: NewIndex(entries), incarnation: incarnation, ownedSince: now}
 }
 
-// Drop forgets an upstream whose tenure ended.
-func (o *Owner) Drop(id protocol.UpstreamID) {
-	delete(o.holdings, id)
+// RemoveUpstream drops the index of an upstream that this router no longer
+// owns.
+func (o *Owner) RemoveUpstream(id protocol.UpstreamID) {
+	delete(o.caches, id)
 }
 
-// SetPolicy changes the settings, which must be the same on all routers.
+// SetPolicy changes the settings. They must be the same on all routers.
 func (o *Owner) SetPolicy(policy Policy) {
 	o.policy = policy
 }
 
-// Ask answers one question. An admitted request is counted at once.
-func (o *Owner) Ask(now time.Duration, ask Ask) Answer {
-	held, ok := o.holdings[ask.Upstream]
+// HandleQuery decides on a query. It counts an admitted request at once.
+func (o *Owner) HandleQuery(now time.Duration, query Query) Answer {
+	held, ok := o.caches[query.Upstream]
 	if !ok {
 		return Answer{Verdict: Refused, Reason: loadbound.NotOwner}
 	}
-	if len(ask.Chain) == 0 || ask.Root < 0 || ask.Root >= len(ask.Chain) {
+	if len(query.Chain) == 0 || query.RootIndex < 0 || query.RootIndex >= len(query.Chain) {
 		return Answer{Verdict: Refused, Reason: loadbound.BadCost}
 	}
-	hit := held.index.Lookup(now, ask.Chain, ask.Root)
-	if answer, elsewhere := o.elsewhere(now, ask, held, hit); elsewhere {
+	hit := held.index.Lookup(now, query.Chain, query.RootIndex)
+	if answer, elsewhere := o.redirect(now, query, held, hit); elsewhere {
 		return answer
 	}
-	return o.admit(now, ask, held, hit)
+	return o.admit(now, query, held, hit)
 }
 
-// Weigh answers an ask for an upstream where other requests wait already, so
-// that this one can't start now: where the chat is better looked for, or how
-// busy the upstream is with all that waits, in tokens, and what its cache
-// would save. It counts nothing.
-func (o *Owner) Weigh(now time.Duration, ask Ask, waiting float64) Answer {
-	held, ok := o.holdings[ask.Upstream]
-	if !ok || len(ask.Chain) == 0 || ask.Root < 0 || ask.Root >= len(ask.Chain) {
+// EstimateBehindQueue answers a query about an upstream with a queue, where
+// this request can't start now. The answer either redirects the entry router
+// to where the chat may be cached, or gives the load over mean, including the
+// work that waits in the queue (waiting, in tokens), and what the cache would
+// save. It does not count the request.
+func (o *Owner) EstimateBehindQueue(now time.Duration, query Query, waiting float64) Answer {
+	held, ok := o.caches[query.Upstream]
+	if !ok || len(query.Chain) == 0 || query.RootIndex < 0 || query.RootIndex >= len(query.Chain) {
 		return Answer{Verdict: Refused, Reason: loadbound.NotOwner}
 	}
-	hit := held.index.Lookup(now, ask.Chain, ask.Root)
-	if answer, elsewhere := o.elsewhere(now, ask, held, hit); elsewhere {
+	hit := held.index.Lookup(now, query.Chain, query.RootIndex)
+	if answer, elsewhere := o.redirect(now, query, held, hit); elsewhere {
 		return answer
 	}
-	prompt := ask.Chain[len(ask.Chain)-1].Tokens
+	prompt := query.Chain[len(query.Chain)-1].Tokens
 	saved := hit.Expected()
-	judged := o.ledger.Judge(now, ask.Upstream, loadbound.Ask{
-		Cost: waiting + o.policy.Cost(prompt, saved, ask.OutputTokens),
-		Seen: ask.Seen,
+	decision := o.ledger.Judge(now, query.Upstream, loadbound.Ask{
+		Cost: waiting + o.policy.Cost(prompt, saved, query.OutputTokens),
+		Seen: query.SeenLoad,
 	})
 	return Answer{
-		Verdict:    NoRoom,
+		Verdict:    NoCapacity,
 		Reason:     loadbound.QueueAhead,
 		SavedShare: saved / float64(max(1, prompt)),
-		Ratio:      judged.Ratio,
+		Ratio:      decision.Ratio,
 	}
 }
 
-// elsewhere answers an ask of a chat that is better looked for elsewhere.
+// redirect answers a query for a chat that may be cached on another upstream.
 //
-// Load: chats whose home changed, or that ran elsewhere when their home was
-// busy. Harm: the home has room now, takes them, and prefills what another
-// engine holds. A pointer, or the next choices while this owner is young,
-// lead to it for one or two round trips between routers, which cost less
-// than a prefill.
-func (o *Owner) elsewhere(now time.Duration, ask Ask, held *holding, hit Hit) (Answer, bool) {
-	if ask.Stage != AtHome && ask.Stage != Probe {
+// Load: chats whose first choice changed, or that ran elsewhere because their
+// first choice was busy. Harm: the first choice has capacity now, takes them,
+// and prefills prompts that another engine has in its cache. A forwarding
+// pointer leads to that engine. While this owner is new, the next choices do.
+// This takes one or two round trips between routers, which cost less than a
+// prefill.
+func (o *Owner) redirect(now time.Duration, query Query, held *cacheState, hit Hit) (Answer, bool) {
+	if query.Stage != StageFirstChoice && query.Stage != StageProbe {
 		return Answer{}, false
 	}
-	known := hit.Link >= ask.Root
-	root := ask.Chain[ask.Root].Hash
-	if ask.Stage == AtHome || !known {
-		if short, ok := o.pointers.Get(now, root); ok && short != ShortID(ask.Upstream) {
+	known := hit.Link >= query.RootIndex
+	root := query.Chain[query.RootIndex].Hash
+	if query.Stage == StageFirstChoice || !known {
+		if short, ok := o.pointers.Get(now, root); ok && short != ShortID(query.Upstream) {
 			o.pointers.Put(now, root, short)
 			return Answer{Verdict: Forward, Forward: short}, true
 		}
@@ -221,25 +240,25 @@
 	if known {
 		return Answer{}, false
 	}
-	if ask.Stage == Probe {
-		return Answer{Verdict: Cold}, true
+	if query.Stage == StageProbe {
+		return Answer{Verdict: NotCached}, true
 	}
-	returning := len(ask.Chain) > ask.Root+1
-	if returning && now-held.since < youngFor {
+	returning := len(query.Chain) > query.RootIndex+1
+	if returning && now-held.ownedSince < incompleteFor {
 		return Answer{Verdict: Unknown}, true
 	}
 	return Answer{}, false
 }
 
-// admit puts the ask to the load bound.
-func (o *Owner) admit(now time.Duration, ask Ask, held *holding, hit Hit) Answer {
-	prompt := ask.Chain[len(ask.Chain)-1].Tokens
+// admit passes the query to the load bound.
+func (o *Owner) admit(now time.Duration, query Query, held *cacheState, hit Hit) Answer {
+	prompt := query.Chain[len(query.Chain)-1].Tokens
 	saved := hit.Expected()
-	decision := o.ledger.Admit(now, ask.Upstream, loadbound.Ask{
-		Cost:     o.policy.Cost(prompt, saved, ask.OutputTokens),
+	decision := o.ledger.Admit(now, query.Upstream, loadbound.Ask{
+		Cost:     o.policy.Cost(prompt, saved, query.OutputTokens),
 		Multiple: o.policy.SoftMultiple(saved),
-		Seen:     ask.Seen,
-		Final:    ask.Stage == Final,
+		Seen:     query.SeenLoad,
+		Final:    query.Stage == StageFinal,
 	})
 	answer := Answer{
 		Verdict:    verdictOf(decision.Outcome),
@@ -252,97 +271,100 @@
 	if answer.Verdict != Admitted {
 		return answer
 	}
-	if hit.Link >= ask.Root {
-		cold := o.policy.Cost(prompt, 0, ask.OutputTokens)
-		held.remember(recentHit{hash: ask.Chain[hit.Link].Hash, at: now, ticket: answer.Ticket, cold: cold})
+	if hit.Link >= query.RootIndex {
+		cold := o.policy.Cost(prompt, 0, query.OutputTokens)
+		held.addRecentHit(recentHit{hash: query.Chain[hit.Link].Hash, at: now, ticket: answer.Ticket, coldCost: cold})
 	}
-	held.index.Placed(now, ask.Chain, ask.Root, hit)
-	if ask.Home {
-		o.pointers.Remove(ask.Chain[ask.Root].Hash)
+	held.index.RecordPlaced(now, query.Chain, query.RootIndex, hit)
+	if query.FirstChoice {
+		o.pointers.Remove(query.Chain[query.RootIndex].Hash)
 	}
 	return answer
 }
 
-// verdictOf translates the load bound's outcome.
+// verdictOf converts an outcome of the load bound.
 func verdictOf(outcome loadbound.Outcome) Verdict {
 	switch outcome {
 	case loadbound.Admit:
 		return Admitted
 	case loadbound.Spill:
-		return NoRoom
+		return NoCapacity
 	case loadbound.Queue:
 		return Queued
 	}
 	return Refused
 }
 
-// Moved notes at the home's owner that a chat ran on another upstream.
-func (o *Owner) Moved(now time.Duration, root chat.ChainHash, ran protocol.UpstreamID) {
+// RecordMove stores, at the owner of the chat's first choice, that the chat
+// ran on another upstream.
+func (o *Owner) RecordMove(now time.Duration, root chat.ChainHash, ran protocol.UpstreamID) {
 	o.pointers.Put(now, root, ShortID(ran))
 }
 
-// Finished takes an admitted request off the count. Cached is the number of
-// prompt tokens that the answer reports as served from cache, or negative
-// when it reports none.
-func (o *Owner) Finished(now time.Duration, ticket loadbound.Ticket, hit Hit, cached int) {
+// Finish removes a request from the load when it has ended. cached is the
+// number of prompt tokens that the answer reports as served from cache, or
+// negative when it reports none.
+func (o *Owner) Finish(now time.Duration, ticket loadbound.Ticket, hit Hit, cached int) {
 	o.ledger.Finish(now, ticket)
-	held, ok := o.holdings[ticket.Upstream]
+	held, ok := o.caches[ticket.Upstream]
 	if !ok {
 		return
 	}
-	held.forget(ticket)
+	held.removeRecentHit(ticket)
 	if cached >= 0 {
-		held.index.Observed(now, hit, cached)
+		held.index.RecordCachedTokens(now, hit, cached)
 	}
 }
 
-// CacheEvents feeds an upstream's numbered cache events.
-func (o *Owner) CacheEvents(now time.Duration, id protocol.UpstreamID, first uint64, events []Event) BatchResult {
-	held, ok := o.holdings[id]
+// HandleCacheEvents applies an upstream's cache events, which are numbered
+// from first.
+func (o *Owner) HandleCacheEvents(now time.Duration, id protocol.UpstreamID, first uint64, events []Event) BatchResult {
+	held, ok := o.caches[id]
 	if !ok {
 		return BatchStale
 	}
 	for _, event := range events {
 		if event.Op == Evicted {
-			o.evictedUnseen(now, held, event.Hash)
+			o.correctLateEviction(now, held, event.Hash)
 		}
 	}
-	return held.index.Apply(now, first, events)
+	return held.index.ApplyEvents(now, first, events)
 }
 
-// remember keeps an admission in place of the oldest.
-func (h *holding) remember(hit recentHit) {
-	h.recent[h.recentNext] = hit
-	h.recentNext = (h.recentNext + 1) % recentHits
+// addRecentHit replaces the oldest admission.
+func (h *cacheState) addRecentHit(hit recentHit) {
+	h.recentHits[h.nextRecent] = hit
+	h.nextRecent = (h.nextRecent + 1) % maxRecentHits
 }
 
-// forget drops a finished admission: correcting it would count work that has
-// ended for ever.
-func (h *holding) forget(ticket loadbound.Ticket) {
-	for i := range h.recent {
-		if h.recent[i].ticket.ID == ticket.ID {
-			h.recent[i] = recentHit{}
+// removeRecentHit removes an admission that has ended. If its cost were
+// corrected afterwards, the ledger would count that work for ever.
+func (h *cacheState) removeRecentHit(ticket loadbound.Ticket) {
+	for i := range h.recentHits {
+		if h.recentHits[i].ticket.ID == ticket.ID {
+			h.recentHits[i] = recentHit{}
 		}
 	}
 }
 
-// evictedUnseen corrects the cost of an admission that counted on a prefix
-// whose eviction was still on its way. The engine evicted it before the
-// request came, or the request would have kept it.
-func (o *Owner) evictedUnseen(now time.Duration, held *holding, hash chat.ChainHash) {
-	for i := range held.recent {
-		hit := &held.recent[i]
-		if hit.hash == hash && hit.ticket.Cost > 0 && now-hit.at <= eventLag {
-			o.ledger.Correct(hit.ticket, hit.cold)
+// correctLateEviction raises the cost of an admission that relied on a prefix
+// whose eviction had not been reported yet. The engine must have evicted it
+// before the request arrived, since the request would have kept it in the
+// cache.
+func (o *Owner) correctLateEviction(now time.Duration, held *cacheState, hash chat.ChainHash) {
+	for i := range held.recentHits {
+		hit := &held.recentHits[i]
+		if hit.hash == hash && hit.ticket.Cost > 0 && now-hit.at <= maxEventDelay {
+			o.ledger.Correct(hit.ticket, hit.coldCost)
 			hit.ticket.Cost = 0
 		}
 	}
 }
 
-// State returns the memory of indexes and pointers in bytes and the entries
-// they hold.
-func (o *Owner) State() (bytes, entries int) {
-	for _, held := range o.holdings {
+// MemoryUse returns the memory of all indexes and forwarding pointers in
+// bytes, and the number of entries in them.
+func (o *Owner) MemoryUse() (bytes, entries int) {
+	for _, held := range o.caches {
 		bytes += held.index.Bytes()
 		entries += held.index.Len()
 	}
--- a/coordination/placement/policy.go
+++ b/coordination/placement/policy.go
@@ -8,44 +8,49 @@
 
 // Presets of ReuseWeight.
 const (
-	// SkewFirst suits callers for whom one late answer is the harm.
+	// SkewFirst suits callers that one late answer harms more than lost reuse.
 	SkewFirst = 0.35
-	// ReuseFirst suits callers who return to long chats again and again. At
-	// 1 the bench saves another 0.7% of the prompt tokens, but has admissions
-	// above the bound where prompts believed cached were not.
+	// ReuseFirst suits callers that return to long chats again and again. In
+	// the benchmarks of package tracebench, a weight of 1 saves another 0.7%
+	// of the prompt tokens, but some admissions exceed the bound because
+	// prompts that were considered cached had been evicted.
 	ReuseFirst = 0.75
 )
 
 // Defaults of Policy.
 const (
-	// DefaultColdShare is the part of the soft bound's room that a request
-	// gets with nothing cached: a little, so that most new chats stay at
-	// home and need no pointer.
+	// DefaultColdShare is the share of the headroom below the soft bound that
+	// a request with nothing cached may use. It is above 0 so that most new
+	// chats stay on their first choice and need no forwarding pointer.
 	DefaultColdShare = 0.3
-	// DefaultPrefillSpeedup says an engine prefills ten prompt tokens in the
-	// time of one generated token of a full batch.
+	// DefaultPrefillSpeedup: an engine prefills ten prompt tokens in the time
+	// in which it generates one token in a full batch.
 	DefaultPrefillSpeedup = 10
-	// DefaultHalfGain is the saved prompt tokens that are worth half of the
-	// soft bound's room: about a prompt of five turns.
+	// DefaultHalfGain is the number of saved prompt tokens that gives a
+	// request half of the headroom that ColdShare leaves. It is about the
+	// length of a prompt after five turns.
 	DefaultHalfGain = 1500
 )
 
-// Policy is the settings of placement. All routers must hold the same.
+// Policy holds the settings of placement. They must be the same on all
+// routers.
 type Policy struct {
-	// ReuseWeight is the knob between skew (0) and reuse (1).
+	// ReuseWeight is the trade-off between low skew (0) and high reuse (1).
 	ReuseWeight float64
-	// Multiple is the hard bound of load over mean.
+	// Multiple is the hard bound of an engine's load over the fleet's mean.
 	Multiple float64
-	// ColdShare is the share of the room above the mean that a request with
-	// nothing cached may use, 0 to 1.
+	// ColdShare is the share of the headroom above the mean that a request
+	// with nothing cached may use, from 0 to 1.
 	ColdShare float64
-	// PrefillSpeedup is how many prompt tokens weigh as one generated.
+	// PrefillSpeedup is how many prompt tokens cost as much as one generated
+	// token.
 	PrefillSpeedup float64
-	// HalfGain is the saved prompt tokens that are worth half of the room.
+	// HalfGain is the number of saved prompt tokens that gives a request half
+	// of the rest of the headroom.
 	HalfGain float64
 }
 
-// DefaultPolicy returns the settings for a knob.
+// DefaultPolicy returns the default settings with the given reuse weight.
 func DefaultPolicy(reuseWeight float64) Policy {
 	return Policy{
 		ReuseWeight:    reuseWeight,
@@ -59,8 +64,8 @@
 // ErrBadPolicy is the cause of every error of Policy.Check.
 var ErrBadPolicy = eris.New("placement: bad policy")
 
-// Check returns an error with cause ErrBadPolicy when the settings cannot
-// work.
+// Check returns an error with cause ErrBadPolicy when a setting is out of
+// range.
 func (p Policy) Check() error {
 	if !(p.ReuseWeight >= 0 && p.ReuseWeight <= 1) {
 		return eris.Wrapf(ErrBadPolicy, "reuse weight %v must be in [0, 1]", p.ReuseWeight)
@@ -80,47 +85,50 @@
 	return nil
 }
 
-// SoftMultiple is the load over mean that a request accepts on an engine
-// that saves it the given prompt tokens.
+// SoftMultiple is the highest load over mean at which a request runs on an
+// engine that has the given number of its prompt tokens cached.
 //
-// Load: chats return to engines that are busier than others. Harm: sending
-// all of them away prefills everything twice; sending none away keeps the
-// busy engine at its bound. What the request saves decides, in tokens: the
-// share of its prompt would give a short chat the same room as a long one.
+// Load: chats return to engines that are busier than others. Harm: sending all
+// of them away prefills everything twice, and sending none away keeps the busy
+// engine at its bound. The number of tokens saved decides: the saved share of
+// the prompt would give a short chat the same headroom as a long one.
 func (p Policy) SoftMultiple(saved float64) float64 {
 	gain := saved / (saved + p.HalfGain)
-	room := p.ColdShare + (1-p.ColdShare)*gain
-	return 1 + (p.Multiple-1)*p.ReuseWeight*room
+	share := p.ColdShare + (1-p.ColdShare)*gain
+	return 1 + (p.Multiple-1)*p.ReuseWeight*share
 }
 
-// Cost is a request's work in generated tokens.
+// Cost is the work of a request, as a number of generated tokens.
 func (p Policy) Cost(promptTokens int, saved float64, outputTokens int) float64 {
 	prefill := max(0, float64(promptTokens)-saved) / p.PrefillSpeedup
 	return prefill + float64(max(1, outputTokens))
 }
 
-// overBoundPenalty ranks upstreams above the hard bound, where a final ask
-// may have to queue, behind all that are only above their soft bound.
+// overBoundPenalty ranks upstreams above the hard bound, where a final query
+// may queue the request, behind all those that are only above their soft
+// bound.
 const overBoundPenalty = 10
 
-// queuePatience is how much longer a queue may be, as a share, for a request
-// whose whole prompt is cached there, at a reuse weight of one.
+// queueTolerance limits how much longer a queue is acceptable for a request
+// whose whole prompt is cached there: at a reuse weight of one, this share of
+// the load over mean is ignored.
 //
 // Load: every engine is at its bound and has a queue. Harm: requests that go
-// to the shortest queue find their chat nowhere, prefill everything anew, and
-// the fleet does less work just when there is too much. A queue that is half as
-// long again costs the caller less than the fleet's lost prefill.
-const queuePatience = 0.5
+// to the shortest queue find their chat in no cache and prefill everything
+// again, so that the fleet does less work just when there is too much. A queue
+// that is half as long again costs the caller less than the lost prefill costs
+// the fleet.
+const queueTolerance = 0.5
 
-// value ranks upstreams that were asked and had no room within their soft
-// bound: the higher, the better.
-func (p Policy) value(answer Answer, prompt int) float64 {
+// score ranks upstreams that were asked and had no capacity within their soft
+// bound. A higher score is better.
+func (p Policy) score(answer Answer, prompt int) float64 {
 	if answer.Reason == loadbound.OverSoftBound {
 		return p.SoftMultiple(answer.SavedShare*float64(prompt)) - answer.Ratio
 	}
 	if answer.Reason != loadbound.QueueAhead {
 		return -overBoundPenalty - answer.Ratio
 	}
-	patience := queuePatience * p.ReuseWeight * answer.SavedShare
-	return -overBoundPenalty - answer.Ratio*(1-patience)
+	tolerance := queueTolerance * p.ReuseWeight * answer.SavedShare
+	return -overBoundPenalty - answer.Ratio*(1-tolerance)
 }
--- a/coordination/placement/root.go
+++ b/coordination/placement/root.go
@@ -5,11 +5,12 @@
 // userRole is the role of messages that callers write.
 const userRole = "user"
 
-// RootLink returns the position in a chat's chain of the link that places
-// it: the prefix that ends with the first user message. It is the same in
-// all turns of a chat. The system prompt before it, which thousands of chats
-// may share, would send them all to one engine if it were hashed alone.
-func RootLink(messages []chat.Message) int {
+// RootIndex returns the position of a chat's root in its chain: the link of
+// the prefix that ends with the first user message. This prefix is the same in
+// all turns of a chat, so its hash identifies the chat. The system prompt
+// alone would not do: thousands of chats may share it, and its hash would send
+// them all to one engine.
+func RootIndex(messages []chat.Message) int {
 	for i, m := range messages {
 		if m.Role == userRole {
 			return i
--- a/coordination/placement/set_test.go
+++ b/coordination/placement/set_test.go
@@ -39,12 +39,14 @@
 	return s
 }
 
-func homeOf(s *Set, root chat.ChainHash) protocol.UpstreamID {
+func firstChoiceOf(s *Set, root chat.ChainHash) protocol.UpstreamID {
 	var dst [1]int32
 	s.Order(Key{Root: root}, dst[:])
 	return s.Member(dst[0]).ID
 }
 
+// A weight that is not positive and finite, or an upstream listed twice, would
+// make the rendezvous order wrong for all chats.
 func TestSetRefusesBadMembers(t *testing.T) {
 	for _, weight := range []float64{0, -1, math.NaN(), math.Inf(1)} {
 		_, err := NewSet(1, []Member{{ID: "a", Weight: weight}})
@@ -54,9 +56,10 @@
 	assert.ErrorIs(t, err, ErrDuplicate)
 }
 
-// Two routers see one upstream join seconds apart. A user's next turn goes
-// through the router that knows it, and must not move unless the newcomer is
-// its home; a leave must move only the leaver's chats.
+// Two routers learn of a join or leave seconds apart. A chat's next turn may
+// go through either of them, and must not move unless the upstream that joins
+// becomes its first choice. A leave must move only the chats of the upstream
+// that leaves.
 func TestJoinAndLeaveMoveOnlyTheChatsOfThatUpstream(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 40).Draw(t, "n")
@@ -64,7 +67,7 @@
 		for i := range list {
 			list[i].Weight = rapid.Float64Range(0.1, 10).Draw(t, "weight")
 		}
-		spread := rapid.SampledFrom([]float64{0, 0.3, 1}).Draw(t, "spread")
+		groupShare := rapid.SampledFrom([]float64{0, 0.3, 1}).Draw(t, "spread")
 		gone := rapid.IntRange(0, n-1).Draw(t, "gone")
 		all, err := NewSet(1, list)
 		assert.NilError(t, err)
@@ -72,7 +75,7 @@
 		fewer, err := NewSet(2, rest)
 		assert.NilError(t, err)
 		for range 50 {
-			key := Key{Root: chat.ChainHash(rapid.Uint64().Draw(t, "root")), Group: 7, Spread: spread}
+			key := Key{Root: chat.ChainHash(rapid.Uint64().Draw(t, "root")), Group: 7, GroupShare: groupShare}
 			var with, without [MaxChoices]int32
 			countWith := all.Order(key, with[:])
 			countWithout := fewer.Order(key, without[:])
@@ -89,7 +92,7 @@
 	})
 }
 
-func TestHomesAreProportionalToWeight(t *testing.T) {
+func TestFirstChoicesAreProportionalToWeight(t *testing.T) {
 	list := members(12)
 	total := 0.0
 	for i := range list {
@@ -100,7 +103,7 @@
 	const chats = 200_000
 	counts := make(map[protocol.UpstreamID]int)
 	for i := range chats {
-		counts[homeOf(s, chat.ChainHash(mix(uint64(i)+1)))]++
+		counts[firstChoiceOf(s, chat.ChainHash(mix(uint64(i)+1)))]++
 	}
 	for _, m := range list {
 		expected := chats * m.Weight / total
@@ -116,9 +119,9 @@
 	assert.Equal(t, mustSet(t, members(3)).Order(Key{Root: 7}, nil), 0)
 }
 
-// A customer's system prompt is the same in all chats. If it chose the home,
-// one engine would get every chat of that customer.
-func TestSharedSystemPromptDoesNotHerdChats(t *testing.T) {
+// A customer's system prompt is the same in all its chats. If it decided the
+// first choice, one engine would get every chat of that customer.
+func TestSharedSystemPromptDoesNotSendChatsToOneEngine(t *testing.T) {
 	s := mustSet(t, members(12))
 	counts := make(map[protocol.UpstreamID]int)
 	for i := range 1200 {
@@ -128,28 +131,29 @@
 			{Role: "assistant", Content: "how much?"},
 		}
 		chain := chat.Chain("m", messages)
-		counts[homeOf(s, chain[RootLink(messages)].Hash)]++
+		counts[firstChoiceOf(s, chain[RootIndex(messages)].Hash)]++
 	}
 	for id, count := range counts {
 		assert.Assert(t, count < 150, "%s got %d of 1200", id, count)
 	}
 }
 
-// Thousands of customers' system prompts would each have to be cached on every
-// engine; kept to a few, the next new chat finds its prompt there.
-func TestSpreadKeepsAGroupToItsShareOfTheSet(t *testing.T) {
+// The system prompts of thousands of customers don't fit into the cache of
+// every engine. When the chats with one system prompt are kept to a few
+// engines, a new chat finds its system prompt cached there.
+func TestGroupShareKeepsAGroupToItsPartOfTheSet(t *testing.T) {
 	s := mustSet(t, members(790))
-	homes := make(map[int32]bool)
-	spread := s.Spread(0.001)
-	assert.Assert(t, spread*790 >= leastSpread && spread*790 < 2*leastSpread)
+	firstChoices := make(map[int32]bool)
+	groupShare := s.GroupShare(0.001)
+	assert.Assert(t, groupShare*790 >= minGroupSize && groupShare*790 < 2*minGroupSize)
 	for i := range 1000 {
 		var dst [MaxChoices]int32
-		s.Order(Key{Root: chat.ChainHash(mix(uint64(i + 1))), Group: 3, Spread: spread}, dst[:])
-		homes[dst[0]] = true
+		s.Order(Key{Root: chat.ChainHash(mix(uint64(i + 1))), Group: 3, GroupShare: groupShare}, dst[:])
+		firstChoices[dst[0]] = true
 	}
-	assert.Assert(t, len(homes) >= 2 && len(homes) <= 20, "%d homes", len(homes))
-	assert.Equal(t, s.Spread(0.9), 1.0)
-	assert.Equal(t, mustSet(t, members(3)).Spread(0), 1.0)
+	assert.Assert(t, len(firstChoices) >= 2 && len(firstChoices) <= 20, "%d first choices", len(firstChoices))
+	assert.Equal(t, s.GroupShare(0.9), 1.0)
+	assert.Equal(t, mustSet(t, members(3)).GroupShare(0), 1.0)
 }
 
 func BenchmarkOrder(b *testing.B) {
@@ -159,7 +163,7 @@
 			var dst [MaxChoices]int32
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				s.Order(Key{Root: chat.ChainHash(mix(uint64(i + 1))), Group: 5, Spread: 0.1}, dst[:])
+				s.Order(Key{Root: chat.ChainHash(mix(uint64(i + 1))), Group: 5, GroupShare: 0.1}, dst[:])
 			}
 		})
 	}
--- a/coordination/placement/table.go
+++ b/coordination/placement/table.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// EntryBytes is the size of one entry of an Index or Pointers table.
+// EntryBytes is the size of one entry of an Index or of ForwardingPointers.
 const EntryBytes = 8
 
-// Layout of an entry: tag, value and stamp. A tag of 24 bits beside the
-// bucket's own bits makes a false match likely once in two million lookups,
-// which costs one misplaced chat.
+// Layout of an entry: tag, value and stamp. Together with the bits that choose
+// the bucket, a tag of 24 bits gives a false match about once in two million
+// lookups. A false match misplaces one chat.
 const (
 	bucketEntries = 8
 	tagBits       = 24
@@ -20,24 +20,24 @@
 	stampMask     = 1<<stampBits - 1
 )
 
-// stampUnit is the resolution of ages. 16 bits of it last six days, longer
+// stampUnit is the resolution of ages. 16 bits of it cover six days, longer
 // than an engine keeps a prefix.
 const stampUnit = 8 * time.Second
 
 // table maps hashes to small values. It is a bounded set-associative array of
-// 64-byte buckets: one cache line a lookup, no pointers for the garbage
-// collector, no allocation after the first. A full bucket forgets its oldest
-// entry.
+// buckets of 64 bytes: a lookup reads one cache line, the garbage collector
+// finds no pointers in it, and nothing is allocated after newTable. When a
+// bucket is full, a new entry replaces the oldest one.
 type table struct {
 	buckets [][bucketEntries]uint64
-	live    int
+	used    int
 }
 
-// newTable returns a table that holds at least the given entries before
-// buckets overflow more than rarely: buckets are planned four fifths full.
+// newTable returns a table for the given number of entries. Buckets are
+// planned four fifths full, so that few of them overflow.
 func newTable(entries int) table {
-	planned := max(1, (entries*5+4*bucketEntries-1)/(4*bucketEntries))
-	return table{buckets: make([][bucketEntries]uint64, planned)}
+	buckets := max(1, (entries*5+4*bucketEntries-1)/(4*bucketEntries))
+	return table{buckets: make([][bucketEntries]uint64, buckets)}
 }
 
 // stampOf turns a time into a stamp.
@@ -45,12 +45,12 @@
 	return uint64(now/stampUnit) & stampMask
 }
 
-// ageOf returns how long ago a stamp was, up to the stamp's range.
+// ageOf returns how long ago a stamp was made, up to the range of stamps.
 func ageOf(now time.Duration, stamp uint64) time.Duration {
 	return time.Duration((stampOf(now)-stamp)&stampMask) * stampUnit
 }
 
-// pack builds an entry. Tag 0 marks a free place, so tags start at 1.
+// pack builds an entry. Tag 0 marks an empty entry, so tags start at 1.
 func pack(tag, value, stamp uint64) uint64 {
 	return tag<<(valueBits+stampBits) | value<<stampBits | stamp
 }
@@ -59,9 +59,9 @@
 func entryValue(e uint64) uint64 { return e >> stampBits & valueMask }
 func entryStamp(e uint64) uint64 { return e & stampMask }
 
-// place returns the bucket, chosen by the upper bits of a hash, and the tag,
-// its lower bits.
-func (t *table) place(hash uint64) (*[bucketEntries]uint64, uint64) {
+// locate returns the bucket of a hash, chosen by the upper bits of the mixed
+// hash, and its tag, which is made from the lower bits.
+func (t *table) locate(hash uint64) (*[bucketEntries]uint64, uint64) {
 	mixed := mix(hash)
 	tag := max(1, mixed&(1<<tagBits-1))
 	bucket, _ := bits.Mul64(mixed, uint64(len(t.buckets)))
@@ -70,7 +70,7 @@
 
 // get returns an entry's value and stamp.
 func (t *table) get(hash uint64) (value, stamp uint64, ok bool) {
-	bucket, tag := t.place(hash)
+	bucket, tag := t.locate(hash)
 	for _, e := range bucket {
 		if entryTag(e) == tag {
 			return entryValue(e), entryStamp(e), true
@@ -79,9 +79,9 @@
 	return 0, 0, false
 }
 
-// put sets an entry; a full bucket loses its oldest.
+// put sets an entry. In a full bucket it replaces the oldest one.
 func (t *table) put(now time.Duration, hash, value uint64) {
-	bucket, tag := t.place(hash)
+	bucket, tag := t.locate(hash)
 	fresh := pack(tag, min(value, valueMask), stampOf(now))
 	victim := 0
 	oldest := time.Duration(-1)
@@ -90,19 +90,20 @@
 			bucket[i] = fresh
 			return
 		}
-		if age := entryAge(now, e); age > oldest {
+		if age := replacementAge(now, e); age > oldest {
 			oldest = age
 			victim = i
 		}
 	}
 	if bucket[victim] == 0 {
-		t.live++
+		t.used++
 	}
 	bucket[victim] = fresh
 }
 
-// entryAge ranks an entry for replacement; free places come first.
-func entryAge(now time.Duration, e uint64) time.Duration {
+// replacementAge is the age by which put chooses the entry to replace. An
+// empty entry counts as the oldest.
+func replacementAge(now time.Duration, e uint64) time.Duration {
 	if e == 0 {
 		return (stampMask + 1) * stampUnit
 	}
@@ -111,11 +112,11 @@
 
 // remove deletes an entry and returns its stamp.
 func (t *table) remove(hash uint64) (stamp uint64, ok bool) {
-	bucket, tag := t.place(hash)
+	bucket, tag := t.locate(hash)
 	for i, e := range bucket {
 		if entryTag(e) == tag {
 			bucket[i] = 0
-			t.live--
+			t.used--
 			return entryStamp(e), true
 		}
 	}
@@ -125,10 +126,10 @@
 // clear empties the table in place.
 func (t *table) clear() {
 	clear(t.buckets)
-	t.live = 0
+	t.used = 0
 }
 
-// bytes is the memory the table holds.
+// bytes is the memory that the table takes.
 func (t *table) bytes() int {
 	return len(t.buckets) * bucketEntries * EntryBytes
 }
--- a/coordination/placement/tracebench/cache.go
+++ b/coordination/placement/tracebench/cache.go
@@ -7,25 +7,25 @@
 )
 
 // promptCache is an engine's cache of prompt prefixes: whole chats and shared
-// system prompts, least recently used evicted first.
+// system prompts, with the least recently used evicted first.
 type promptCache struct {
 	capacity int
 	used     int
 	entries  map[chat.ChainHash]*cacheEntry
 	// head is the most recently used, tail the least.
 	head, tail *cacheEntry
-	// evicted is called with the deepest link of an evicted chat.
+	// evicted is called with the deepest link of an evicted entry.
 	evicted func(deepest chat.ChainHash)
 }
 
 // cacheEntry is a chat, keyed by its root, or a system prompt, keyed by its
-// own hash.
+// own hash. deepest is the hash of the longest cached prefix.
 type cacheEntry struct {
 	key     chat.ChainHash
 	deepest chat.ChainHash
 	tokens  int
-	// turn is the chat's last turn here and usedAt its time, as far as the
-	// cache was told; turn is nil for a system prompt.
+	// turn is the last turn of the chat that recordTurn stored, and usedAt its
+	// time. turn is nil for a system prompt.
 	turn       *turn
 	usedAt     time.Duration
 	prev, next *cacheEntry
@@ -35,10 +35,10 @@
 	return &promptCache{capacity: capacity, entries: make(map[chat.ChainHash]*cacheEntry)}
 }
 
-// saved is the number of prompt tokens the cache holds.
+// saved is the number of prompt tokens that the cache holds.
 func (c *promptCache) saved(chain []chat.Link) int {
 	prompt := chain[len(chain)-1].Tokens
-	if e, ok := c.entries[chain[rootLink].Hash]; ok {
+	if e, ok := c.entries[chain[rootIndex].Hash]; ok {
 		return min(e.tokens, prompt)
 	}
 	if e, ok := c.entries[chain[0].Hash]; ok {
@@ -47,18 +47,19 @@
 	return 0
 }
 
-// use marks a chat's prefix as used, with its length now.
+// use marks a chat's prefix as used, sets its present length, and evicts
+// entries while the cache is above its capacity.
 func (c *promptCache) use(chain []chat.Link, tokens int) {
 	system := chain[0]
 	c.touch(system.Hash, system.Hash, system.Tokens)
-	c.touch(chain[rootLink].Hash, chain[len(chain)-1].Hash, tokens)
+	c.touch(chain[rootIndex].Hash, chain[len(chain)-1].Hash, tokens)
 	for c.used > c.capacity && c.tail != c.head {
 		c.evict(c.tail)
 	}
 }
 
-// touch puts an entry in front. A chat's own tokens are those beyond the
-// system prompt, but the model counts them whole.
+// touch moves an entry to the front. The tokens of a chat include the system
+// prompt, so the model counts those of the system prompt twice.
 func (c *promptCache) touch(key, deepest chat.ChainHash, tokens int) {
 	e, ok := c.entries[key]
 	if !ok {
--- a/coordination/placement/tracebench/meter.go
+++ b/coordination/placement/tracebench/meter.go
@@ -11,68 +11,71 @@
 // eventList is the events of one batch.
 type eventList = []placement.Event
 
-// Result is what one run gave.
+// Result holds the figures of one run, measured after the warm-up.
 type Result struct {
-	// Requests were placed after the warm-up.
+	// Requests is the number of requests placed.
 	Requests int
-	// SkewMax is the highest load over mean of an engine admitted to, and
-	// SkewP99 its 99th percentile over admissions.
+	// SkewMax is the highest skew of an engine that admitted a request, and
+	// SkewP99 the 99th percentile over admissions.
 	SkewMax float64
 	SkewP99 float64
-	// SkewCounted is the highest load over mean of an engine admitted to as
-	// its owner counts it, over the fleet as all owners count it, without
-	// the admissions of FewPct.
+	// SkewCounted is the highest skew of an engine that admitted a request, by
+	// the counts of the engine's owner and of all owners, without the
+	// admissions of IdleOrOneOverPct.
 	SkewCounted float64
-	// SkewAny is the highest load over mean of any engine at any admission.
+	// SkewAny is the highest skew of any engine at any admission.
 	SkewAny float64
-	// OverPct is the share of admissions that left the engine above the
+	// OverPct is the percentage of admissions that left the engine above the
 	// default multiple.
 	OverPct float64
-	// ReusePct is the share of prompt tokens served from cache.
+	// ReusePct is the percentage of prompt tokens served from cache.
 	ReusePct float64
-	// LeaverReusePct is the same for the first turn after a planned leave of
-	// each chat that the leaver held, LeaverTurns how many these are, and
-	// MovedTokens the tokens moved.
+	// LeaverReusePct is the same for chats that were cached on an engine when
+	// it left as planned, for the first turn after the leave. LeaverTurns is
+	// the number of these turns, and MovedTokens the number of tokens moved.
 	LeaverReusePct float64
 	LeaverTurns    int
 	MovedTokens    int
 	// MeanStreams is the mean number of requests on an engine.
 	MeanStreams float64
-	// Asks is the mean number of questions to owners for one request.
-	Asks float64
-	// MovedPct is the share of requests that left a new pointer.
+	// Queries is the mean number of queries to owners for one request.
+	Queries float64
+	// MovedPct is the percentage of requests that left a new forwarding
+	// pointer.
 	MovedPct float64
-	// FewPct is the share admitted as idle or one over.
-	FewPct float64
-	// WaitPct is the waits of 20 ms in a queue, per hundred requests.
+	// IdleOrOneOverPct is the percentage of requests that the load bound
+	// admitted with the reason Idle or OneOver.
+	IdleOrOneOverPct float64
+	// WaitPct is the number of waits of 20 ms in a queue for a hundred
+	// requests.
 	WaitPct float64
-	// ControlBytes is the payload of summaries a node sends in a second, and
-	// ControlMost that of the busiest node.
-	ControlBytes float64
-	ControlMost  float64
+	// ControlBytes is the payload of load summaries that a router sends in a
+	// second, in the mean, and ControlMaxBytes that of the busiest router.
+	ControlBytes    float64
+	ControlMaxBytes float64
 }
 
-// meter collects a Result.
+// meter collects the figures of a Result during a run.
 type meter struct {
-	skews   []float64
-	skewAny float64
-	counted float64
-	over    int
-	prompt  int
-	saved   int
-	streams float64
-	waits   int
-	asks    int
-	asked   int
-	moved   int
-	few     int
-	sent    []int
-	leaver  leaverMeter
+	skews         []float64
+	skewAny       float64
+	counted       float64
+	over          int
+	prompt        int
+	saved         int
+	streams       float64
+	waits         int
+	queries       int
+	walks         int
+	moved         int
+	idleOrOneOver int
+	sent          []int
+	leaver        plannedLeaveMeter
 }
 
-// admitted measures the fleet right after an admission.
-func (m *meter) admitted(now time.Duration, w *world, r *request) {
-	if now < w.config.WarmUp {
+// admitted measures the fleet just after an admission.
+func (m *meter) admitted(now time.Duration, sim *simulation, r *request) {
+	if now < sim.config.WarmUp {
 		m.waits = 0
 		return
 	}
@@ -80,7 +83,7 @@
 	m.prompt += r.turn.prompt()
 	m.saved += r.saved
 	load, capacity, streams, up := 0.0, 0.0, 0, 0
-	for _, e := range w.engines {
+	for _, e := range sim.engines {
 		if !e.up {
 			continue
 		}
@@ -90,12 +93,12 @@
 		streams += len(e.running)
 	}
 	mean := load / capacity
-	for _, e := range w.engines {
+	for _, e := range sim.engines {
 		if e.up {
 			m.skewAny = max(m.skewAny, e.load/e.capacity/mean)
 		}
 	}
-	e := w.engines[r.engine]
+	e := sim.engines[r.engine]
 	skew := e.load / e.capacity / mean
 	m.skews = append(m.skews, skew)
 	if skew > loadbound.DefaultMultiple+1e-9 {
@@ -104,8 +107,8 @@
 	m.streams += float64(streams) / float64(up)
 }
 
-// result sums the run up.
-func (m *meter) result(w *world) Result {
+// result computes the Result of the run.
+func (m *meter) result(sim *simulation) Result {
 	n := len(m.skews)
 	if n == 0 {
 		return Result{}
@@ -124,21 +127,21 @@
 		WaitPct:     100 * float64(m.waits) / count,
 	}
 	m.leaver.result(&r)
-	if m.asked > 0 {
-		r.Asks = float64(m.asks) / float64(m.asked)
-		r.MovedPct = 100 * float64(m.moved) / float64(m.asked)
-		r.FewPct = 100 * float64(m.few) / float64(m.asked)
+	if m.walks > 0 {
+		r.Queries = float64(m.queries) / float64(m.walks)
+		r.MovedPct = 100 * float64(m.moved) / float64(m.walks)
+		r.IdleOrOneOverPct = 100 * float64(m.idleOrOneOver) / float64(m.walks)
 	}
 	for _, sent := range m.sent {
-		rate := float64(sent) / w.end.Seconds()
+		rate := float64(sent) / sim.end.Seconds()
 		r.ControlBytes += rate / float64(len(m.sent))
-		r.ControlMost = max(r.ControlMost, rate)
+		r.ControlMaxBytes = max(r.ControlMaxBytes, rate)
 	}
 	return r
 }
 
-// merge adds the result of another seed: the worst of the maxima, the mean of
-// the rest by requests.
+// merge adds the result of another seed: the highest of the maxima, and the
+// mean of the rest weighted by requests.
 func (r *Result) merge(other Result) {
 	old, add := float64(r.Requests), float64(other.Requests)
 	if old+add == 0 {
@@ -147,19 +150,19 @@
 	mean := func(into *float64, value float64) {
 		*into = (*into*old + value*add) / (old + add)
 	}
-	r.mergeLeaver(other)
+	r.mergePlannedLeaves(other)
 	r.Requests += other.Requests
 	r.SkewMax = max(r.SkewMax, other.SkewMax)
 	r.SkewAny = max(r.SkewAny, other.SkewAny)
 	r.SkewCounted = max(r.SkewCounted, other.SkewCounted)
-	r.ControlMost = max(r.ControlMost, other.ControlMost)
+	r.ControlMaxBytes = max(r.ControlMaxBytes, other.ControlMaxBytes)
 	mean(&r.SkewP99, other.SkewP99)
 	mean(&r.OverPct, other.OverPct)
 	mean(&r.ReusePct, other.ReusePct)
 	mean(&r.MeanStreams, other.MeanStreams)
-	mean(&r.Asks, other.Asks)
+	mean(&r.Queries, other.Queries)
 	mean(&r.MovedPct, other.MovedPct)
-	mean(&r.FewPct, other.FewPct)
+	mean(&r.IdleOrOneOverPct, other.IdleOrOneOverPct)
 	mean(&r.WaitPct, other.WaitPct)
 	mean(&r.ControlBytes, other.ControlBytes)
 }
--- a/coordination/placement/tracebench/owners.go
+++ b/coordination/placement/tracebench/owners.go
@@ -10,91 +10,92 @@
 	"endiveplank/protocol/chat"
 )
 
-// Sizes of the tables of an owner in the model.
+// Sizes of the tables of an owner in the simulation.
 const (
 	indexEntries   = 4096
 	pointerEntries = 16384
 )
 
-// OwnerAdmission is the way of this project, with a policy.
-func OwnerAdmission(name string, policy placement.Policy) Way {
-	return Way{Name: name, build: func(w *world) strategy { return newOwners(w, policy) }}
+// OwnerAdmission returns the strategy of packages placement and loadbound, in
+// which owners admit requests, with a policy.
+func OwnerAdmission(name string, policy placement.Policy) Strategy {
+	return Strategy{Name: name, build: func(sim *simulation) placer { return newOwnersPlacer(sim, policy) }}
 }
 
-// owners drives packages placement and loadbound.
-type owners struct {
-	w       *world
+// ownersPlacer runs packages placement and loadbound for all routers.
+type ownersPlacer struct {
+	sim     *simulation
 	policy  placement.Policy
 	names   []protocol.RouterID
 	numbers map[protocol.RouterID]int
 	ledgers []*loadbound.Ledger
 	owners  []*placement.Owner
 	sets    []*placement.Set
-	// exchanges are the live routers' exchanges, wakes when they are planned
-	// to be called.
+	// exchanges are the exchanges of the live routers, nil for the others.
+	// wakeAt is when each is planned to be called next.
 	exchanges []*loadbound.Exchange
-	wakes     []time.Duration
+	wakeAt    []time.Duration
 	// ownerOf is the router that holds an engine's lease, -1 for none.
 	ownerOf []int
-	// live is the routers that live, sorted.
+	// live holds the routers that are up, sorted.
 	live []protocol.RouterID
-	// capacity is that of the engines that are up.
+	// capacity is the sum over the engines that are up.
 	capacity float64
 }
 
-// admitted is what a request keeps of its admission.
-type admitted struct {
+// ownersState is what a request keeps of its admission.
+type ownersState struct {
 	router int
 	answer placement.Answer
 }
 
-func newOwners(w *world, policy placement.Policy) *owners {
-	s := &owners{w: w, policy: policy, numbers: make(map[protocol.RouterID]int)}
-	s.w.meter.sent = make([]int, len(w.routers))
-	for r := range w.routers {
+func newOwnersPlacer(sim *simulation, policy placement.Policy) *ownersPlacer {
+	s := &ownersPlacer{sim: sim, policy: policy, numbers: make(map[protocol.RouterID]int)}
+	s.sim.meter.sent = make([]int, len(sim.routers))
+	for r := range sim.routers {
 		name := protocol.RouterID(fmt.Sprintf("r%03d", r))
 		s.names = append(s.names, name)
 		s.numbers[name] = r
 		s.ledgers = append(s.ledgers, nil)
 		s.owners = append(s.owners, nil)
-		s.sets = append(s.sets, setOf(w, w.views[r]))
+		s.sets = append(s.sets, setOf(sim, sim.views[r]))
 		s.exchanges = append(s.exchanges, nil)
-		s.wakes = append(s.wakes, 0)
-		s.fresh(r)
+		s.wakeAt = append(s.wakeAt, 0)
+		s.resetRouter(r)
 	}
-	s.ownerOf = make([]int, len(w.engines))
+	s.ownerOf = make([]int, len(sim.engines))
 	for i := range s.ownerOf {
 		s.ownerOf[i] = -1
 	}
 	s.refreshLive()
-	for i := range w.engines {
+	for i := range sim.engines {
 		s.grant(0, i, s.chooseOwner(i))
 	}
 	s.refreshCapacity()
-	s.rewire(0)
+	s.rebuildExchanges(0)
 	return s
 }
 
-// fresh gives a router the state of a process that has just started.
-func (s *owners) fresh(router int) {
+// resetRouter gives a router the state of a process that has just started.
+func (s *ownersPlacer) resetRouter(router int) {
 	config := loadbound.DefaultConfig()
 	config.Multiple = s.policy.Multiple
 	s.ledgers[router] = loadbound.NewLedger(config)
 	s.owners[router] = placement.NewOwner(s.ledgers[router], s.policy, pointerEntries)
 }
 
-func (s *owners) refreshLive() {
+func (s *ownersPlacer) refreshLive() {
 	s.live = s.live[:0:0]
-	for r, up := range s.w.routers {
+	for r, up := range s.sim.routers {
 		if up {
 			s.live = append(s.live, s.names[r])
 		}
 	}
 }
 
-func (s *owners) refreshCapacity() {
+func (s *ownersPlacer) refreshCapacity() {
 	s.capacity = 0
-	for _, e := range s.w.engines {
+	for _, e := range s.sim.engines {
 		if e.up {
 			s.capacity += e.capacity
 		}
@@ -104,9 +105,10 @@
 	}
 }
 
-// chooseOwner is the first live router in the order that rendezvous hashing
-// gives an engine which owns no more than its even share, rounded up.
-func (s *owners) chooseOwner(engine int) int {
+// chooseOwner returns the first live router, in the rendezvous order for the
+// engine, that owns less than its even share of the engines, rounded up, or
+// the first of that order if none does.
+func (s *ownersPlacer) chooseOwner(engine int) int {
 	var list []placement.Member
 	for _, name := range s.live {
 		list = append(list, placement.Member{ID: protocol.UpstreamID(name), Weight: 1})
@@ -116,9 +118,9 @@
 		panic("tracebench: routers are listed once: " + err.Error())
 	}
 	var order [placement.MaxChoices]int32
-	key := chat.ChainHash(placement.ShortID(s.w.engines[engine].id))
+	key := chat.ChainHash(placement.ShortID(s.sim.engines[engine].id))
 	n := set.Order(placement.Key{Root: key}, order[:])
-	share := (len(s.w.engines) + len(s.live) - 1) / len(s.live)
+	share := (len(s.sim.engines) + len(s.live) - 1) / len(s.live)
 	for _, position := range order[:n] {
 		if router := numberOf(set.Member(position).ID); s.owned(router) < share {
 			return router
@@ -127,8 +129,8 @@
 	return numberOf(set.Member(order[0]).ID)
 }
 
-// owned counts a router's engines.
-func (s *owners) owned(router int) int {
+// owned is the number of engines that a router owns.
+func (s *ownersPlacer) owned(router int) int {
 	count := 0
 	for _, owner := range s.ownerOf {
 		if owner == router {
@@ -139,227 +141,230 @@
 }
 
 // grant gives an engine's lease to a router.
-func (s *owners) grant(now time.Duration, engine, router int) {
-	e := s.w.engines[engine]
+func (s *ownersPlacer) grant(now time.Duration, engine, router int) {
+	e := s.sim.engines[engine]
 	e.fence++
 	s.ownerOf[engine] = router
 	s.ledgers[router].Own(now, e.id, loadbound.Grant{
 		Fence:    e.fence,
-		Until:    s.w.end + time.Hour,
+		Until:    s.sim.end + time.Hour,
 		Capacity: e.capacity,
 		Reported: e.reported,
 	})
-	s.owners[router].Hold(now, e.id, e.incarnation, indexEntries)
+	s.owners[router].AddUpstream(now, e.id, e.incarnation, indexEntries)
 	for _, r := range e.running {
 		s.resume(now, engine, r)
 	}
 }
 
-// resume is what the entry of a running request does at a new owner.
-func (s *owners) resume(now time.Duration, engine int, r *request) {
+// resume adds a running request to the load at the engine's new owner, as its
+// entry router would.
+func (s *ownersPlacer) resume(now time.Duration, engine int, r *request) {
 	router := s.ownerOf[engine]
-	a := r.own.(admitted)
-	ticket, ok := s.ledgers[router].Resume(now, s.w.engines[engine].id, a.answer.Ticket.Cost)
+	a := r.placerState.(ownersState)
+	ticket, ok := s.ledgers[router].Resume(now, s.sim.engines[engine].id, a.answer.Ticket.Cost)
 	if !ok {
 		panic("tracebench: an owner that was just granted takes running work")
 	}
 	a.router = router
 	a.answer.Ticket = ticket
-	r.own = a
+	r.placerState = a
 }
 
 // place walks the order as an entry router does.
-func (s *owners) place(now time.Duration, r *request) (int, bool) {
+func (s *ownersPlacer) place(now time.Duration, r *request) (int, bool) {
 	set := s.sets[r.entry]
 	request := placement.Request{
 		Chain:        r.turn.chain,
-		Root:         rootLink,
+		RootIndex:    rootIndex,
 		OutputTokens: r.turn.expected,
-		Spread:       set.Spread(s.w.trace.shares[r.turn.customer]),
+		GroupShare:   set.GroupShare(s.sim.trace.shares[r.turn.customer]),
 	}
-	walk := placement.Begin(set, s.policy, request)
+	walk := placement.StartWalk(set, s.policy, request)
 	for step, ok := walk.Next(); ok; step, ok = walk.Next() {
-		walk.Answered(s.ask(now, step.Ask))
+		walk.HandleAnswer(s.sendQuery(now, step.Query))
 	}
 	result := walk.Result()
-	s.count(now, result)
+	s.countQueries(now, result)
 	if result.Verdict != placement.Admitted {
 		return 0, false
 	}
 	if result.Moved {
-		if home := s.ownerOf[numberOf(result.Home)]; home >= 0 {
-			s.owners[home].Moved(now, r.turn.chain[rootLink].Hash, result.Upstream)
+		if home := s.ownerOf[numberOf(result.FirstChoice)]; home >= 0 {
+			s.owners[home].RecordMove(now, r.turn.chain[rootIndex].Hash, result.Upstream)
 		}
 	}
 	engine := numberOf(result.Upstream)
-	s.measure(now, engine, result.Reason())
-	r.own = admitted{router: s.ownerOf[engine], answer: result.Answer}
+	s.measureCounted(now, engine, result.Reason())
+	r.placerState = ownersState{router: s.ownerOf[engine], answer: result.Answer}
 	return engine, true
 }
 
-// ask carries a question to the owner.
-func (s *owners) ask(now time.Duration, ask placement.Ask) placement.Answer {
-	engine := numberOf(ask.Upstream)
+// sendQuery passes a query to the owner.
+func (s *ownersPlacer) sendQuery(now time.Duration, query placement.Query) placement.Answer {
+	engine := numberOf(query.Upstream)
 	owner := s.ownerOf[engine]
-	if owner < 0 || !s.w.engines[engine].up {
-		return placement.Silent
+	if owner < 0 || !s.sim.engines[engine].up {
+		return placement.NoAnswer
 	}
-	return s.owners[owner].Ask(now, ask)
+	return s.owners[owner].HandleQuery(now, query)
 }
 
-func (s *owners) count(now time.Duration, result placement.Result) {
-	m := &s.w.meter
-	if now < s.w.config.WarmUp {
+func (s *ownersPlacer) countQueries(now time.Duration, result placement.Result) {
+	m := &s.sim.meter
+	if now < s.sim.config.WarmUp {
 		return
 	}
-	m.asked++
-	m.asks += result.Asks
+	m.walks++
+	m.queries += result.Queries
 	if result.Moved {
 		m.moved++
 	}
 	if reason := result.Reason(); reason == loadbound.Idle || reason == loadbound.OneOver {
-		m.few++
+		m.idleOrOneOver++
 	}
 }
 
-// measure compares an admission with what all owners count together. At 790
-// engines one admission in a hundred is enough.
-func (s *owners) measure(now time.Duration, engine int, reason loadbound.Reason) {
-	if now < s.w.config.WarmUp || reason != loadbound.WithinBound {
+// measureCounted compares an admission with the sum that all owners count.
+// With 790 engines it measures one admission in a hundred, which is enough.
+func (s *ownersPlacer) measureCounted(now time.Duration, engine int, reason loadbound.Reason) {
+	if now < s.sim.config.WarmUp || reason != loadbound.WithinBound {
 		return
 	}
-	if len(s.w.engines) > 100 && s.w.rng.IntN(100) != 0 {
+	if len(s.sim.engines) > 100 && s.sim.rng.IntN(100) != 0 {
 		return
 	}
 	total := 0.0
 	for i, owner := range s.ownerOf {
-		load := s.w.engines[i].load
+		load := s.sim.engines[i].load
 		if owner >= 0 {
-			load, _, _ = s.ledgers[owner].Load(now, s.w.engines[i].id)
+			load, _, _ = s.ledgers[owner].Load(now, s.sim.engines[i].id)
 		}
-		if s.w.engines[i].up {
+		if s.sim.engines[i].up {
 			total += load
 		}
 	}
-	load, _, _ := s.ledgers[s.ownerOf[engine]].Load(now, s.w.engines[engine].id)
-	skew := load / s.w.engines[engine].capacity / (total / s.capacity)
-	s.w.meter.counted = max(s.w.meter.counted, skew)
+	load, _, _ := s.ledgers[s.ownerOf[engine]].Load(now, s.sim.engines[engine].id)
+	skew := load / s.sim.engines[engine].capacity / (total / s.capacity)
+	s.sim.meter.counted = max(s.sim.meter.counted, skew)
 }
 
-func (s *owners) finished(now time.Duration, r *request) {
-	a := r.own.(admitted)
+func (s *ownersPlacer) finished(now time.Duration, r *request) {
+	a := r.placerState.(ownersState)
 	cached := r.saved
 	if r.lost {
 		cached = -1
 	}
-	s.owners[a.router].Finished(now, a.answer.Ticket, a.answer.Hit, cached)
+	s.owners[a.router].Finish(now, a.answer.Ticket, a.answer.Hit, cached)
 }
 
-func (s *owners) members(_ time.Duration, router int) {
-	s.sets[router] = setOf(s.w, s.w.views[router])
+func (s *ownersPlacer) viewChanged(_ time.Duration, router int) {
+	s.sets[router] = setOf(s.sim, s.sim.views[router])
 }
 
-// pump sends the summaries that are due at a router and plans the next call.
-func (s *owners) pump(now time.Duration, router int) {
+// sendDue sends the load summaries that are due at a router and schedules its
+// next call.
+func (s *ownersPlacer) sendDue(now time.Duration, router int) {
 	exchange := s.exchanges[router]
 	for _, peer := range exchange.Due(now) {
 		s.send(now, router, s.numbers[peer])
 	}
 	wake := max(exchange.Wake(), now+time.Millisecond)
-	if planned := s.wakes[router]; planned > now && planned <= wake {
+	if planned := s.wakeAt[router]; planned > now && planned <= wake {
 		return
 	}
-	s.wakes[router] = wake
-	s.w.schedule(wake, func(now time.Duration) {
-		if s.exchanges[router] == exchange && s.wakes[router] <= now {
-			s.pump(now, router)
+	s.wakeAt[router] = wake
+	s.sim.schedule(wake, func(now time.Duration) {
+		if s.exchanges[router] == exchange && s.wakeAt[router] <= now {
+			s.sendDue(now, router)
 		}
 	})
 }
 
-// send carries one summary to a neighbour.
-func (s *owners) send(now time.Duration, router, to int) {
+// send sends one summary to a neighbour.
+func (s *ownersPlacer) send(now time.Duration, router, to int) {
 	summary := s.ledgers[router].Summary(now, s.names[to], s.exchanges[router].Relay())
-	s.w.meter.sent[router] += loadbound.SummaryBytes
-	delay := time.Millisecond + time.Duration(s.w.rng.Int64N(int64(4*time.Millisecond)))
+	s.sim.meter.sent[router] += loadbound.SummaryBytes
+	delay := time.Millisecond + time.Duration(s.sim.rng.Int64N(int64(4*time.Millisecond)))
 	target := s.exchanges[to]
-	s.w.schedule(now+delay, func(now time.Duration) {
+	s.sim.schedule(now+delay, func(now time.Duration) {
 		if target == nil || s.exchanges[to] != target {
 			return
 		}
 		s.ledgers[to].Receive(now, s.names[router], summary)
 		target.Heard(now, s.names[router])
-		s.pump(now, to)
+		s.sendDue(now, to)
 	})
 }
 
-// forget drops a lost router's summaries everywhere.
-func (s *owners) forget(router int) {
+// forgetRouter removes a lost router's summaries from all ledgers.
+func (s *ownersPlacer) forgetRouter(router int) {
 	for _, l := range s.ledgers {
 		l.Forget(s.names[router])
 	}
 }
 
-// routerLost takes a router out: its engines are without an owner until its
-// lease has run out, and membership notices only after a while.
-func (s *owners) routerLost(now time.Duration, router int) {
+// routerLost removes a router. Its engines have no owner until its lease has
+// expired, and the other routers notice its loss only after
+// LossDetectionDelay.
+func (s *ownersPlacer) routerLost(now time.Duration, router int) {
 	s.exchanges[router] = nil
-	s.fresh(router)
+	s.resetRouter(router)
 	s.ledgers[router].SetFleetCapacity(s.capacity)
 	notice := func(now time.Duration) {
 		s.refreshLive()
-		s.forget(router)
-		s.rewire(now)
+		s.forgetRouter(router)
+		s.rebuildExchanges(now)
 	}
-	if s.w.config.DetectLoss == 0 {
+	if s.sim.config.LossDetectionDelay == 0 {
 		notice(now)
 	} else {
-		s.w.schedule(now+s.w.config.DetectLoss, notice)
+		s.sim.schedule(now+s.sim.config.LossDetectionDelay, notice)
 	}
 	for i, owner := range s.ownerOf {
 		if owner != router {
 			continue
 		}
 		s.ownerOf[i] = -1
-		s.w.schedule(now+ownerLease, func(now time.Duration) { s.takeOver(now, i) })
+		s.sim.schedule(now+ownerLease, func(now time.Duration) { s.takeOver(now, i) })
 	}
 }
 
-// takeOver gives an engine whose lease ran out to a live router.
-func (s *owners) takeOver(now time.Duration, engine int) {
+// takeOver grants an engine whose owner's lease has expired to a live router.
+func (s *ownersPlacer) takeOver(now time.Duration, engine int) {
 	s.grant(now, engine, s.chooseOwner(engine))
-	if !s.w.engines[engine].up {
-		s.ledgers[s.ownerOf[engine]].Disown(s.w.engines[engine].id)
+	if !s.sim.engines[engine].up {
+		s.ledgers[s.ownerOf[engine]].Disown(s.sim.engines[engine].id)
 	}
 }
 
-// rewire starts the exchange anew among the live routers, and drops views
-// along links that it no longer uses.
-func (s *owners) rewire(now time.Duration) {
-	for r := range s.w.routers {
+// rebuildExchanges starts new exchanges among the live routers, and drops the
+// views of neighbours that a router no longer has.
+func (s *ownersPlacer) rebuildExchanges(now time.Duration) {
+	for r := range s.sim.routers {
 		s.exchanges[r] = nil
-		s.wakes[r] = 0
-		if !s.w.routers[r] {
+		s.wakeAt[r] = 0
+		if !s.sim.routers[r] {
 			continue
 		}
-		start := now + time.Duration(s.w.rng.Int64N(int64(loadbound.ExchangePeriod)))
+		start := now + time.Duration(s.sim.rng.Int64N(int64(loadbound.ExchangePeriod)))
 		s.exchanges[r] = loadbound.NewExchange(s.names[r], s.live, start)
 		s.ledgers[r].Keep(s.exchanges[r].Peers())
-		s.pump(now, r)
+		s.sendDue(now, r)
 	}
 }
 
-// routerBack adds a router again; it takes engines only when owners change,
-// so that a restart does not move them twice.
-func (s *owners) routerBack(now time.Duration, _ int) {
+// routerReturned adds a router again. It owns no engine before the owner of
+// one changes, so that a restart does not move engines twice.
+func (s *ownersPlacer) routerReturned(now time.Duration, _ int) {
 	s.refreshLive()
-	s.rewire(now)
+	s.rebuildExchanges(now)
 }
 
-// reported feeds an engine's late report and cache events to its owner.
-func (s *owners) reported(now time.Duration, engine int, batch eventBatch) {
+// reported passes an engine's late load report and cache events to its owner.
+func (s *ownersPlacer) reported(now time.Duration, engine int, batch eventBatch) {
 	owner := s.ownerOf[engine]
-	e := s.w.engines[engine]
+	e := s.sim.engines[engine]
 	if owner < 0 {
 		return
 	}
@@ -368,27 +373,28 @@
 		return
 	}
 	if len(batch.events) > 0 {
-		s.owners[owner].CacheEvents(now, e.id, batch.first, batch.events)
+		s.owners[owner].HandleCacheEvents(now, e.id, batch.first, batch.events)
 	}
 }
 
-// engineChanged tells the owner, whom the engine itself has told. Work that a
-// leaver still runs is no longer the fleet's; when it returns, what is left of
-// it is the floor.
-func (s *owners) engineChanged(now time.Duration, engine int) {
+// engineChanged updates the owner, which learns of the change from the engine
+// itself. Work that a leaving engine still runs no longer counts in the
+// fleet's load. When the engine returns, what is left of this work is the
+// floor of its load.
+func (s *ownersPlacer) engineChanged(now time.Duration, engine int) {
 	s.refreshCapacity()
 	owner := s.ownerOf[engine]
 	if owner < 0 {
 		return
 	}
-	if s.w.engines[engine].up {
+	if s.sim.engines[engine].up {
 		s.grant(now, engine, owner)
 		return
 	}
-	s.ledgers[owner].Disown(s.w.engines[engine].id)
+	s.ledgers[owner].Disown(s.sim.engines[engine].id)
 }
 
-// numberOf is the number in an engine's name.
+// numberOf is the number in the ID of an engine or router.
 func numberOf(id protocol.UpstreamID) int {
 	number := 0
 	for _, digit := range id[1:] {
--- a/coordination/placement/tracebench/planned.go
+++ b/coordination/placement/tracebench/planned.go
@@ -9,22 +9,22 @@
 	"endiveplank/protocol/chat"
 )
 
-// drainSpan is what a leaving engine gives for moves, and moveTick how often
-// its mover is stepped.
+// drainTime is how long a leaving engine waits for moves, and moverPeriod how
+// often its mover runs.
 const (
-	drainSpan = 30 * time.Second
-	moveTick  = 20 * time.Millisecond
+	drainTime   = 30 * time.Second
+	moverPeriod = 20 * time.Millisecond
 )
 
-// leaverMeter measures chats whose engine left as planned.
-type leaverMeter struct {
+// plannedLeaveMeter measures the reuse of chats whose engine left as planned.
+type plannedLeaveMeter struct {
 	displaced     map[chat.ChainHash]bool
 	prompt, saved int
 	turns, tokens int
 }
 
-func (m *leaverMeter) admitted(r *request) {
-	root := r.turn.chain[rootLink].Hash
+func (m *plannedLeaveMeter) admitted(r *request) {
+	root := r.turn.chain[rootIndex].Hash
 	if !m.displaced[root] {
 		return
 	}
@@ -34,7 +34,7 @@
 	m.saved += r.saved
 }
 
-func (m *leaverMeter) result(r *Result) {
+func (m *plannedLeaveMeter) result(r *Result) {
 	r.LeaverTurns = m.turns
 	r.MovedTokens = m.tokens
 	if m.prompt > 0 {
@@ -42,8 +42,8 @@
 	}
 }
 
-// mergeLeaver adds another seed's, weighted by turns.
-func (r *Result) mergeLeaver(other Result) {
+// mergePlannedLeaves adds the result of another seed, weighted by turns.
+func (r *Result) mergePlannedLeaves(other Result) {
 	turns := r.LeaverTurns + other.LeaverTurns
 	if turns > 0 {
 		sum := r.LeaverReusePct*float64(r.LeaverTurns) + other.LeaverReusePct*float64(other.LeaverTurns)
@@ -53,94 +53,96 @@
 	r.MovedTokens += other.MovedTokens
 }
 
-// noteTurn remembers which chat an entry is of.
-func (c *promptCache) noteTurn(now time.Duration, t *turn) {
-	if e, ok := c.entries[t.chain[rootLink].Hash]; ok {
+// recordTurn stores the last turn of the chat of an entry.
+func (c *promptCache) recordTurn(now time.Duration, t *turn) {
+	if e, ok := c.entries[t.chain[rootIndex].Hash]; ok {
 		e.turn = t
 		e.usedAt = now
 	}
 }
 
-// schedulePlanned lets engines leave one after the other.
-func (w *world) schedulePlanned() {
-	if w.config.Planned == 0 {
+// schedulePlanned makes engines leave one after the other.
+func (sim *simulation) schedulePlanned() {
+	if sim.config.PlannedLeaveInterval == 0 {
 		return
 	}
-	w.meter.leaver.displaced = make(map[chat.ChainHash]bool)
+	sim.meter.leaver.displaced = make(map[chat.ChainHash]bool)
 	target := 0
-	w.every(w.config.WarmUp, w.config.Planned, w.end, func(now time.Duration) {
-		w.plannedLeave(now, target%len(w.engines))
+	sim.schedulePeriodic(sim.config.WarmUp, sim.config.PlannedLeaveInterval, sim.end, func(now time.Duration) {
+		sim.plannedLeave(now, target%len(sim.engines))
 		target++
 	})
 }
 
-// plannedLeave takes an engine out of placement, moves its chats, and brings
-// it back cold.
-func (w *world) plannedLeave(now time.Duration, i int) {
-	e := w.engines[i]
+// plannedLeave takes an engine out of placement, moves its chats, and returns
+// it later with an empty cache.
+func (sim *simulation) plannedLeave(now time.Duration, i int) {
+	e := sim.engines[i]
 	if !e.up {
 		return
 	}
 	for root, entry := range e.cache.entries {
 		if entry.turn != nil {
-			w.meter.leaver.displaced[root] = true
+			sim.meter.leaver.displaced[root] = true
 		}
 	}
-	w.leave(now, i, w.config.PlannedAway, true)
-	if w.config.Moves != nil {
-		w.moveChats(now, e, *w.config.Moves)
+	sim.leave(now, i, sim.config.PlannedLeaveTime, true)
+	if sim.config.Moves != nil {
+		sim.moveChats(now, e, *sim.config.Moves)
 	}
 }
 
-// moveChats steps the decisions of package kvmove for one leaver.
-func (w *world) moveChats(now time.Duration, e *engine, costs kvmove.Costs) {
-	set := setOf(w, w.truth())
+// moveChats plans the moves of one leaving engine with package kvmove and starts
+// its mover.
+func (sim *simulation) moveChats(now time.Duration, e *engine, costs kvmove.Costs) {
+	set := setOf(sim, sim.upEngines())
 	place := func(key placement.Key) (kvmove.Destination, bool) {
 		var first [1]int32
 		if set.Order(key, first[:]) == 0 {
 			return kvmove.Destination{}, false
 		}
-		to := w.engines[engineOf(set, first[0])]
+		to := sim.engines[engineOf(set, first[0])]
 		return kvmove.Destination{Upstream: to.id, Capacity: to.capacity}, true
 	}
-	moves := kvmove.MakePlan(now, w.hotChats(e, set), place, costs, drainSpan)
-	mover := kvmove.NewMover(now, now+drainSpan, moves)
-	w.stepMover(now, e, mover)
+	moves := kvmove.MakePlan(now, sim.hotChats(e, set), place, costs, drainTime)
+	mover := kvmove.NewMover(now, now+drainTime, moves)
+	sim.stepMover(now, e, mover)
 }
 
-func (w *world) stepMover(now time.Duration, from *engine, mover *kvmove.Mover) {
-	takes := func(id protocol.UpstreamID) bool { return w.engines[numberOf(id)].up }
+func (sim *simulation) stepMover(now time.Duration, from *engine, mover *kvmove.Mover) {
+	takes := func(id protocol.UpstreamID) bool { return sim.engines[numberOf(id)].up }
 	for _, move := range mover.Next(now, takes) {
-		w.schedule(now+move.Time, func(time.Duration) {
-			moved := w.imported(from, move)
+		sim.schedule(now+move.Time, func(time.Duration) {
+			moved := sim.importCache(from, move)
 			mover.Ended(move.Chat.Deepest, moved)
 		})
 	}
 	if !mover.Over() {
-		w.schedule(now+moveTick, func(now time.Duration) { w.stepMover(now, from, mover) })
+		sim.schedule(now+moverPeriod, func(now time.Duration) { sim.stepMover(now, from, mover) })
 	}
 }
 
-// hotChats lists the chats in an engine's cache as its owner would.
-func (w *world) hotChats(e *engine, set *placement.Set) []kvmove.Chat {
+// hotChats lists the chats in an engine's cache as its owner would list them.
+func (sim *simulation) hotChats(e *engine, set *placement.Set) []kvmove.Chat {
 	hot := kvmove.NewHot(2 * len(e.cache.entries))
 	for _, entry := range e.cache.entries {
 		if entry.turn == nil {
 			continue
 		}
 		key := placement.Key{
-			Root:   entry.key,
-			Group:  entry.turn.chain[0].Hash,
-			Spread: set.Spread(w.trace.shares[entry.turn.customer]),
+			Root:       entry.key,
+			Group:      entry.turn.chain[0].Hash,
+			GroupShare: set.GroupShare(sim.trace.shares[entry.turn.customer]),
 		}
 		hot.Note(kvmove.Chat{Key: key, Deepest: entry.deepest, Tokens: entry.tokens, UsedAt: entry.usedAt})
 	}
 	return hot.Chats()
 }
 
-// imported puts a cache in at its destination, unless it is gone.
-func (w *world) imported(from *engine, move kvmove.Move) bool {
-	to := w.engines[numberOf(move.To)]
+// importCache copies a chat's cache to the destination of its move. It returns
+// false when the destination is down or the cache has been evicted.
+func (sim *simulation) importCache(from *engine, move kvmove.Move) bool {
+	to := sim.engines[numberOf(move.To)]
 	entry, there := from.cache.entries[move.Chat.Key.Root]
 	if !there || !to.up || entry.turn == nil {
 		return false
@@ -149,8 +151,8 @@
 		return true
 	}
 	to.cache.use(entry.turn.chain, entry.tokens)
-	to.cache.noteTurn(entry.usedAt, entry.turn)
+	to.cache.recordTurn(entry.usedAt, entry.turn)
 	to.events = append(to.events, placement.Event{Op: placement.Stored, Hash: entry.deepest})
-	w.meter.leaver.tokens += entry.tokens
+	sim.meter.leaver.tokens += entry.tokens
 	return true
 }
--- a/coordination/placement/tracebench/trace.go
+++ b/coordination/placement/tracebench/trace.go
@@ -15,23 +15,25 @@
 	Duration     time.Duration
 	Customers    int
 	ZipfExponent float64
-	// RequestsPerSecond is the rate that turns reach in the long run.
+	// RequestsPerSecond is the rate of turns that the trace reaches in the
+	// long run.
 	RequestsPerSecond float64
-	// SurgeAt starts a surge of the third largest customer to ten times its
-	// rate; 0 for none.
+	// SurgeAt is when the third largest customer surges to ten times its rate;
+	// 0 for never.
 	SurgeAt time.Duration
 }
 
 // Parameters of the trace model, see the package comment.
 const (
-	meanTurns     = 5
-	surgeFactor   = 10
-	surgeFor      = 2 * time.Minute
-	surgeCustomer = 2
-	answerMargin  = 1.5
+	meanTurns        = 5
+	surgeFactor      = 10
+	surgeTime        = 2 * time.Minute
+	surgeCustomer    = 2
+	answerTimeFactor = 1.5
 )
 
-// turn is one request of the trace.
+// turn is one request of the trace. expected is the length of the answer that
+// placement is told, output its actual length.
 type turn struct {
 	at       time.Duration
 	chat     int32
@@ -44,9 +46,9 @@
 // prompt is the length of the turn's prompt in tokens.
 func (t *turn) prompt() int { return t.chain[len(t.chain)-1].Tokens }
 
-// rootLink is the position of the root in chains of the trace: after the
+// rootIndex is the position of the root in the chains of the trace: after the
 // system prompt.
-const rootLink = 1
+const rootIndex = 1
 
 // Trace is a list of requests in order of time.
 type Trace struct {
@@ -57,7 +59,7 @@
 	shares []float64
 }
 
-// generator holds what one trace is drawn from.
+// generator draws a trace.
 type generator struct {
 	config  TraceConfig
 	rng     *rand.Rand
@@ -66,7 +68,7 @@
 	trace   *Trace
 }
 
-// NewTrace draws a trace.
+// NewTrace draws the trace of a config.
 func NewTrace(config TraceConfig) *Trace {
 	g := &generator{config: config, rng: rand.New(rand.NewPCG(config.Seed, 1)), trace: &Trace{config: config}}
 	g.drawCustomers()
@@ -74,7 +76,7 @@
 	for customer, share := range g.shares {
 		g.drawChats(customer, rate*share, 0, config.Duration)
 		if customer == surgeCustomer && config.SurgeAt > 0 {
-			g.drawChats(customer, rate*share*(surgeFactor-1), config.SurgeAt, config.SurgeAt+surgeFor)
+			g.drawChats(customer, rate*share*(surgeFactor-1), config.SurgeAt, config.SurgeAt+surgeTime)
 		}
 	}
 	slices.SortFunc(g.trace.turns, func(a, b turn) int {
@@ -86,7 +88,7 @@
 	return g.trace
 }
 
-// Requests is the number of requests, and Chats the number of chats.
+// Requests is the number of requests.
 func (t *Trace) Requests() int { return len(t.turns) }
 
 // Chats is the number of chats.
@@ -107,7 +109,7 @@
 	g.trace.shares = g.shares
 }
 
-// drawChats draws the chats of one customer that start in a span.
+// drawChats draws the chats of one customer that start between two times.
 func (g *generator) drawChats(customer int, rate float64, from, until time.Duration) {
 	at := from
 	for {
@@ -159,10 +161,11 @@
 	return 900
 }
 
-// answerTime is how long an answer takes at the usual speed with a margin: a
-// caller reads it before the next turn, whatever the way under test does.
+// answerTime is how long an answer takes at the usual speed, with a margin.
+// The caller reads it before the next turn, at the same time for every
+// strategy, so that all run on the same trace.
 func answerTime(output int) time.Duration {
-	return seconds(answerMargin * float64(output) / streamSpeed)
+	return seconds(answerTimeFactor * float64(output) / streamSpeed)
 }
 
 func (g *generator) drawGap() time.Duration {
--- a/coordination/placement/walk.go
+++ b/coordination/placement/walk.go
@@ -6,50 +6,55 @@
 	"endiveplank/protocol/chat"
 )
 
-// Limits of a walk. Each ask is a round trip between routers of a few
-// milliseconds at most, so all together stay far below the half second that
-// the first token may take.
+// Limits of a walk. Each query is a round trip between routers of a few
+// milliseconds at most, so that all together stay far below the half second
+// that the first token may take.
 const (
-	// openChoices is how many upstreams are asked for room in order. The
-	// chance that all are above their bound falls by half or more with each.
-	openChoices = 5
-	// probeChoices is how many choices behind a young home are probed: one
-	// join makes the former home the second choice, two joins the third.
+	// orderChoices is how many upstreams are asked for capacity in order. With
+	// each, the probability that all asked so far are above their bound falls
+	// by half or more.
+	orderChoices = 5
+	// probeChoices is how many choices after the first are probed when the
+	// first choice's owner is new. After one join the former first choice is
+	// the second, after two joins the third.
 	probeChoices = 2
-	// wideChoices is how many further upstreams are asked when all of the
+	// widenChoices is how many further upstreams are asked when all of the
 	// first are above the hard bound.
-	wideChoices = 6
-	// wideRounds is how often that is repeated. In a fleet with four engines
-	// of five busy, a walk misses all idle ones once in a hundred times.
-	wideRounds = 3
-	// maxForwards is how many pointers are followed: one from the home, and
-	// one from a former home that had sent the chat on.
+	widenChoices = 6
+	// widenRounds is how often that is repeated. In a fleet with four of five
+	// engines busy, a walk then misses all idle ones once in a hundred times.
+	widenRounds = 3
+	// maxForwards is how many forwarding pointers are followed: one from the
+	// first choice, and one from a former first choice that had sent the chat
+	// on.
 	maxForwards = 2
-	// MaxAsks is the most questions of one walk.
-	MaxAsks = 1 + maxForwards + probeChoices + openChoices + wideRounds*wideChoices + maxFinals
-	// maxFinals is how many final asks are made when owners do not answer.
-	maxFinals = 3
+	// MaxQueries is the highest number of queries in one walk.
+	MaxQueries = 1 + maxForwards + probeChoices + orderChoices + widenRounds*widenChoices + maxFinalQueries
+	// maxFinalQueries is how many final queries are made when owners do not
+	// answer.
+	maxFinalQueries = 3
 )
 
-// Request is what an entry router knows of a request.
+// Request is what an entry router knows of a request when it places it.
 type Request struct {
 	Chain []chat.Link
-	// Root is the position of the root link, from RootLink.
-	Root int
+	// RootIndex is the position of the root in Chain, from the function
+	// RootIndex.
+	RootIndex int
 	// OutputTokens is the expected length of the answer.
 	OutputTokens int
-	// Spread is the share of the set that chats with this system prompt are
-	// kept to, from Set.Spread; 0 means all. It must be the same at every
-	// router.
-	Spread float64
+	// GroupShare is the share of the set that chats with this system prompt
+	// are kept to, from Set.GroupShare; 0 means the whole set. It must be the
+	// same at every router.
+	GroupShare float64
 }
 
-// key is what the request's order is made from.
+// key returns what Set.Order orders the upstreams by.
 func (r Request) key() Key {
-	key := Key{Root: r.Chain[r.Root].Hash}
-	if r.Root > 0 {
-		key.Group = r.Chain[r.Root-1].Hash
-		key.Spread = r.Spread
+	key := Key{Root: r.Chain[r.RootIndex].Hash}
+	if r.RootIndex > 0 {
+		key.Group = r.Chain[r.RootIndex-1].Hash
+		key.GroupShare = r.GroupShare
 	}
 	return key
 }
@@ -57,87 +62,89 @@
 // RefusalReason says why a walk found no upstream.
 type RefusalReason string
 
-// Reasons of a Result that is refused.
+// Reasons why a Result is refused.
 const (
 	// NoUpstream: no upstream serves the model.
 	NoUpstream RefusalReason = "no-upstream"
-	// EmptyRequest: there is no message to place by.
+	// EmptyRequest: the chain has no link at the position of the root.
 	EmptyRequest RefusalReason = "empty-request"
-	// NoOwner: no owner of any choice answered.
+	// NoOwner: no owner of the upstreams asked took the request.
 	NoOwner RefusalReason = "no-owner"
 )
 
-// Result is how a walk ended.
+// Result is the outcome of a walk.
 type Result struct {
 	// Verdict is Admitted, Queued or Refused.
-	Verdict  Verdict
-	Upstream protocol.UpstreamID
-	Home     protocol.UpstreamID
-	// Moved says that the home's owner must be told of Upstream.
+	Verdict     Verdict
+	Upstream    protocol.UpstreamID
+	FirstChoice protocol.UpstreamID
+	// Moved says that the owner of FirstChoice must be told that the chat ran
+	// on Upstream.
 	Moved bool
-	// Answer is the owner's answer that ended the walk.
+	// Answer is the answer that ended the walk.
 	Answer Answer
 	// Refusal is set when Verdict is Refused.
 	Refusal RefusalReason
-	// Asks counts the questions asked.
-	Asks int
+	// Queries counts the queries made.
+	Queries int
 }
 
-// Step is the next question of a walk.
+// Step holds the next query of a walk.
 type Step struct {
-	Ask Ask
+	Query Query
 }
 
-// phase is the part of a walk that the next step belongs to.
+// phase is the phase of a walk. It decides what the next query is.
 type phase uint8
 
 const (
-	phaseHome phase = iota
+	phaseFirstChoice phase = iota
 	phaseForward
 	phaseProbe
-	phaseOpen
+	phaseInOrder
 	phaseFinal
 	phaseDone
 )
 
-// candidate is an upstream that had no room within its soft bound.
+// candidate is an upstream that had no capacity within its soft bound. The
+// candidate with the highest score gets the final query.
 type candidate struct {
 	position int32
-	value    float64
+	score    float64
 }
 
-// Walk finds the upstream for one request by asking owners one after the
-// other. It is a value without pointers to the heap of its own: no request
-// allocates for it.
+// Walk finds the upstream for one request by querying owners one after the
+// other. It is a plain value that allocates nothing for a request.
 type Walk struct {
 	set     *Set
 	policy  Policy
 	request Request
 
-	order  [MaxChoices]int32
-	orderN int
-	home   int32
-	// forward is the position that the last pointer led to, and homePoints
-	// the one that the home's pointer names.
-	forward    int32
-	homePoints int32
-	// candidates are the positions that the load bound turned down.
-	candidates [MaxAsks]candidate
+	order       [MaxChoices]int32
+	orderN      int
+	firstChoice int32
+	// forwardedTo is the position that the last forwarding pointer led to, and
+	// pointedAt the one that the first choice's pointer names; -1 for none.
+	forwardedTo int32
+	pointedAt   int32
+	// candidates are the upstreams that the load bound turned down.
+	candidates [MaxQueries]candidate
 	candidateN int
 
-	phase    phase
-	current  int32
-	next     int
-	widened  int
-	forwards int
-	finals   int
-	result   Result
+	phase        phase
+	current      int32
+	next         int
+	widenings    int
+	forwards     int
+	finalQueries int
+	result       Result
 }
 
-// Begin starts a walk. The request's chain must stay unchanged until it ends.
-func Begin(set *Set, policy Policy, request Request) Walk {
-	w := Walk{set: set, policy: policy, request: request, forward: -1, homePoints: -1, current: -1}
-	if len(request.Chain) == 0 || request.Root < 0 || request.Root >= len(request.Chain) {
+// StartWalk returns a new walk. The request's chain must not change until the
+// walk has ended.
+func StartWalk(set *Set, policy Policy, request Request) Walk {
+	w := Walk{set: set, policy: policy, request: request, forwardedTo: -1, pointedAt: -1, current: -1}
+	if len(request.Chain) == 0 || request.RootIndex < 0 || request.RootIndex >= len(request.Chain) {
 		w.refuse(EmptyRequest)
 		return w
 	}
@@ -146,8 +153,8 @@
 		w.refuse(NoUpstream)
 		return w
 	}
-	w.home = w.order[0]
-	w.result.Home = set.Member(w.home).ID
+	w.firstChoice = w.order[0]
+	w.result.FirstChoice = set.Member(w.firstChoice).ID
 	return w
 }
 
@@ -158,81 +165,82 @@
 	w.phase = phaseDone
 }
 
-// Next returns the next question, and false when the walk has ended.
+// Next returns the next query, and false when the walk has ended.
 func (w *Walk) Next() (Step, bool) {
 	switch w.phase {
-	case phaseHome:
-		return w.ask(w.order[0], AtHome), true
+	case phaseFirstChoice:
+		return w.newStep(w.order[0], StageFirstChoice), true
 	case phaseForward:
-		return w.ask(w.forward, Probe), true
+		return w.newStep(w.forwardedTo, StageProbe), true
 	case phaseProbe:
-		return w.ask(w.order[w.next], Probe), true
-	case phaseOpen:
-		return w.ask(w.order[w.next], Open), true
+		return w.newStep(w.order[w.next], StageProbe), true
+	case phaseInOrder:
+		return w.newStep(w.order[w.next], StageInOrder), true
 	case phaseFinal:
-		return w.ask(w.candidates[w.best()].position, Final), true
+		return w.newStep(w.candidates[w.bestCandidate()].position, StageFinal), true
 	}
 	return Step{}, false
 }
 
-// ask builds a step.
-func (w *Walk) ask(position int32, stage Stage) Step {
+// newStep builds the query about the upstream at a position.
+func (w *Walk) newStep(position int32, stage Stage) Step {
 	w.current = position
-	w.result.Asks++
-	return Step{Ask: Ask{
+	w.result.Queries++
+	return Step{Query: Query{
 		Upstream:     w.set.Member(position).ID,
 		Stage:        stage,
-		Home:         position == w.home,
+		FirstChoice:  position == w.firstChoice,
 		Chain:        w.request.Chain,
-		Root:         w.request.Root,
+		RootIndex:    w.request.RootIndex,
 		OutputTokens: w.request.OutputTokens,
 	}}
 }
 
-// Answered takes the answer to the last question.
-func (w *Walk) Answered(answer Answer) {
+// HandleAnswer takes the answer to the last query.
+func (w *Walk) HandleAnswer(answer Answer) {
 	switch answer.Verdict {
 	case Admitted, Queued:
 		w.finish(answer)
 		return
-	case NoRoom:
-		w.remember(answer)
+	case NoCapacity:
+		w.addCandidate(answer)
 	case Forward:
-		if w.follow(answer.Forward) {
+		if w.followPointer(answer.Forward) {
 			return
 		}
 	}
 	w.advance(answer)
 }
 
-// finish ends the walk with an upstream.
+// finish ends the walk with the upstream that answered.
 func (w *Walk) finish(answer Answer) {
 	w.result.Verdict = answer.Verdict
 	w.result.Answer = answer
 	w.result.Upstream = w.set.Member(w.current).ID
-	w.result.Moved = w.current != w.home && w.current != w.homePoints
+	w.result.Moved = w.current != w.firstChoice && w.current != w.pointedAt
 	w.phase = phaseDone
 }
 
-// remember keeps an upstream for the final ask.
-func (w *Walk) remember(answer Answer) {
+// addCandidate keeps the upstream that answered for the final query.
+func (w *Walk) addCandidate(answer Answer) {
 	if w.candidateN == len(w.candidates) {
 		return
 	}
 	w.candidates[w.candidateN] = candidate{
 		position: w.current,
-		value:    w.policy.value(answer, w.prompt()),
+		score:    w.policy.score(answer, w.promptTokens()),
 	}
 	w.candidateN++
 }
 
-// prompt is the length of the request's prompt in tokens.
-func (w *Walk) prompt() int {
+// promptTokens is the length of the request's prompt.
+func (w *Walk) promptTokens() int {
 	return w.request.Chain[len(w.request.Chain)-1].Tokens
 }
 
-// judged says whether a position has been put to the load bound already.
-func (w *Walk) judged(position int32) bool {
+// isCandidate says whether the load bound has turned the upstream at a
+// position down already.
+func (w *Walk) isCandidate(position int32) bool {
 	for _, c := range w.candidates[:w.candidateN] {
 		if c.position == position {
 			return true
@@ -241,27 +249,29 @@
 	return false
 }
 
-// follow goes where a pointer leads, unless it leads nowhere new.
-func (w *Walk) follow(short uint32) bool {
+// followPointer makes the upstream that a forwarding pointer names the next to
+// be queried. It returns false when that upstream is not in the set, has been
+// turned down by the load bound or has just been asked, or when the walk has
+// followed maxForwards pointers.
+func (w *Walk) followPointer(short uint32) bool {
 	position, ok := w.set.Find(short)
-	if !ok || w.forwards == maxForwards || w.judged(position) || position == w.current {
+	if !ok || w.forwards == maxForwards || w.isCandidate(position) || position == w.current {
 		return false
 	}
-	if w.current == w.home {
-		w.homePoints = position
+	if w.current == w.firstChoice {
+		w.pointedAt = position
 	}
 	w.forwards++
-	w.forward = position
+	w.forwardedTo = position
 	w.phase = phaseForward
 	return true
 }
 
-// advance goes to the next question after an answer that did not end the
-// walk.
+// advance moves to the next query after an answer that did not end the walk.
 func (w *Walk) advance(answer Answer) {
 	switch w.phase {
-	case phaseHome:
-		w.phase = phaseOpen
+	case phaseFirstChoice:
+		w.phase = phaseInOrder
 		w.next = 0
 		if answer.Verdict == Refused {
 			w.next = 1
@@ -271,27 +281,27 @@
 			w.next = 1
 		}
 	case phaseForward:
-		w.phase = phaseOpen
+		w.phase = phaseInOrder
 		w.next = 0
 	case phaseProbe:
 		w.next++
-		if w.next > probeChoices || w.next >= w.orderN || answer.Verdict == NoRoom {
-			w.phase = phaseOpen
+		if w.next > probeChoices || w.next >= w.orderN || answer.Verdict == NoCapacity {
+			w.phase = phaseInOrder
 			w.next = 0
 		}
-	case phaseOpen:
+	case phaseInOrder:
 		w.next++
 	case phaseFinal:
-		w.dropBest()
+		w.removeBest()
 	}
-	w.skipJudged()
+	w.selectNext()
 }
 
-// skipJudged passes over choices that have answered for room, and ends the
-// open phase after its last choice.
-func (w *Walk) skipJudged() {
-	if w.phase == phaseOpen {
-		if w.nextOpen() {
+// selectNext skips choices that have been asked for capacity already, and goes
+// on to the final queries after the last choice.
+func (w *Walk) selectNext() {
+	if w.phase == phaseInOrder {
+		if w.nextInOrder() {
 			return
 		}
 		w.phase = phaseFinal
@@ -299,21 +309,22 @@
 	if w.phase != phaseFinal {
 		return
 	}
-	if w.candidateN == 0 || w.finals == maxFinals {
+	if w.candidateN == 0 || w.finalQueries == maxFinalQueries {
 		w.refuse(NoOwner)
 		return
 	}
-	w.finals++
+	w.finalQueries++
 }
 
-// nextOpen finds the next choice that has not been asked for room.
-func (w *Walk) nextOpen() bool {
+// nextInOrder moves w.next to the next choice that has not been asked for
+// capacity. It returns false when there is none.
+func (w *Walk) nextInOrder() bool {
 	for {
-		limit := min(openChoices, w.orderN)
-		if w.widened > 0 {
+		limit := min(orderChoices, w.orderN)
+		if w.widenings > 0 {
 			limit = w.orderN
 		}
-		for w.next < limit && w.judged(w.order[w.next]) {
+		for w.next < limit && w.isCandidate(w.order[w.next]) {
 			w.next++
 		}
 		if w.next < limit {
@@ -325,53 +336,55 @@
 	}
 }
 
-// widen goes on with other choices from the whole set when all so far are above
-// the hard bound and a final ask would queue.
+// widen continues with other upstreams from the whole set when all asked so
+// far are above the hard bound and a final query would queue the request.
 //
-// Load: one customer surges to ten times its rate, or the fleet is nearly
-// idle and the few engines asked are the busy ones. Harm: chats queue at the
+// Load: one customer surges to ten times its rate, or the fleet is nearly idle
+// and the few engines asked are the busy ones. Harm: chats queue at the
 // engines of their group, or behind the one request of an engine, while the
-// rest of the fleet has room.
+// rest of the fleet has capacity.
 func (w *Walk) widen() bool {
-	if w.widened == wideRounds || w.anyWithinBound() {
+	if w.widenings == widenRounds || w.anyWithinBound() {
 		return false
 	}
-	w.widened++
-	key := Key{Root: chat.ChainHash(mix(uint64(w.request.key().Root) + uint64(w.widened)))}
-	w.orderN = w.set.Order(key, w.order[:wideChoices])
+	w.widenings++
+	key := Key{Root: chat.ChainHash(mix(uint64(w.request.key().Root) + uint64(w.widenings)))}
+	w.orderN = w.set.Order(key, w.order[:widenChoices])
 	w.next = 0
 	return true
 }
 
-// anyWithinBound says whether some upstream asked is within the hard bound.
+// anyWithinBound says whether any upstream asked is within the hard bound.
 func (w *Walk) anyWithinBound() bool {
-	return w.candidateN > 0 && w.candidates[w.best()].value > -overBoundPenalty
+	return w.candidateN > 0 && w.candidates[w.bestCandidate()].score > -overBoundPenalty
 }
 
-// best returns the candidate to ask finally.
-func (w *Walk) best() int {
+// bestCandidate returns the index of the candidate for the final query.
+func (w *Walk) bestCandidate() int {
 	best := 0
 	for i, c := range w.candidates[:w.candidateN] {
-		if c.value > w.candidates[best].value {
+		if c.score > w.candidates[best].score {
 			best = i
 		}
 	}
 	return best
 }
 
-// dropBest removes a candidate whose owner did not answer finally.
-func (w *Walk) dropBest() {
-	best := w.best()
+// removeBest removes the candidate that got the last final query, since its
+// owner neither admitted nor queued the request.
+func (w *Walk) removeBest() {
+	best := w.bestCandidate()
 	w.candidateN--
 	w.candidates[best] = w.candidates[w.candidateN]
 }
 
-// Result returns how the walk ended; it is valid once Next reports false.
+// Result returns the outcome of the walk. It is valid once Next has returned
+// false, or HandleAnswer has taken an Admitted or Queued answer.
 func (w *Walk) Result() Result {
 	return w.result
 }
 
-// Reason returns the load bound's reason of the answer that ended the walk.
+// Reason returns the load bound's reason in the answer that ended the walk.
 func (r Result) Reason() loadbound.Reason {
 	return r.Answer.Reason
 }
--- a/protocol/fleet/fleet.go
+++ b/protocol/fleet/fleet.go
@@ -61,10 +61,11 @@
 	// stage says that the entry has tried other upstreams; the owner then
 	// starts, queues or refuses the request, but doesn't spill it.
 	Stage uint8 `msgpack:"st"`
-	// Home says that the upstream is the chat's first choice.
-	Home bool `msgpack:"ho,omitempty"`
-	// Root is the position in Chain of the link that places the chat.
-	Root int `msgpack:"ro,omitempty"`
+	// FirstChoice says that the upstream is the chat's first choice.
+	FirstChoice bool `msgpack:"ho,omitempty"`
+	// RootIndex is the position of the chat's root in Chain, see
+	// placement.RootIndex.
+	RootIndex int `msgpack:"ro,omitempty"`
 	// Seen is the load of other upstreams that the entry has heard of while it
 	// looked for room, in tokens.
 	Seen float64 `msgpack:"se,omitempty"`
