--- a/coordination/placement/doc.go
+++ b/coordination/placement/doc.go
@@ -17,8 +17,9 @@
 // there (Index), and forwarding pointers for chats whose first choice is here
 // but that ran elsewhere (ForwardingPointers).
 //
-//   - The owner of the first choice that has a forwarding pointer answers
-//     Forward, and the walk probes the upstream it names.
+//   - If the owner of the first choice has a forwarding pointer for the chat,
+//     it answers Forward, and the walk probes the upstream that the pointer
+//     names.
 //   - The owner of the first choice may not know a returning chat because the
 //     upstream has just joined or has just changed its owner. It then answers
 //     Unknown, and the walk probes the next choices. Under rendezvous
--- a/coordination/placement/policy.go
+++ b/coordination/placement/policy.go
@@ -19,16 +19,13 @@
 
 // Defaults of Policy.
 const (
-	// DefaultColdShare is the share of the headroom below the soft bound that
-	// a request with nothing cached may use. It is above 0 so that most new
-	// chats stay on their first choice and need no forwarding pointer.
+	// DefaultColdShare is low, but above 0 so that most new chats stay on
+	// their first choice and need no forwarding pointer.
 	DefaultColdShare = 0.3
 	// DefaultPrefillSpeedup: an engine prefills ten prompt tokens in the time
 	// in which it generates one token in a full batch.
 	DefaultPrefillSpeedup = 10
-	// DefaultHalfGain is the number of saved prompt tokens that gives a
-	// request half of the headroom that ColdShare leaves. It is about the
-	// length of a prompt after five turns.
+	// DefaultHalfGain is about the length of a prompt after five turns.
 	DefaultHalfGain = 1500
 )
 
@@ -39,14 +36,15 @@
 	ReuseWeight float64
 	// Multiple is the hard bound of an engine's load over the fleet's mean.
 	Multiple float64
-	// ColdShare is the share of the headroom above the mean that a request
-	// with nothing cached may use, from 0 to 1.
+	// ColdShare is the share of the headroom that a request with nothing
+	// cached may use, from 0 to 1. The headroom is the part of the load above
+	// the mean that the bound allows, (Multiple-1) x ReuseWeight.
 	ColdShare float64
 	// PrefillSpeedup is how many prompt tokens cost as much as one generated
 	// token.
 	PrefillSpeedup float64
-	// HalfGain is the number of saved prompt tokens that gives a request half
-	// of the rest of the headroom.
+	// HalfGain is the number of cached prompt tokens with which a request may
+	// use half of the headroom above ColdShare, see SoftMultiple.
 	HalfGain float64
 }
 
