--- a/coordination/placement/doc.go
+++ b/coordination/placement/doc.go
@@ -72,7 +72,7 @@
 // At the owner:
 //
 //	owner := placement.NewOwner(ledger, policy, pointerEntries)
-//	owner.AddUpstream(now, id, incarnation, indexEntries) // beside ledger.Own
+//	owner.AddUpstream(now, id, incarnation, indexEntries) // beside ledger.Acquire
 //	answer := owner.HandleQuery(now, query)        // admits through the ledger
 //	owner.RecordMove(now, root, upstream)          // at the first choice's owner
 //	owner.Finish(now, answer.Ticket, answer.Hit, cachedTokens)
--- a/coordination/placement/owner.go
+++ b/coordination/placement/owner.go
@@ -205,9 +205,9 @@
 	}
 	prompt := query.Chain[len(query.Chain)-1].Tokens
 	saved := hit.Expected()
-	decision := o.ledger.Judge(now, query.Upstream, loadbound.Ask{
-		Cost: waiting + o.policy.Cost(prompt, saved, query.OutputTokens),
-		Seen: query.SeenLoad,
+	decision := o.ledger.Evaluate(now, query.Upstream, loadbound.Request{
+		Cost:       waiting + o.policy.Cost(prompt, saved, query.OutputTokens),
+		OthersLoad: query.SeenLoad,
 	})
 	return Answer{
 		Verdict:    NoCapacity,
@@ -254,11 +254,11 @@
 func (o *Owner) admit(now time.Duration, query Query, held *cacheState, hit Hit) Answer {
 	prompt := query.Chain[len(query.Chain)-1].Tokens
 	saved := hit.Expected()
-	decision := o.ledger.Admit(now, query.Upstream, loadbound.Ask{
-		Cost:     o.policy.Cost(prompt, saved, query.OutputTokens),
-		Multiple: o.policy.SoftMultiple(saved),
-		Seen:     query.SeenLoad,
-		Final:    query.Stage == StageFinal,
+	decision := o.ledger.Admit(now, query.Upstream, loadbound.Request{
+		Cost:       o.policy.Cost(prompt, saved, query.OutputTokens),
+		Multiple:   o.policy.SoftMultiple(saved),
+		OthersLoad: query.SeenLoad,
+		LastChoice: query.Stage == StageFinal,
 	})
 	answer := Answer{
 		Verdict:    verdictOf(decision.Outcome),
--- a/coordination/placement/tracebench/owners.go
+++ b/coordination/placement/tracebench/owners.go
@@ -145,11 +145,11 @@
 	e := s.sim.engines[engine]
 	e.fence++
 	s.ownerOf[engine] = router
-	s.ledgers[router].Own(now, e.id, loadbound.Grant{
-		Fence:    e.fence,
-		Until:    s.sim.end + time.Hour,
-		Capacity: e.capacity,
-		Reported: e.reported,
+	s.ledgers[router].Acquire(now, e.id, loadbound.Grant{
+		Fence:     e.fence,
+		ExpiresAt: s.sim.end + time.Hour,
+		Capacity:  e.capacity,
+		Reported:  e.reported,
 	})
 	s.owners[router].AddUpstream(now, e.id, e.incarnation, indexEntries)
 	for _, r := range e.running {
@@ -269,7 +269,7 @@
 	for _, peer := range exchange.Due(now) {
 		s.send(now, router, s.numbers[peer])
 	}
-	wake := max(exchange.Wake(), now+time.Millisecond)
+	wake := max(exchange.NextDue(), now+time.Millisecond)
 	if planned := s.wakeAt[router]; planned > now && planned <= wake {
 		return
 	}
@@ -292,7 +292,7 @@
 			return
 		}
 		s.ledgers[to].Receive(now, s.names[router], summary)
-		target.Heard(now, s.names[router])
+		target.RecordReceived(now, s.names[router])
 		s.sendDue(now, to)
 	})
 }
@@ -300,7 +300,7 @@
 // forgetRouter removes a lost router's summaries from all ledgers.
 func (s *ownersPlacer) forgetRouter(router int) {
 	for _, l := range s.ledgers {
-		l.Forget(s.names[router])
+		l.RemoveNeighbour(s.names[router])
 	}
 }
 
@@ -334,7 +334,7 @@
 func (s *ownersPlacer) takeOver(now time.Duration, engine int) {
 	s.grant(now, engine, s.chooseOwner(engine))
 	if !s.sim.engines[engine].up {
-		s.ledgers[s.ownerOf[engine]].Disown(s.sim.engines[engine].id)
+		s.ledgers[s.ownerOf[engine]].Release(s.sim.engines[engine].id)
 	}
 }
 
@@ -349,7 +349,7 @@
 		}
 		start := now + time.Duration(s.sim.rng.Int64N(int64(loadbound.ExchangePeriod)))
 		s.exchanges[r] = loadbound.NewExchange(s.names[r], s.live, start)
-		s.ledgers[r].Keep(s.exchanges[r].Peers())
+		s.ledgers[r].RetainNeighbours(s.exchanges[r].Peers())
 		s.sendDue(now, r)
 	}
 }
@@ -368,7 +368,7 @@
 	if owner < 0 {
 		return
 	}
-	s.ledgers[owner].Reported(now, e.id, e.reported)
+	s.ledgers[owner].HandleReport(now, e.id, e.reported)
 	if batch.incarnation != e.incarnation {
 		return
 	}
@@ -391,7 +391,7 @@
 		s.grant(now, engine, owner)
 		return
 	}
-	s.ledgers[owner].Disown(s.sim.engines[engine].id)
+	s.ledgers[owner].Release(s.sim.engines[engine].id)
 }
 
 // numberOf is the number in the ID of an engine or router.
