--- a/coordination/node/place.go
+++ b/coordination/node/place.go
@@ -140,12 +140,12 @@
 	if !result.Moved {
 		return
 	}
-	home := n.view.Upstreams[result.FirstChoice]
-	if home == nil || home.Owner == "" {
+	firstChoice := n.view.Upstreams[result.FirstChoice]
+	if firstChoice == nil || firstChoice.Owner == "" {
 		return
 	}
 	root := e.chain[e.template.RootIndex].Hash
-	n.send(home.Owner, fleet.ChatMoved{FirstChoice: result.FirstChoice, Root: uint64(root), Ran: result.Upstream})
+	n.send(firstChoice.Owner, fleet.ChatMoved{FirstChoice: result.FirstChoice, Root: uint64(root), Ran: result.Upstream})
 }
 
 // rankServers sorts the servers of a plain service by weighted rendezvous
@@ -194,7 +194,7 @@
 }
 
 // sendPlace starts a new attempt and sends its Place to the upstream's owner.
-func (n *Node) sendPlace(now time.Duration, e *entryRequest, upstream *Upstream, stage placement.Stage, home bool) {
+func (n *Node) sendPlace(now time.Duration, e *entryRequest, upstream *Upstream, stage placement.Stage, firstChoice bool) {
 	e.attempt++
 	if e.assembler != nil && e.attempt > 1 {
 		e.assembler.Begin(int(e.attempt))
@@ -209,7 +209,7 @@
 	message.Fence = upstream.Fence
 	message.ResumeAt = e.delivered()
 	message.Stage = uint8(stage)
-	message.FirstChoice = home
+	message.FirstChoice = firstChoice
 	message.SeenLoad = e.loadBeside(upstream.ID)
 	message.RemainingMS = (e.deadline - now).Milliseconds()
 	n.send(upstream.Owner, message)
