--- a/coordination/node/entry.go
+++ b/coordination/node/entry.go
@@ -387,7 +387,7 @@
 	if same := e.retryOn; same != nil && n.view.Upstreams[same.ID] != nil {
 		e.retryOn = nil
 		e.walking = false
-		n.sendPlace(now, e, n.view.Upstreams[same.ID], placement.Final, false)
+		n.sendPlace(now, e, n.view.Upstreams[same.ID], placement.StageFinal, false)
 		return
 	}
 	n.place(now, e)
--- a/coordination/node/upstreams.go
+++ b/coordination/node/upstreams.go
@@ -91,13 +91,13 @@
 
 // updateEngine passes an engine's announcement to the load bound and placement.
 func (n *Node) updateEngine(now time.Duration, target *ownedUpstream, a upstreamapi.Announcement) {
-	n.placer.Hold(now, target.id, a.Incarnation, maxCachedChats)
+	n.placer.AddUpstream(now, target.id, a.Incarnation, maxCachedChats)
 	if !target.hasReport {
 		n.ledger.Acquire(now, target.id, n.grant(target))
 	}
 	n.ledger.HandleReport(now, target.id, a.Load)
 	if a.Cache != nil {
-		n.placer.CacheEvents(now, target.id, a.Cache.First, decodeCacheEvents(a.Cache.Events))
+		n.placer.HandleCacheEvents(now, target.id, a.Cache.First, decodeCacheEvents(a.Cache.Events))
 	}
 }
 
@@ -247,7 +247,7 @@
 	n.ledger.Release(target.id)
 	n.returnWaiting(now, target)
 	if len(target.running) == 0 {
-		n.placer.Drop(target.id)
+		n.placer.RemoveUpstream(target.id)
 		delete(n.owned, target.id)
 	}
 }
@@ -281,6 +281,6 @@
 // router owns.
 func (n *Node) handleChatMoved(now time.Duration, in PeerChatMoved) {
 	if target := n.owned[in.Moved.FirstChoice]; target != nil && target.isOwner {
-		n.placer.Moved(now, chat.ChainHash(in.Moved.Root), in.Moved.Ran)
+		n.placer.RecordMove(now, chat.ChainHash(in.Moved.Root), in.Moved.Ran)
 	}
 }
