--- a/coordination/node/kvmove.go
+++ b/coordination/node/kvmove.go
@@ -37,7 +37,7 @@
 		return
 	}
 	r := target.running[in.Attempt]
-	if len(r.placeAsk.Chain) == 0 {
+	if len(r.placeQuery.Chain) == 0 {
 		return
 	}
 	activity := n.activity[target.id]
@@ -55,15 +55,15 @@
 		hot = kvmove.NewHot(maxHotChats)
 		activity.hotChats[r.place.Model] = hot
 	}
-	last := r.placeAsk.Chain[len(r.placeAsk.Chain)-1]
-	hot.Note(kvmove.Chat{Key: placementKey(r.placeAsk), Deepest: last.Hash, Tokens: last.Tokens, UsedAt: now})
+	last := r.placeQuery.Chain[len(r.placeQuery.Chain)-1]
+	hot.Note(kvmove.Chat{Key: placementKey(r.placeQuery), Deepest: last.Hash, Tokens: last.Tokens, UsedAt: now})
 }
 
-// placementKey is the key by which the chat of an ask is placed.
-func placementKey(ask placement.Ask) placement.Key {
-	key := placement.Key{Root: ask.Chain[ask.Root].Hash}
-	if ask.Root > 0 {
-		key.Group = ask.Chain[ask.Root-1].Hash
+// placementKey is the key by which the chat of a query is placed.
+func placementKey(query placement.Query) placement.Key {
+	key := placement.Key{Root: query.Chain[query.RootIndex].Hash}
+	if query.RootIndex > 0 {
+		key.Group = query.Chain[query.RootIndex-1].Hash
 	}
 	return key
 }
