--- a/coordination/node/place.go
+++ b/coordination/node/place.go
@@ -41,9 +41,9 @@
 	}
 	e.walking = true
 	e.seenLoads = nil
-	e.walk = placement.Begin(n.setFor(e), n.policy, placement.Request{
+	e.walk = placement.StartWalk(n.setFor(e), n.policy, placement.Request{
 		Chain:        e.chain,
-		Root:         e.template.Root,
+		RootIndex:    e.template.RootIndex,
 		OutputTokens: e.template.OutputTokens,
 	})
 	n.stepWalk(now, e)
@@ -97,7 +97,7 @@
 	if !found {
 		return false
 	}
-	n.sendPlace(now, e, n.view.Upstreams[chosen], placement.Final, false)
+	n.sendPlace(now, e, n.view.Upstreams[chosen], placement.StageFinal, false)
 	return true
 }
 
@@ -108,13 +108,13 @@
 		n.walkEnded(now, e)
 		return
 	}
-	upstream := n.view.Upstreams[step.Ask.Upstream]
+	upstream := n.view.Upstreams[step.Query.Upstream]
 	if upstream == nil || !upstream.placeable() {
-		e.walk.Answered(placement.Silent)
+		e.walk.HandleAnswer(placement.NoAnswer)
 		n.stepWalk(now, e)
 		return
 	}
-	n.sendPlace(now, e, upstream, step.Ask.Stage, step.Ask.Home)
+	n.sendPlace(now, e, upstream, step.Query.Stage, step.Query.FirstChoice)
 }
 
 // walkEnded handles the end of a walk. If the walk found no upstream, the
@@ -140,12 +140,12 @@
 	if !result.Moved {
 		return
 	}
-	home := n.view.Upstreams[result.Home]
-	if home == nil || home.Owner == "" {
+	firstChoice := n.view.Upstreams[result.FirstChoice]
+	if firstChoice == nil || firstChoice.Owner == "" {
 		return
 	}
-	root := e.chain[e.template.Root].Hash
-	n.send(home.Owner, fleet.ChatMoved{FirstChoice: result.Home, Root: uint64(root), Ran: result.Upstream})
+	root := e.chain[e.template.RootIndex].Hash
+	n.send(firstChoice.Owner, fleet.ChatMoved{FirstChoice: result.FirstChoice, Root: uint64(root), Ran: result.Upstream})
 }
 
 // rankServers sorts the servers of a plain service by weighted rendezvous
@@ -183,10 +183,10 @@
 		n.waitForOwner(now, e)
 		return
 	}
-	stage := placement.Open
+	stage := placement.StageInOrder
 	index := e.next
 	if e.next >= min(maxServiceSpills, len(e.candidates)) {
-		stage = placement.Final
+		stage = placement.StageFinal
 		index = 0
 	}
 	e.next++
@@ -194,7 +194,7 @@
 }
 
 // sendPlace starts a new attempt and sends its Place to the upstream's owner.
-func (n *Node) sendPlace(now time.Duration, e *entryRequest, upstream *Upstream, stage placement.Stage, home bool) {
+func (n *Node) sendPlace(now time.Duration, e *entryRequest, upstream *Upstream, stage placement.Stage, firstChoice bool) {
 	e.attempt++
 	if e.assembler != nil && e.attempt > 1 {
 		e.assembler.Begin(int(e.attempt))
@@ -209,7 +209,7 @@
 	message.Fence = upstream.Fence
 	message.ResumeAt = e.delivered()
 	message.Stage = uint8(stage)
-	message.Home = home
+	message.FirstChoice = firstChoice
 	message.SeenLoad = e.loadBeside(upstream.ID)
 	message.RemainingMS = (e.deadline - now).Milliseconds()
 	n.send(upstream.Owner, message)
@@ -279,7 +279,7 @@
 	if !e.walking {
 		return
 	}
-	e.walk.Answered(answer)
+	e.walk.HandleAnswer(answer)
 	n.notifyFirstChoice(e.walk.Result(), e)
 }
 
@@ -311,7 +311,7 @@
 		n.waitForOwner(now, e)
 		return
 	}
-	e.walk.Answered(walkAnswer(reply))
+	e.walk.HandleAnswer(walkAnswer(reply))
 	n.stepWalk(now, e)
 }
 
@@ -324,7 +324,7 @@
 		n.waitForOwner(now, e)
 		return
 	}
-	e.walk.Answered(placement.Silent)
+	e.walk.HandleAnswer(placement.NoAnswer)
 	n.stepWalk(now, e)
 }
 
--- a/protocol/fleet/fleet.go
+++ b/protocol/fleet/fleet.go
@@ -61,11 +61,11 @@
 	// last stage means that the entry router has tried other upstreams; the owner
 	// then starts, queues or refuses the request, but does not spill it.
 	Stage uint8 `msgpack:"st"`
-	// Home means that the upstream is the chat's first choice.
-	Home bool `msgpack:"ho,omitempty"`
-	// Root is the index in Chain of the link whose hash determines the order in
-	// which upstreams are tried.
-	Root int `msgpack:"ro,omitempty"`
+	// FirstChoice means that the upstream is the chat's first choice.
+	FirstChoice bool `msgpack:"ho,omitempty"`
+	// RootIndex is the index in Chain of the link whose hash determines the order
+	// in which upstreams are tried, see placement.RootIndex.
+	RootIndex int `msgpack:"ro,omitempty"`
 	// SeenLoad is the load, in tokens, of other upstreams that the entry router
 	// has learned while it searched for capacity.
 	SeenLoad float64 `msgpack:"se,omitempty"`
