--- a/daemon/member.go
+++ b/daemon/member.go
@@ -67,9 +67,11 @@
 	lastSearch       time.Duration
 	lastProposalID   uint64
 	pendingProposals map[uint64]chan fleet.ProposeReply
-	lastRevision     uint64
-	lastLease        node.LeaseChanged
-	stopping         bool
+	// lastRevision and lastLease are the view's revision and the lease that the node core received
+	// last.
+	lastRevision uint64
+	lastLease    node.LeaseChanged
+	stopping     bool
 
 	// changing holds the upstreams whose registration or removal is in progress. It has a lock of
 	// its own, because the node core asks for registrations while the member may be passing it a
