--- a/coordination/admission/flow.go
+++ b/coordination/admission/flow.go
@@ -62,7 +62,7 @@
 	// weight is the customer's weight times Config.ClassWeight of the class.
 	weight  float64
 	waiting indexedHeap[*entry]
-	tokens  int
+	tokens  int // of the waiting requests
 	// clock is the virtual time up to which the customer has used its share, at
 	// which its next request starts.
 	clock float64
@@ -73,8 +73,8 @@
 	standingSince time.Duration
 	// targetUntil is the time until which TargetWait is enforced for this flow.
 	targetUntil time.Duration
-	// heapIndex is the place in the class's heap while requests wait, else in the heap
-	// of flows that are ahead of their share.
+	// heapIndex is the place in the class's heap while requests wait, else in
+	// shares.ahead. It is notInHeap while the flow is idle.
 	heapIndex int
 }
 
@@ -97,13 +97,14 @@
 // classQueue holds the flows of one priority class that have requests waiting.
 type classQueue struct {
 	active indexedHeap[*flow]
-	tokens int
-	count  int
+	tokens int     // of the waiting requests
+	count  int     // of the waiting requests
 	credit float64 // tokens owed by the minimum share
 	rate   rate    // tokens started per second while the class waits
 }
 
-// head returns the request that fairness serves next in this class.
+// head returns the class's next request: the first of the flow whose clock is
+// lowest.
 func (c *classQueue) head() (*entry, bool) {
 	f, ok := c.active.first()
 	if !ok {
--- a/coordination/admission/queue.go
+++ b/coordination/admission/queue.go
@@ -20,9 +20,9 @@
 	shares     shares
 	entries    map[protocol.RequestID]*waitingEntry
 	expiries   indexedHeap[*expiry]
-	expired    []Refusal
-	drainRate  rate // tokens finished per second
-	directRate rate // tokens started without waiting, per second
+	expired    []Refusal // to be returned by the next call of Expire
+	drainRate  rate      // tokens finished per second
+	directRate rate      // tokens started without waiting, per second
 	speed      streamSpeed
 	running    int // streams at the last call of RecordProgress, plus starts since
 	arrivals   uint64
@@ -79,13 +79,13 @@
 	if reason := q.full(f); reason != ReasonNone {
 		return Outcome{Kind: Refused, Reason: reason, RetryAfter: q.retryAfter(r, wait)}
 	}
-	if careful := time.Duration(float64(wait) * q.config.WaitMargin); careful > limit {
+	if waitWithMargin := time.Duration(float64(wait) * q.config.WaitMargin); waitWithMargin > limit {
 		outcome := Outcome{Kind: Refused, Wait: wait, Reason: ReasonDeadline}
-		if careful <= slack {
+		if waitWithMargin <= slack {
 			outcome.Reason = ReasonStanding
 			f.targetUntil = now + q.config.TargetHoldTime
 		}
-		outcome.RetryAfter = q.retryAfter(r, careful-limit)
+		outcome.RetryAfter = q.retryAfter(r, waitWithMargin-limit)
 		return outcome
 	}
 	position := q.expectedPosition(r)
--- a/coordination/admission/shares.go
+++ b/coordination/admission/shares.go
@@ -105,8 +105,8 @@
 		s.markBusy(f)
 		s.ahead.add(f)
 	}
-	// The capacity behind the credit went to the others earlier and advanced
-	// virtual then. Counting it again would overstate the others' shares.
+	// While the flow saved up its credit, the others used that capacity, and
+	// virtual advanced by it. Counting it twice would overstate their shares.
 	onCredit := max(0, (s.virtual-f.clock)*f.weight)
 	f.clock += float64(tokens) / f.weight
 	if f.backlogged() {
