--- a/coordination/limits/home.go
+++ b/coordination/limits/home.go
@@ -177,15 +177,15 @@
 const demandWindow = 30.0
 
 // advance decays the sum to now.
-func (s *demandRate) advance(now time.Duration) {
-	keep := math.Exp(-(now - s.updated).Seconds() / demandWindow)
-	s.updated = now
-	s.sum *= keep
-	s.span = max(s.span*keep+demandWindow*(1-keep), 1)
+func (d *demandRate) advance(now time.Duration) {
+	keep := math.Exp(-(now - d.updated).Seconds() / demandWindow)
+	d.updated = now
+	d.sum *= keep
+	d.span = max(d.span*keep+demandWindow*(1-keep), 1)
 }
 
 // perSecond returns the rate at the time of the last advance.
-func (s *demandRate) perSecond() float64 { return s.sum / s.span }
+func (d *demandRate) perSecond() float64 { return d.sum / d.span }
 
 // offerResult is what a bucket would grant.
 type offerResult struct {
@@ -221,13 +221,13 @@
 	own := router.perSecond()
 	router.sum += min(float64(seen), float64(wanted))
 	fraction := min(1, rate/max(b.demand.perSecond(), rate))
-	floor := 0.0
+	minLevel := 0.0
 	if fraction < 1 {
-		floor = -depth
+		minLevel = -depth
 		fraction = min(1, fraction*(1+b.level/(2*depth)))
 	}
-	if b.level <= floor {
-		wait := time.Duration((floor - b.level) / rate * float64(time.Second))
+	if b.level <= minLevel {
+		wait := time.Duration((minLevel - b.level) / rate * float64(time.Second))
 		return offerResult{denied: true, retry: wait + period/8}
 	}
 	ahead := own * fraction * period.Seconds()
@@ -284,8 +284,9 @@
 	router.slotsUntil = now + h.config.SlotTTL
 	a.slots += router.slots
 	granted.Slots = uint16(router.slots)
-	const scarceShare = 8
-	granted.Scarce = limit.Concurrent-a.slots <= limit.Concurrent/scarceShare
+	// Slots are scarce when at most an eighth of them is free.
+	const scarceDivisor = 8
+	granted.Scarce = limit.Concurrent-a.slots <= limit.Concurrent/scarceDivisor
 }
 
 // expire takes back the slots of routers that have not renewed them.
--- a/coordination/limits/limiter.go
+++ b/coordination/limits/limiter.go
@@ -57,7 +57,7 @@
 	requestedSlots int
 	requestedAt    time.Duration
 	denyUntil      time.Duration // the home grants nothing before this time
-	failures       int
+	failures       int           // credit requests in a row that went unanswered
 	floorTokens    bucket
 	floorRequests  bucket
 }
@@ -166,6 +166,8 @@
 // decideByFloor admits requests within the floor, while the home doesn't
 // answer.
 func (l *Limiter) decideByFloor(now time.Duration, c *localCredit, tokens float64) Decision {
+	// This keeps a credit request due, so that the router notices when the home
+	// answers again.
 	c.waitingTokens, c.waitingRequests = max(c.waitingTokens, tokens), max(c.waitingRequests, 1)
 	share := l.config.FloorShare / float64(l.routers)
 	allowed := c.running < 1 || c.limit.Concurrent <= 0
