--- a/coordination/loadbound/doc.go
+++ b/coordination/loadbound/doc.go
@@ -37,7 +37,8 @@
 //
 //   - idle: e has no work. Every upstream may run one request, whatever its
 //     size, or a fleet with few requests could run none.
-//   - within bound: load(e) + cost <= Multiple x share(e) x (floor + cost).
+//   - within bound: load(e) + cost <= Multiple x share(e) x (floor + cost), where
+//     share(e) is the part of the fleet's capacity that e has.
 //   - one over (only when the entry router has tried its other choices): load(e)
 //     is not above e's share of the total as last reported. This is the rounding
 //     up of bounded-load hashing: with few or huge requests no upstream could
--- a/coordination/loadbound/exchange.go
+++ b/coordination/loadbound/exchange.go
@@ -39,7 +39,9 @@
 	// totalsDue says that totals arrived from the parent and must be sent to
 	// the children.
 	totalsDue bool
-	next      time.Duration
+	// next is the earliest time of the next round at the root and at a leaf of
+	// the tree, and of the next messages in a mesh.
+	next time.Duration
 	// deadline is when the router sends even if messages of children are
 	// missing.
 	deadline time.Duration
--- a/coordination/loadbound/exchange_rounds_test.go
+++ b/coordination/loadbound/exchange_rounds_test.go
@@ -16,12 +16,12 @@
 	exchanges map[protocol.RouterID]*Exchange
 	number    map[protocol.RouterID]int
 	sent      []int
-	dead      int
+	frozen    int // the frozen router, -1 for none
 }
 
 func newExchangeNet(routers int) *exchangeNet {
 	n := &exchangeNet{fleet: newFleet(routers), exchanges: make(map[protocol.RouterID]*Exchange),
-		number: make(map[protocol.RouterID]int), sent: make([]int, routers), dead: -1}
+		number: make(map[protocol.RouterID]int), sent: make([]int, routers), frozen: -1}
 	for i, name := range n.members {
 		n.number[name] = i
 		start := time.Duration(i*7%250) * time.Millisecond
@@ -48,7 +48,7 @@
 			n.exchanges[router(m.to)].RecordReceived(now, router(m.from))
 		}
 		for i, name := range n.members {
-			if i == n.dead {
+			if i == n.frozen {
 				continue
 			}
 			for _, peer := range n.exchanges[name].Due(now) {
@@ -88,7 +88,7 @@
 func TestRoundsContinueWithoutAFrozenRouter(t *testing.T) {
 	n := newExchangeNet(40)
 	n.run(0, 2*time.Second)
-	n.dead = 1
+	n.frozen = 1
 	n.run(2*time.Second, 4*time.Second)
 	seen := n.ledgers[2].views[router(0)].receivedAt
 	assert.Assert(t, seen > 3500*time.Millisecond, "last heard at %v", seen)
--- a/coordination/loadbound/handover_test.go
+++ b/coordination/loadbound/handover_test.go
@@ -13,7 +13,8 @@
 
 // sharedEngine is one engine whose owner changes, with its true load.
 type sharedEngine struct {
-	owners  []*Ledger
+	owners []*Ledger
+	// holder is the index of the current owner; its lease ends at until.
 	holder  int
 	until   time.Duration
 	fence   protocol.Fence
--- a/coordination/loadbound/views.go
+++ b/coordination/loadbound/views.go
@@ -127,11 +127,11 @@
 // made. It returns false if the echo doesn't match a recent message to the
 // neighbour.
 func (v *view) createdNotBefore(summary Summary) (time.Duration, bool) {
-	mark := v.sent[summary.Echo%sentHistory]
-	if summary.Echo == 0 || mark.sequence != summary.Echo {
+	record := v.sent[summary.Echo%sentHistory]
+	if summary.Echo == 0 || record.sequence != summary.Echo {
 		return 0, false
 	}
-	return mark.at + summary.EchoDelay, true
+	return record.at + summary.EchoDelay, true
 }
 
 // RetainNeighbours removes every neighbour that is not among the peers, for
