--- a/coordination/quarantine/crash.go
+++ b/coordination/quarantine/crash.go
@@ -202,13 +202,13 @@
 // retractCrash removes every consequence of a crash. A digest that was
 // quarantined because of it becomes a suspect again, for its earlier crashes.
 func (t *Tracker) retractCrash(id uint32) {
-	for d, s := range t.quarantined {
-		if s.crash != id {
+	for d, q := range t.quarantined {
+		if q.crash != id {
 			continue
 		}
 		delete(t.quarantined, d)
-		if s.before != nil {
-			t.suspects[d.short()] = s.before
+		if q.before != nil {
+			t.suspects[d.short()] = q.before
 		}
 	}
 	for s, found := range t.suspects {
--- a/coordination/quarantine/mass.go
+++ b/coordination/quarantine/mass.go
@@ -11,6 +11,7 @@
 // counts as a cause only where coincidence is unlikely: where it ran alone in the
 // later crash, or where it was in three or more at a similar age (see sameAge).
 func independentCauses(crashes []crash) int {
+	// open holds the indexes of the crashes that no cause explains yet.
 	open := make(map[int]bool, len(crashes))
 	for i := range crashes {
 		if !explainedAlone(crashes, i) {
@@ -52,7 +53,8 @@
 	return false
 }
 
-// explanations returns for each request the crashes that it may have caused.
+// explanations returns for each request the indexes of the crashes that it may
+// have caused.
 func explanations(crashes []crash) map[short][]int {
 	explains := make(map[short][]int)
 	first := make(map[short]inFlight)
@@ -76,8 +78,8 @@
 	return a.age <= 2*b.age && b.age <= 2*a.age
 }
 
-// mostExplained returns the open crashes that are explained by the request that
-// explains most of them.
+// mostExplained returns the open crashes (those that no cause explains yet) that
+// are explained by the request that explains most of them.
 func mostExplained(explains map[short][]int, open map[int]bool) []int {
 	var best []int
 	var bestDigest short
--- a/coordination/quarantine/tracker.go
+++ b/coordination/quarantine/tracker.go
@@ -77,8 +77,8 @@
 
 // Check returns how a request must be treated on arrival.
 func (t *Tracker) Check(now time.Duration, d Digest) CheckResult {
-	if s := t.quarantineOf(now, d); s != nil {
-		return CheckResult{Status: Quarantined, RetryAfter: s.until - now}
+	if q := t.quarantineOf(now, d); q != nil {
+		return CheckResult{Status: Quarantined, RetryAfter: q.until - now}
 	}
 	if s := t.suspectOf(now, d.short()); s != nil {
 		return CheckResult{Status: Suspect, Crashes: len(s.crashes)}
@@ -110,8 +110,8 @@
 	if result.Status == Suspect {
 		return t.reserveTrial(now, upstream, d, by)
 	}
-	if c := t.reservations[upstream]; now >= c.opens && now < c.closes {
-		return StartDecision{Hold: HoldTrial, CheckAt: min(c.closes, by)}
+	if reserved := t.reservations[upstream]; now >= reserved.opens && now < reserved.closes {
+		return StartDecision{Hold: HoldTrial, CheckAt: min(reserved.closes, by)}
 	}
 	return StartDecision{}
 }
@@ -167,11 +167,11 @@
 func (t *Tracker) List(now time.Duration) []Entry {
 	var entries []Entry
 	for d := range t.quarantined {
-		s := t.quarantineOf(now, d)
-		if s == nil {
+		q := t.quarantineOf(now, d)
+		if q == nil {
 			continue
 		}
-		entries = append(entries, Entry{Digest: d, Customer: s.customer, Strikes: s.strikes, Expires: s.until})
+		entries = append(entries, Entry{Digest: d, Customer: q.customer, Strikes: q.strikes, Expires: q.until})
 	}
 	slices.SortFunc(entries, func(a, b Entry) int { return cmp.Compare(a.Digest, b.Digest) })
 	return entries
@@ -203,15 +203,15 @@
 // it has expired. A digest whose quarantine has expired becomes a suspect, so
 // that the request runs alone once more.
 func (t *Tracker) quarantineOf(now time.Duration, d Digest) *quarantineRecord {
-	s := t.quarantined[d]
-	if s == nil || now < s.until {
-		return s
+	q := t.quarantined[d]
+	if q == nil || now < q.until {
+		return q
 	}
 	delete(t.quarantined, d)
 	t.suspects[d.short()] = &suspect{
-		crashes: []uint32{s.crash},
+		crashes: []uint32{q.crash},
 		until:   now + t.config.SuspectFor,
-		strikes: s.strikes,
+		strikes: q.strikes,
 	}
 	return nil
 }
--- a/coordination/quarantine/trial.go
+++ b/coordination/quarantine/trial.go
@@ -13,7 +13,7 @@
 // upstream for as long as the series lasts.
 type reservation struct {
 	holder Digest
-	age    time.Duration
+	age    time.Duration // how long the holder had run at its latest crash
 	opens  time.Duration
 	closes time.Duration
 }
@@ -27,26 +27,26 @@
 // the crash goes first, because most requests that crash an engine do so early
 // in their run.
 func (t *Tracker) reserveTrial(now time.Duration, upstream protocol.UpstreamID, d Digest, by time.Duration) StartDecision {
-	c := t.reservations[upstream]
-	if c.closes > 0 && now >= c.closes {
+	reserved := t.reservations[upstream]
+	if reserved.closes > 0 && now >= reserved.closes {
 		// The holder didn't start in time. Requests that aren't suspects may
 		// start nevertheless, or a series of such reservations would starve
 		// them.
-		c = reservation{opens: c.closes + t.config.MinTrialGap}
-		t.reservations[upstream] = c
+		reserved = reservation{opens: reserved.closes + t.config.MinTrialGap}
+		t.reservations[upstream] = reserved
 	}
 	age := t.suspects[d.short()].age
 	switch {
-	case now < c.opens:
-		return StartDecision{Hold: HoldTrial, CheckAt: min(c.opens, by)}
-	case now < c.closes && c.holder != d && c.age <= age:
-		return StartDecision{Hold: HoldTrial, CheckAt: min(c.closes, by)}
+	case now < reserved.opens:
+		return StartDecision{Hold: HoldTrial, CheckAt: min(reserved.opens, by)}
+	case now < reserved.closes && reserved.holder != d && reserved.age <= age:
+		return StartDecision{Hold: HoldTrial, CheckAt: min(reserved.closes, by)}
 	}
 	proven := t.allProven(t.upstreams[upstream])
 	if now >= proven {
 		return StartDecision{}
 	}
-	t.reservations[upstream] = reservation{holder: d, age: age, opens: c.opens, closes: proven + reservationGrace}
+	t.reservations[upstream] = reservation{holder: d, age: age, opens: reserved.opens, closes: proven + reservationGrace}
 	return StartDecision{Hold: HoldRecentStart, CheckAt: min(proven, by)}
 }
 
--- a/coordination/quarantine/types.go
+++ b/coordination/quarantine/types.go
@@ -24,7 +24,8 @@
 // CheckResult is the result of Check.
 type CheckResult struct {
 	Status Status
-	// Crashes is the number of crashes at which the digest was in flight.
+	// Crashes is set for Suspect: the number of crashes at which the digest was
+	// in flight.
 	Crashes int
 	// RetryAfter is set for Quarantined: the time until the quarantine ends.
 	RetryAfter time.Duration
