--- a/standin/desk/desk_test.go
+++ b/standin/desk/desk_test.go
@@ -45,8 +45,9 @@
 }
 
 // After each of these faults, a router that gets no answer must not send the order
-// again, since the order may have run and would then run twice. The audit must distinguish an order that ran and whose
-// answer was lost from one that did not run. The desk must restart after a crash.
+// again, since the order may have run and would then run twice. The audit must
+// distinguish an order that ran and whose answer was lost from one that did not
+// run. The desk must restart after a crash.
 func TestFaultsAroundTheRun(t *testing.T) {
 	cases := map[string]struct {
 		faults   desk.Faults
--- a/standin/weights/weights.go
+++ b/standin/weights/weights.go
@@ -46,9 +46,9 @@
 }
 
 // Add queues a transfer that is requested now and returns when it will end.
-func (l *Queue) Add(now time.Duration) time.Duration {
-	l.freeAt = max(l.freeAt, now) + l.TransferTime
-	return l.freeAt
+func (q *Queue) Add(now time.Duration) time.Duration {
+	q.freeAt = max(q.freeAt, now) + q.TransferTime
+	return q.freeAt
 }
 
 // Store is a weight store that is served over HTTP.
