--- a/soak/process_test.go
+++ b/soak/process_test.go
@@ -54,7 +54,7 @@
 	// its last start.
 	signalled bool
 	paused    bool
-	down      bool
+	down      bool // the process has ended since its last start
 	// hasLogged is set once the process has written output since its last start.
 	hasLogged bool
 	log       bytes.Buffer
@@ -200,7 +200,7 @@
 	select {
 	case <-p.done:
 	case <-time.After(p.settings.Stop.Grace() + time.Second):
-		p.harness.violation("process %s has not ended within its grace time", p.settings.Name)
+		p.harness.violation("process %s has not ended within its grace time of %s", p.settings.Name, p.settings.Stop.Grace())
 		p.signal(syscall.SIGKILL)
 		<-p.done
 	}
--- a/soak/upstream_test.go
+++ b/soak/upstream_test.go
@@ -42,7 +42,7 @@
 	sequence uint64
 	draining time.Time // when the upstream started to leave, or zero
 	ended    bool
-	faulty   bool
+	faulty   bool // about a third of the requests fail
 	random   *rand.Rand
 	quit     chan struct{}
 }
@@ -134,7 +134,9 @@
 	u.mu.Lock()
 	tooLate := !u.draining.IsZero() && time.Since(u.draining) > leaveWithin+drainSlack
 	fail := u.faulty && u.random.IntN(3) == 0
-	kind := u.random.IntN(4)
+	// The failures are a refusal (0), a closed connection (1), status 500 (2) and, in
+	// a stream only, an answer that breaks off (3).
+	failure := u.random.IntN(4)
 	u.mu.Unlock()
 	request, attempt := platform.ReadAttempt(r.Header)
 	id := string(request)
@@ -149,7 +151,7 @@
 	if err != nil {
 		return
 	}
-	if fail && kind == 0 {
+	if fail && failure == 0 {
 		platform.WriteAnswer(w.Header(), dialect.Answer{ID: request, NotRun: true}, "")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -159,10 +161,10 @@
 		return
 	}
 	platform.WriteAnswer(w.Header(), dialect.Answer{ID: request}, string(u.id)+"."+id)
-	if fail && kind == 1 {
+	if fail && failure == 1 {
 		panic(http.ErrAbortHandler)
 	}
-	if fail && kind == 2 {
+	if fail && failure == 2 {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
