--- a/coordination/node/classify.go
+++ b/coordination/node/classify.go
@@ -83,7 +83,7 @@
 	template.Model = model
 	template.Streamed = in.Chat.Stream
 	template.Idempotent = true
-	template.Root = placement.RootLink(in.Chat.Messages)
+	template.RootIndex = placement.RootIndex(in.Chat.Messages)
 	template.Chain = encodeChain(e.chain)
 	template.PromptTokens = e.chain[len(e.chain)-1].Tokens
 	template.OutputTokens = in.Chat.MaxTokens
