--- a/coordination/loadbench/bounds_test.go
+++ b/coordination/loadbench/bounds_test.go
@@ -15,9 +15,12 @@
 	Max *float64 `json:"max,omitempty"`
 }
 
-// TestBounds holds every metric of every scenario against bounds.json. All
-// figures are counts or simulated times on fixed seeds, so the verdict is the
-// same on every machine.
+// TestBounds checks every metric of every scenario against bounds.json. It fails
+// when a change of admission, limits, retry, quarantine, slowness or stream makes
+// the result worse for callers, for example more refusals, longer waits or more
+// retries. The lower bounds of baselines check that a model still reproduces the
+// failure that it is about. All figures are counts or simulated times on fixed
+// seeds, so the result is the same on every machine.
 func TestBounds(t *testing.T) {
 	data, err := os.ReadFile("bounds.json")
 	assert.NilError(t, err)
@@ -53,7 +56,8 @@
 	}
 }
 
-// BenchmarkScenarios reports the same figures as TestBounds checks.
+// BenchmarkScenarios reports the figures that TestBounds checks, and those of
+// LargeScenarios.
 func BenchmarkScenarios(b *testing.B) {
 	for _, scenario := range slices.Concat(Scenarios(), LargeScenarios()) {
 		b.Run(scenario.Name, func(b *testing.B) {
--- a/coordination/loadbench/clock.go
+++ b/coordination/loadbench/clock.go
@@ -5,42 +5,42 @@
 	"time"
 )
 
-// Clock runs events in the order of their simulated times; events of one time
-// run in the order in which they were added.
+// Clock runs events in the order of their simulated times. Events of the same
+// time run in the order in which they were added.
 type Clock struct {
-	now   time.Duration
-	added int
-	queue events
+	now      time.Duration
+	sequence int
+	queue    events
 }
 
 // Now returns the simulated time.
 func (c *Clock) Now() time.Duration { return c.now }
 
-// At runs do at a time, at once if that has passed.
-func (c *Clock) At(at time.Duration, do func()) {
-	c.added++
-	heap.Push(&c.queue, event{at: max(at, c.now), number: c.added, do: do})
+// At schedules callback for a simulated time, or for now if that time has passed.
+func (c *Clock) At(at time.Duration, callback func()) {
+	c.sequence++
+	heap.Push(&c.queue, event{at: max(at, c.now), sequence: c.sequence, callback: callback})
 }
 
-// After runs do after a delay.
-func (c *Clock) After(delay time.Duration, do func()) {
-	c.At(c.now+delay, do)
+// After schedules callback for the time after a delay.
+func (c *Clock) After(delay time.Duration, callback func()) {
+	c.At(c.now+delay, callback)
 }
 
-// Run runs all events up to end.
+// Run runs all events up to and including end, and sets the time to end.
 func (c *Clock) Run(end time.Duration) {
 	for c.queue.Len() > 0 && c.queue[0].at <= end {
 		next := heap.Pop(&c.queue).(event)
 		c.now = next.at
-		next.do()
+		next.callback()
 	}
 	c.now = end
 }
 
 type event struct {
-	at     time.Duration
-	number int
-	do     func()
+	at       time.Duration
+	sequence int
+	callback func()
 }
 
 type events []event
@@ -51,7 +51,7 @@
 	if e[i].at != e[j].at {
 		return e[i].at < e[j].at
 	}
-	return e[i].number < e[j].number
+	return e[i].sequence < e[j].sequence
 }
 
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
@@ -65,7 +65,8 @@
 	return last
 }
 
-// Quantile returns a quantile of durations, or zero without any.
+// Quantile returns the quantile q, from 0 to 1, of durations, or zero if there are
+// none.
 func Quantile(durations []time.Duration, q float64) time.Duration {
 	if len(durations) == 0 {
 		return 0
--- a/coordination/loadbench/crash.go
+++ b/coordination/loadbench/crash.go
@@ -16,52 +16,55 @@
 	Seed    uint64
 	Routers int
 	Engines int
-	// PerEngine is the mean number of innocent requests in flight on an engine.
-	PerEngine int
-	// Bad is the number of requests that crash engines, all sent at BadAt.
-	Bad   int
-	BadAt time.Duration
+	// InFlightPerEngine is the mean number of harmless requests in flight on an
+	// engine.
+	InFlightPerEngine int
+	// BadRequests is the number of requests that crash engines, all sent at BadAt.
+	BadRequests int
+	BadAt       time.Duration
 	// CrashAfter is how long a bad request runs before the engine crashes.
 	CrashAfter time.Duration
-	// Lost is the number of engines that are lost together at LostAt.
-	Lost   int
-	LostAt time.Duration
-	End    time.Duration
-	// Defended says whether the routers use quarantine. Without, a request goes
-	// to any engine.
-	Defended bool
+	// LostEngines is the number of engines that fail from LostAt on, 100 ms after
+	// one another, without a bad request.
+	LostEngines int
+	LostAt      time.Duration
+	End         time.Duration
+	// UseQuarantine says whether the routers use package quarantine. Otherwise a
+	// request may start on any engine at any time.
+	UseQuarantine bool
 }
 
-// CrashResult is what a run counted.
+// CrashResult is the result of a run of the Crash model.
 type CrashResult struct {
-	// Crashes counts engines lost to bad requests.
+	// Crashes counts the crashes of engines by bad requests.
 	Crashes int
-	// Condemned counts the verdicts, and WronglyRefused the innocents among
-	// those that a router refused.
-	Condemned      int
+	// Quarantined counts the requests that were quarantined, and WronglyRefused
+	// the times that a router refused a harmless request.
+	Quarantined    int
 	WronglyRefused int
 	Finished       int
-	// FreshWaits and RestartWaits are innocents' waits for a first start and
-	// for a start after a crash.
-	FreshWaits   []time.Duration
-	RestartWaits []time.Duration
+	// FirstStartWaits and RestartWaits are the times that harmless requests waited
+	// for their first start and for each start after a crash.
+	FirstStartWaits []time.Duration
+	RestartWaits    []time.Duration
 	// Notices counts notices sent to all routers.
 	Notices int
 }
 
 const (
-	restartTime = 60 * time.Second
-	resendAfter = 2 * time.Second
-	maxSends    = 20
-	patience    = 30 * time.Second
-	noticeDelay = 200 * time.Millisecond
-	retryDelay  = 50 * time.Millisecond
-	customer    = protocol.CustomerID("customer")
+	restartTime    = 60 * time.Second
+	resendDelay    = 2 * time.Second
+	maxSends       = 20
+	requestTimeout = 30 * time.Second
+	noticeDelay    = 200 * time.Millisecond
+	retryDelay     = 50 * time.Millisecond
+	customer       = protocol.CustomerID("customer")
 )
 
-// crashModel runs trackers of a few routers and a pool of engines. A router
-// retries a request whose engine crashed, and the caller of a bad one sends it
-// again through another router.
+// crashModel runs the quarantine trackers of the routers against a pool of engines.
+// When an engine crashes, routers retry its harmless requests, and the callers of
+// its bad requests send them again. Each time the request enters through a random
+// router.
 type crashModel struct {
 	Clock
 	config  CrashConfig
@@ -80,15 +83,15 @@
 }
 
 type crashJob struct {
-	name     string
-	bad      bool
-	digest   quarantine.Digest
-	run      time.Duration
-	sends    int
-	deadline time.Duration
-	waitFrom time.Duration
-	engine   *crashEngine
-	attempt  int
+	name         string
+	bad          bool
+	digest       quarantine.Digest
+	runTime      time.Duration
+	sends        int
+	deadline     time.Duration
+	waitingSince time.Duration
+	engine       *crashEngine
+	attempt      int
 }
 
 // RunCrash runs the model once.
@@ -104,21 +107,22 @@
 			running: make(map[*crashJob]bool),
 		})
 	}
-	m.innocents()
-	for i := range config.Bad {
+	m.startHarmlessArrivals()
+	for i := range config.BadRequests {
 		m.At(config.BadAt, func() { m.arrive(m.newJob(fmt.Sprint("bad-", i), true)) })
 	}
-	for i := range config.Lost {
+	for i := range config.LostEngines {
 		m.At(config.LostAt+time.Duration(i)*100*time.Millisecond, func() { m.crash(m.engines[i]) })
 	}
 	m.Run(config.End)
 	return m.result
 }
 
-// innocents arrive at a rate that keeps PerEngine in flight.
-func (m *crashModel) innocents() {
+// startHarmlessArrivals starts the arrivals of harmless requests, at a rate that
+// keeps about InFlightPerEngine of them in flight on each engine.
+func (m *crashModel) startHarmlessArrivals() {
 	const meanRun = 5.5
-	rate := float64(m.config.PerEngine*m.config.Engines) / meanRun
+	rate := float64(m.config.InFlightPerEngine*m.config.Engines) / meanRun
 	count := 0
 	var next func()
 	next = func() {
@@ -131,20 +135,20 @@
 
 func (m *crashModel) newJob(name string, bad bool) *crashJob {
 	return &crashJob{
-		name:     name,
-		bad:      bad,
-		run:      time.Duration((2 + m.rng.ExpFloat64()*4) * float64(time.Second)),
-		sends:    1,
-		waitFrom: m.Now(),
-		digest:   quarantine.DigestOf(customer, []byte(name)),
-		deadline: m.Now() + patience,
+		name:         name,
+		bad:          bad,
+		runTime:      time.Duration((2 + m.rng.ExpFloat64()*4) * float64(time.Second)),
+		sends:        1,
+		waitingSince: m.Now(),
+		digest:       quarantine.DigestOf(customer, []byte(name)),
+		deadline:     m.Now() + requestTimeout,
 	}
 }
 
 // arrive brings a request to a random entry router.
 func (m *crashModel) arrive(j *crashJob) {
 	entry := m.routers[m.rng.IntN(len(m.routers))]
-	if m.config.Defended && entry.Check(m.Now(), j.digest).Status == quarantine.Quarantined {
+	if m.config.UseQuarantine && entry.Check(m.Now(), j.digest).Status == quarantine.Quarantined {
 		if !j.bad {
 			m.result.WronglyRefused++
 		}
@@ -154,38 +158,38 @@
 	m.place(j)
 }
 
-// resend is done by the caller, a limited number of times.
+// resend makes the caller send a request again, until it was sent maxSends times.
 func (m *crashModel) resend(j *crashJob) {
 	if j.sends >= maxSends {
 		return
 	}
 	j.sends++
-	m.After(resendAfter, func() {
-		j.waitFrom = m.Now()
-		j.deadline = m.Now() + patience
+	m.After(resendDelay, func() {
+		j.waitingSince = m.Now()
+		j.deadline = m.Now() + requestTimeout
 		m.arrive(j)
 	})
 }
 
-// place picks an engine and starts the request there, or waits.
+// place picks an engine and starts the request there, or tries again later.
 func (m *crashModel) place(j *crashJob) {
-	up := m.upEngines()
-	if len(up) == 0 {
+	available := m.availableEngines()
+	if len(available) == 0 {
 		m.After(time.Second, func() { m.place(j) })
 		return
 	}
 	if j.engine == nil || m.Now() < j.engine.downUntil {
-		j.engine = up[m.rng.IntN(len(up))]
+		j.engine = available[m.rng.IntN(len(available))]
 	}
-	if !m.config.Defended {
+	if !m.config.UseQuarantine {
 		m.start(j)
 		return
 	}
 	if m.routers[j.engine.owner].Check(m.Now(), j.digest).Status == quarantine.Suspect {
-		j.engine = trialEngine(j.digest, up)
+		j.engine = trialEngine(j.digest, available)
 	}
 	owner := m.routers[j.engine.owner]
-	decision := owner.MayStart(m.Now(), j.engine.id, j.digest, j.deadline-j.run)
+	decision := owner.MayStart(m.Now(), j.engine.id, j.digest, j.deadline-j.runTime)
 	switch decision.Hold {
 	case quarantine.HoldNone:
 		m.start(j)
@@ -197,28 +201,28 @@
 	}
 }
 
-func (m *crashModel) upEngines() []*crashEngine {
-	up := make([]*crashEngine, 0, len(m.engines))
+func (m *crashModel) availableEngines() []*crashEngine {
+	available := make([]*crashEngine, 0, len(m.engines))
 	for _, e := range m.engines {
 		if m.Now() >= e.downUntil {
-			up = append(up, e)
+			available = append(available, e)
 		}
 	}
-	return up
+	return available
 }
 
-func trialEngine(d quarantine.Digest, up []*crashEngine) *crashEngine {
-	ids := make([]protocol.UpstreamID, len(up))
-	for i, e := range up {
+func trialEngine(d quarantine.Digest, available []*crashEngine) *crashEngine {
+	ids := make([]protocol.UpstreamID, len(available))
+	for i, e := range available {
 		ids[i] = e.id
 	}
 	chosen, _ := quarantine.TrialUpstream(d, ids)
-	return up[slices.Index(ids, chosen)]
+	return available[slices.Index(ids, chosen)]
 }
 
 func (m *crashModel) start(j *crashJob) {
 	e := j.engine
-	m.countWait(j)
+	m.recordWait(j)
 	m.routers[e.owner].Started(m.Now(), e.id, j.digest, customer)
 	e.running[j] = true
 	j.attempt++
@@ -232,19 +236,19 @@
 		})
 		return
 	}
-	m.After(j.run, func() {
+	m.After(j.runTime, func() {
 		if j.attempt == attempt && e.running[j] {
 			m.finish(j)
 		}
 	})
 }
 
-func (m *crashModel) countWait(j *crashJob) {
-	wait := m.Now() - j.waitFrom
+func (m *crashModel) recordWait(j *crashJob) {
+	wait := m.Now() - j.waitingSince
 	switch {
 	case j.bad:
 	case j.attempt == 0:
-		m.result.FreshWaits = append(m.result.FreshWaits, wait)
+		m.result.FirstStartWaits = append(m.result.FirstStartWaits, wait)
 	default:
 		m.result.RestartWaits = append(m.result.RestartWaits, wait)
 	}
@@ -256,18 +260,19 @@
 	m.routers[j.engine.owner].Ended(m.Now(), j.engine.id, j.digest, quarantine.Completed)
 }
 
-// crash takes an engine down and sends its requests back to their entries.
+// crash takes an engine down for restartTime, broadcasts the notices of its owner
+// and has the requests that ran on it sent again.
 func (m *crashModel) crash(e *crashEngine) {
 	e.downUntil = m.Now() + restartTime
 	report := m.routers[e.owner].Crashed(m.Now(), e.id, e.incarnation)
 	e.incarnation++
-	m.result.Condemned += len(report.Quarantined)
+	m.result.Quarantined += len(report.Quarantined)
 	for _, notice := range report.Notices {
-		m.tell(e.owner, notice)
+		m.broadcast(e.owner, notice)
 	}
 	for _, j := range sortedJobs(e.running) {
 		delete(e.running, j)
-		j.waitFrom = m.Now()
+		j.waitingSince = m.Now()
 		j.engine = nil
 		if j.bad {
 			m.resend(j)
@@ -277,7 +282,7 @@
 	}
 }
 
-func (m *crashModel) tell(from int, notice quarantine.Notice) {
+func (m *crashModel) broadcast(from int, notice quarantine.Notice) {
 	m.result.Notices++
 	for i, router := range m.routers {
 		if i != from {
--- a/coordination/loadbench/crash_scenarios.go
+++ b/coordination/loadbench/crash_scenarios.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// crashScenarios asks how many engines a request costs that crashes each engine
-// it runs on, and what that does to the innocents beside it.
+// crashScenarios measure how many engines a request crashes that crashes every
+// engine it runs on, and how this affects the harmless requests in flight beside
+// it.
 func crashScenarios() []Scenario {
 	var scenarios []Scenario
 	for _, perEngine := range []int{8, 64} {
@@ -20,13 +21,13 @@
 
 func crashScenario(routers, engines, perEngine, bad int) Scenario {
 	config := CrashConfig{
-		Routers:    routers,
-		Engines:    engines,
-		PerEngine:  perEngine,
-		Bad:        bad,
-		BadAt:      15 * time.Second,
-		CrashAfter: 300 * time.Millisecond,
-		End:        70 * time.Second,
+		Routers:           routers,
+		Engines:           engines,
+		InFlightPerEngine: perEngine,
+		BadRequests:       bad,
+		BadAt:             15 * time.Second,
+		CrashAfter:        300 * time.Millisecond,
+		End:               70 * time.Second,
 	}
 	name := fmt.Sprintf("crash/engines=%d/inflight=%d/bad=%d", engines, perEngine, bad)
 	return Scenario{Name: name, Run: func() []Metric {
@@ -35,42 +36,43 @@
 	}}
 }
 
-// rackScenario loses a third of the engines at once, without a bad request.
+// rackScenario loses a third of the engines together, without a bad request. No
+// request may be quarantined for that.
 func rackScenario() Scenario {
 	config := CrashConfig{
-		Routers:   9,
-		Engines:   12,
-		PerEngine: 32,
-		Lost:      4,
-		LostAt:    15 * time.Second,
-		End:       50 * time.Second,
+		Routers:           9,
+		Engines:           12,
+		InFlightPerEngine: 32,
+		LostEngines:       4,
+		LostAt:            15 * time.Second,
+		End:               50 * time.Second,
 	}
 	return Scenario{Name: "crash/rack-loss", Run: func() []Metric {
 		return crashMetrics("", config, true)
 	}}
 }
 
-// crashMetrics runs all seeds and returns the worst figure of each kind.
-func crashMetrics(prefix string, config CrashConfig, defended bool) []Metric {
-	config.Defended = defended
-	var perBad, refused, fresh, restart, condemned float64
+// crashMetrics runs all seeds and returns the worst figure of each metric.
+func crashMetrics(prefix string, config CrashConfig, useQuarantine bool) []Metric {
+	config.UseQuarantine = useQuarantine
+	var crashesPerBad, wronglyRefused, firstStart, restart, quarantined float64
 	for _, seed := range Seeds {
 		config.Seed = seed
 		r := RunCrash(config)
-		perBad = max(perBad, float64(r.Crashes)/float64(max(config.Bad, 1)))
-		refused = max(refused, float64(r.WronglyRefused))
-		condemned = max(condemned, float64(r.Condemned))
-		fresh = max(fresh, milliseconds(Quantile(r.FreshWaits, 0.99)))
+		crashesPerBad = max(crashesPerBad, float64(r.Crashes)/float64(max(config.BadRequests, 1)))
+		wronglyRefused = max(wronglyRefused, float64(r.WronglyRefused))
+		quarantined = max(quarantined, float64(r.Quarantined))
+		firstStart = max(firstStart, milliseconds(Quantile(r.FirstStartWaits, 0.99)))
 		restart = max(restart, milliseconds(Quantile(r.RestartWaits, 1)))
 	}
-	metrics := []Metric{{prefix + "lost/bad", perBad}}
-	if !defended {
+	metrics := []Metric{{prefix + "lost/bad", crashesPerBad}}
+	if !useQuarantine {
 		return metrics
 	}
 	return append(metrics,
-		Metric{"condemned", condemned},
-		Metric{"innocents-refused", refused},
-		Metric{"fresh-wait-p99-ms", fresh},
+		Metric{"condemned", quarantined},
+		Metric{"innocents-refused", wronglyRefused},
+		Metric{"fresh-wait-p99-ms", firstStart},
 		Metric{"restart-wait-max-ms", restart},
 	)
 }
--- a/coordination/loadbench/demand.go
+++ b/coordination/loadbench/demand.go
@@ -9,34 +9,37 @@
 	"endiveplank/protocol"
 )
 
-// Demand is what one customer sends.
+// Demand describes the requests of one customer.
 type Demand struct {
 	Customer protocol.CustomerID
 	Class    admission.Class
 	Weight   float64
-	// Share is the customer's part of all tokens sent.
+	// Share is the customer's share of all tokens sent.
 	Share float64
-	// Tokens of a request are drawn log-uniformly from MinTokens to MaxTokens.
+	// A request's tokens are drawn log-uniformly from MinTokens to MaxTokens.
 	MinTokens int
 	MaxTokens int
-	// Patience is how long after sending the whole answer is in time.
+	// Patience is the time from sending a request to its deadline. The complete
+	// answer must arrive by then.
 	Patience time.Duration
 }
 
-// Phase changes the rate of one customer, or of all when Customer is empty, by
-// Factor from From to To. With Every above zero the phase returns at that period.
+// Phase multiplies the rate of one customer, or of all if Customer is empty, by
+// Factor between From and To. If Period is above zero, the phase repeats with that
+// period, and From and To count from the start of each period.
 type Phase struct {
 	Customer protocol.CustomerID
 	Factor   float64
 	From     time.Duration
 	To       time.Duration
-	Every    time.Duration
+	Period   time.Duration
 }
 
-// Mix is the workload of one engine: clerks, dispatchers and households in
-// class 0, of which one customer is large, drafts of paperwork in class 1 and
-// season summaries in class 2. Requests are short where people wait.
-func Mix() []Demand {
+// WorkloadMix returns the workload of one engine: clerks, dispatchers and
+// households in class 0, one of them a large customer, drafts of paperwork in
+// class 1, and season summaries in class 2. Requests for whose answers people wait
+// are short, except those of long-questions.
+func WorkloadMix() []Demand {
 	const urgent, drafts, summaries = 0, 1, 2
 	return []Demand{
 		{"dispatch-large", urgent, 5, 0.25, 40, 200, 15 * time.Second},
@@ -49,10 +52,10 @@
 	}
 }
 
-// UrgentOnly scales the mix so that class 0 alone sends at least the given share
-// of all tokens.
-func UrgentOnly(share float64) []Demand {
-	mix := Mix()
+// UrgentMix returns WorkloadMix scaled so that class 0 sends the given share of all
+// tokens.
+func UrgentMix(share float64) []Demand {
+	mix := WorkloadMix()
 	urgent := 0.0
 	for _, d := range mix {
 		if d.Class == 0 {
@@ -69,24 +72,25 @@
 	return mix
 }
 
-// meanTokens of the log-uniform distribution.
+// meanTokens returns the mean of the log-uniform distribution of tokens.
 func (d *Demand) meanTokens() float64 {
 	low, high := float64(d.MinTokens), float64(d.MaxTokens)
 	return (high - low) / math.Log(high/low)
 }
 
-func (d *Demand) draw(rng *rand.Rand) int {
+func (d *Demand) drawTokens(rng *rand.Rand) int {
 	low, high := float64(d.MinTokens), float64(d.MaxTokens)
 	return int(low * math.Pow(high/low, rng.Float64()))
 }
 
-// factor returns by how much the phases change a customer's rate at a time.
-func factor(phases []Phase, customer protocol.CustomerID, now time.Duration) float64 {
+// rateFactor returns the product of the factors of all phases that apply to a
+// customer at a time.
+func rateFactor(phases []Phase, customer protocol.CustomerID, now time.Duration) float64 {
 	product := 1.0
 	for _, p := range phases {
 		at := now
-		if p.Every > 0 {
-			at = now % p.Every
+		if p.Period > 0 {
+			at = now % p.Period
 		}
 		if (p.Customer == "" || p.Customer == customer) && at >= p.From && at < p.To {
 			product *= p.Factor
--- a/coordination/loadbench/doc.go
+++ b/coordination/loadbench/doc.go
@@ -1,15 +1,25 @@
-// Package loadbench steps the decisions of packages admission, limits, retry,
-// quarantine and slowness through simulated time, under seeded load, and
-// counts what callers would see. There are no sockets, goroutines or wall
-// clocks, so every figure is the same on every machine.
+// Package loadbench measures the decisions of packages admission, limits, retry,
+// quarantine, slowness and stream under load. It runs them in simulated time
+// against seeded random arrivals and counts what callers would see. There are no
+// sockets, goroutines or wall clocks, so every figure is the same on every
+// machine.
 //
-// Each model is small and only as true as its question needs:
+// Each model contains only what its question needs:
 //
-//   - Serving: one engine behind one admission queue, or the same engine
-//     behind a first-come queue as the baseline.
-//   - Storm: callers and routers that retry against a saturated or lost pool.
-//   - Crash: requests that crash engines, with routers that share suspicion.
-//   - Fleet limits and slow engines have models of their own.
+//   - Serving: one engine behind an admission queue. The baselines are the same
+//     engine behind a first-come queue and without any admission control. It
+//     guards against overload that lowers goodput, makes urgent requests wait, or
+//     lets one customer's surge delay the others.
+//   - Fleet: routers that share customers' limits by credit. It guards against
+//     limits that are missed by too much, also when messages get lost or the
+//     network is partitioned, and measures the control traffic.
+//   - Storm: routers that retry against a saturated or lost pool. It guards
+//     against retry storms that keep the pool from recovering.
+//   - Crash: requests that crash engines, with routers that quarantine them.
+//   - SlowEngines: a group of engines of which some are slow, and placement by
+//     the weights of package slowness.
+//   - Stall: streams whose connections fall silent, and the detection of that.
 //
-// The bounds that CI checks stand in bounds.json beside the tests.
+// Scenarios returns the runs of these models, each with its metrics. The tests
+// check every metric against the bounds in bounds.json.
 package loadbench
--- a/coordination/loadbench/engine.go
+++ b/coordination/loadbench/engine.go
@@ -5,38 +5,38 @@
 	"time"
 )
 
-// sharedEngine models an engine that batches continuously: each running request
-// gets the same number of tokens per second, StreamSpeed while the batch is
-// small and an equal part of Capacity above that.
-type sharedEngine struct {
-	clock    *Clock
-	capacity float64 // tokens per second of the whole batch
-	speed    float64 // tokens per second of one stream at most
-	running  jobHeap
-	// progress is how many tokens a request that runs since time zero would
-	// have by now; a job ends when progress reaches its own end.
-	progress float64
-	ends     float64 // sum of the running jobs' ends
-	updated  time.Duration
-	version  int
-	finished func(*job)
+// batchingEngine models an engine with continuous batching. All running requests
+// get the same number of tokens per second: maxStreamSpeed while the batch is
+// small, and an equal part of capacity when it is larger.
+type batchingEngine struct {
+	clock          *Clock
+	capacity       float64 // tokens per second of the whole batch
+	maxStreamSpeed float64 // maximum tokens per second of one stream
+	running        jobHeap
+	// progress is the number of tokens that a request running since time zero
+	// would have by now. A job ends when progress reaches its endProgress.
+	progress       float64
+	endProgressSum float64 // sum over the running jobs
+	updatedAt      time.Duration
+	version        int
+	onFinish       func(*job)
 }
 
-// job is one request on its way through a model.
+// job is one request in the Serving or the SlowEngines model.
 type job struct {
-	id       int
-	tokens   int
-	demand   *Demand
-	sent     time.Duration
-	deadline time.Duration
-	started  time.Duration
-	end      float64
+	id          int
+	tokens      int
+	demand      *Demand
+	sentAt      time.Duration
+	deadline    time.Duration
+	startedAt   time.Duration
+	endProgress float64
 }
 
 type jobHeap []*job
 
 func (h jobHeap) Len() int           { return len(h) }
-func (h jobHeap) Less(i, j int) bool { return h[i].end < h[j].end }
+func (h jobHeap) Less(i, j int) bool { return h[i].endProgress < h[j].endProgress }
 func (h jobHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 func (h *jobHeap) Push(x any)        { *h = append(*h, x.(*job)) }
 func (h *jobHeap) Pop() any {
@@ -46,61 +46,64 @@
 	return last
 }
 
-// rate is the tokens per second of each running request.
-func (e *sharedEngine) rate() float64 {
-	return min(e.speed, e.capacity/float64(max(len(e.running), 1)))
+// streamRate returns the tokens per second of each running request.
+func (e *batchingEngine) streamRate() float64 {
+	return min(e.maxStreamSpeed, e.capacity/float64(max(len(e.running), 1)))
 }
 
-// advance moves the progress to now and returns the tokens made since.
-func (e *sharedEngine) advance() float64 {
-	elapsed := (e.clock.Now() - e.updated).Seconds()
-	e.updated = e.clock.Now()
-	step := elapsed * e.rate()
+// advance updates progress to now and returns the number of tokens that all
+// requests generated since the last update.
+func (e *batchingEngine) advance() float64 {
+	elapsed := (e.clock.Now() - e.updatedAt).Seconds()
+	e.updatedAt = e.clock.Now()
+	step := elapsed * e.streamRate()
 	e.progress += step
 	return step * float64(len(e.running))
 }
 
-// outstanding is the work of all running requests that is still to do.
-func (e *sharedEngine) outstanding() float64 {
-	return e.ends - float64(len(e.running))*e.progress
+// outstandingTokens returns the number of tokens that the running requests still
+// have to generate.
+func (e *batchingEngine) outstandingTokens() float64 {
+	return e.endProgressSum - float64(len(e.running))*e.progress
 }
 
-// start adds a request. The caller has called advance.
-func (e *sharedEngine) start(j *job) {
-	j.started = e.clock.Now()
-	j.end = e.progress + float64(j.tokens)
-	e.ends += j.end
+// start adds a request. The caller must have called advance.
+func (e *batchingEngine) start(j *job) {
+	j.startedAt = e.clock.Now()
+	j.endProgress = e.progress + float64(j.tokens)
+	e.endProgressSum += j.endProgress
 	heap.Push(&e.running, j)
 	e.schedule()
 }
 
-// setCapacity slows the engine down or restores it.
-func (e *sharedEngine) setCapacity(capacity, speed float64) {
+// setCapacity changes the capacity and the maximum speed of a stream, to slow the
+// engine down or to restore its speed.
+func (e *batchingEngine) setCapacity(capacity, speed float64) {
 	e.advance()
 	e.capacity = capacity
-	e.speed = speed
+	e.maxStreamSpeed = speed
 	e.schedule()
 }
 
-// schedule sets the event at which the next request ends. An older one that is
-// still queued sees that the version has changed and does nothing.
-func (e *sharedEngine) schedule() {
+// schedule adds the event at which the next request ends. An older event that is
+// still queued finds another version and does nothing.
+func (e *batchingEngine) schedule() {
 	e.version++
 	if len(e.running) == 0 {
 		return
 	}
 	version := e.version
-	left := (e.running[0].end - e.progress) / e.rate()
-	e.clock.After(time.Duration(left*float64(time.Second))+1, func() {
+	remaining := (e.running[0].endProgress - e.progress) / e.streamRate()
+	e.clock.After(time.Duration(remaining*float64(time.Second))+1, func() {
 		if version == e.version {
 			e.finishNext()
 		}
 	})
 }
 
-func (e *sharedEngine) finishNext() {
+func (e *batchingEngine) finishNext() {
 	j := heap.Pop(&e.running).(*job)
-	e.ends -= j.end
-	e.finished(j)
+	e.endProgressSum -= j.endProgress
+	e.onFinish(j)
 	e.schedule()
 }
--- a/coordination/loadbench/fleet.go
+++ b/coordination/loadbench/fleet.go
@@ -10,141 +10,150 @@
 	"endiveplank/protocol"
 )
 
-// LimitPolicy is how the routers of the Fleet model hold limits.
+// LimitPolicy is how the routers of the Fleet model enforce customers' limits.
 type LimitPolicy uint8
 
 const (
-	// Credit is package limits.
+	// Credit uses package limits.
 	Credit LimitPolicy = iota
 	// EqualShares gives each router the same part of each limit.
 	EqualShares
 	// PerRouter gives each router the whole limit.
 	PerRouter
-	// OneCounter is the ideal for requests in flight: one counter that all
-	// routers see at once.
+	// OneCounter is the ideal for requests in flight: all routers share one
+	// counter without delay.
 	OneCounter
 )
 
-// FleetConfig describes a run of the Fleet model: customers whose requests come
-// in through any router, by a Zipf law, some of them far above their limits.
+// FleetConfig describes a run of the Fleet model: customers whose rates follow a
+// Zipf distribution. Their requests arrive through random routers, and some
+// customers send far above their limits.
 type FleetConfig struct {
 	Seed      uint64
 	Policy    LimitPolicy
 	Routers   int
 	Customers int
-	// Rate is the requests per second of all customers.
+	// Rate is the number of requests per second of all customers together.
 	Rate float64
-	// Every GreedyEvery-th customer sends GreedyFactor times its limit, and the
-	// others half of theirs.
+	// One in GreedyEvery customers is greedy: it sends GreedyFactor times its
+	// limit. The others are modest: they send half of theirs.
 	GreedyEvery  int
 	GreedyFactor float64
 	// Concurrent limits requests in flight instead of tokens per second. Requests
-	// run for RunTime in the mean.
+	// then run for MeanRunTime on average.
 	Concurrent bool
-	// Lost is the share of messages that get lost.
-	Lost float64
-	// From PartedFrom to PartedTo, routers with a number below Parted reach
-	// nobody.
-	Parted     int
-	PartedFrom time.Duration
-	PartedTo   time.Duration
-	Warm       time.Duration
-	End        time.Duration
+	// MessageLoss is the share of messages that get lost.
+	MessageLoss float64
+	// Between PartitionFrom and PartitionTo, the first Partitioned routers reach
+	// no other router and none reaches them.
+	Partitioned   int
+	PartitionFrom time.Duration
+	PartitionTo   time.Duration
+	WarmUp        time.Duration
+	End           time.Duration
 }
 
-// FleetResult is what a run counted.
+// FleetResult is the result of a run of the Fleet model.
 type FleetResult struct {
-	// Over and Under are the largest and smallest error of a greedy customer's
-	// admitted tokens against its limit after the warm-up, in percent. Only
-	// customers whose limit allows at least MinAdmitted requests in that time
-	// count, since the error of a few requests is their randomness.
-	Over  float64
-	Under float64
-	// MostInFlight is the largest number in flight of a greedy customer over its
-	// limit, in percent above it, for concurrency limits; Over and Under are then
-	// those of the mean number in flight.
-	MostInFlight float64
-	// ModestRefused is the share of requests refused of customers within their
-	// limits, and Waited of all allowed requests those that waited for a home.
-	ModestRefused float64
-	Waited        float64
-	// BytesMean and BytesMax are control bytes sent per second and node.
+	// MaxErrorPct and MinErrorPct are the largest and the smallest error of a
+	// greedy customer's admitted tokens against its limit after the warm-up, in
+	// percent. Only customers whose limit allows at least MinAdmitted requests in
+	// that time count, because with few requests random variation dominates the
+	// error.
+	MaxErrorPct float64
+	MinErrorPct float64
+	// MaxInFlightOverPct is by how many percent the largest number of requests in
+	// flight of a greedy customer exceeded its limit. It applies to concurrency
+	// limits of at least MinConcurrent, for which MaxErrorPct and MinErrorPct are
+	// the errors of the mean number in flight.
+	MaxInFlightOverPct float64
+	// ModestRefusedPct is the share of the modest customers' requests that were
+	// refused, and WaitedPct the share of all admitted requests that waited for a
+	// home's grant, both in percent.
+	ModestRefusedPct float64
+	WaitedPct        float64
+	// BytesMean and BytesMax are the mean and the maximum over the routers of the
+	// control bytes that a router sent per second.
 	BytesMean float64
 	BytesMax  float64
 }
 
-// MinAdmitted is the least number of requests for which an error counts, and
-// MinSlots the least limit of requests in flight.
+// FleetResult leaves out greedy customers whose limit allows fewer than MinAdmitted
+// requests, or fewer than MinConcurrent requests in flight.
 const (
-	MinAdmitted = 100
-	MinSlots    = 10
+	MinAdmitted   = 100
+	MinConcurrent = 10
 )
 
-// RunTime is how long a request runs in the mean.
-const RunTime = 5 * time.Second
+// MeanRunTime is the mean time that a request runs.
+const MeanRunTime = 5 * time.Second
 
 const (
 	requestTokens = 300.0
-	// messageOverhead is a frame's length prefix and the headers of IP and UDP.
+	// messageOverhead is the size of a frame's length prefix and of the IP and UDP
+	// headers.
 	messageOverhead = 4 + 20 + 8
-	askTick         = time.Second
-	gatherTime      = 2 * time.Millisecond
-	waitAtMost      = time.Second
+	// creditTick is how often a router sends the credit requests that are due.
+	creditTick = time.Second
+	// bundleDelay is how long a router collects credit requests for one message.
+	bundleDelay = 2 * time.Millisecond
+	// maxWait is how long a request waits for credit before it is refused.
+	maxWait = time.Second
 )
 
 type fleet struct {
 	Clock
-	config    FleetConfig
-	rng       *rand.Rand
-	ids       []protocol.RouterID
-	limiters  []*limits.Limiter
-	homes     []*limits.Home
-	local     []map[int]*localBucket
-	customers []*fleetCustomer
-	byID      map[protocol.CustomerID]*fleetCustomer
-	sending   []bool            // an ask round is planned
-	waiting   [][]*fleetRequest // per router, in order of arrival
-	bytes     []int
-	allowed   int
-	waited    int
+	config       FleetConfig
+	rng          *rand.Rand
+	ids          []protocol.RouterID
+	limiters     []*limits.Limiter
+	homes        []*limits.Home
+	localBuckets []map[int]*localBucket
+	customers    []*fleetCustomer
+	byID         map[protocol.CustomerID]*fleetCustomer
+	sendPlanned  []bool            // per router: a round of credit requests is scheduled
+	waiting      [][]*fleetRequest // per router, in order of arrival
+	bytes        []int
+	allowed      int
+	waited       int
 }
 
 type fleetCustomer struct {
-	id       protocol.CustomerID
-	home     int
-	rate     float64
-	limit    limits.Limit
-	greedy   bool
-	sent     int
-	refused  int
-	admitted float64
-	inFlight int
-	most     int
-	ran      float64 // seconds of requests in flight
-	counted  time.Duration
+	id              protocol.CustomerID
+	home            int
+	rate            float64
+	limit           limits.Limit
+	greedy          bool
+	sent            int
+	refused         int
+	admitted        float64
+	inFlight        int
+	maxInFlight     int
+	inFlightSeconds float64 // sum over the requests of the seconds in flight
+	countedUntil    time.Duration
 }
 
-// count adds up the time in flight until now.
-func (c *fleetCustomer) count(now, warm time.Duration) {
-	from := max(c.counted, warm)
+// addInFlightTime adds the time in flight since the last call, without the warm-up.
+func (c *fleetCustomer) addInFlightTime(now, warmUp time.Duration) {
+	from := max(c.countedUntil, warmUp)
 	if now > from {
-		c.ran += float64(c.inFlight) * (now - from).Seconds()
-		c.most = max(c.most, c.inFlight)
+		c.inFlightSeconds += float64(c.inFlight) * (now - from).Seconds()
+		c.maxInFlight = max(c.maxInFlight, c.inFlight)
 	}
-	c.counted = now
+	c.countedUntil = now
 }
 
 type fleetRequest struct {
-	router   int
-	customer *fleetCustomer
-	number   int
-	tokens   int
-	sent     time.Duration
+	router        int
+	customer      *fleetCustomer
+	customerIndex int
+	tokens        int
+	sent          time.Duration
 }
 
 type localBucket struct {
-	level float64
-	at    time.Duration
+	level     float64
+	updatedAt time.Duration
 }
 
 // RunFleet runs the model once.
@@ -156,12 +165,12 @@
 		f.ids = append(f.ids, protocol.RouterID(fmt.Sprintf("router-%04d", i)))
 		f.limiters = append(f.limiters, limits.NewLimiter(limits.DefaultConfig(), config.Routers, 1))
 		f.homes = append(f.homes, limits.NewHome(limits.DefaultConfig(), table))
-		f.local = append(f.local, make(map[int]*localBucket))
+		f.localBuckets = append(f.localBuckets, make(map[int]*localBucket))
 	}
 	f.waiting = make([][]*fleetRequest, config.Routers)
 	f.bytes = make([]int, config.Routers)
-	f.sending = make([]bool, config.Routers)
-	f.findHomes()
+	f.sendPlanned = make([]bool, config.Routers)
+	f.assignHomes()
 	var next func()
 	next = func() {
 		f.arrive()
@@ -170,7 +179,7 @@
 	f.At(0, next)
 	if config.Policy == Credit {
 		for i := range config.Routers {
-			f.At(time.Duration(f.rng.Int64N(int64(askTick))), func() { f.tick(i) })
+			f.At(time.Duration(f.rng.Int64N(int64(creditTick))), func() { f.tick(i) })
 		}
 	}
 	f.Run(config.End)
@@ -193,7 +202,7 @@
 		}
 		c.limit = limits.Limit{TokensPerSecond: allowed * requestTokens}
 		if f.config.Concurrent {
-			c.limit = limits.Limit{Concurrent: int(math.Ceil(allowed * RunTime.Seconds()))}
+			c.limit = limits.Limit{Concurrent: int(math.Ceil(allowed * MeanRunTime.Seconds()))}
 		}
 		table[c.id] = c.limit
 		f.byID[c.id] = c
@@ -202,7 +211,7 @@
 	return table
 }
 
-func (f *fleet) findHomes() {
+func (f *fleet) assignHomes() {
 	byID := make(map[protocol.RouterID]int, len(f.ids))
 	for i, id := range f.ids {
 		byID[id] = i
@@ -213,17 +222,18 @@
 	}
 }
 
-// arrive brings one request of a customer drawn by the Zipf law to any router.
+// arrive brings one request of a customer, drawn from the Zipf distribution, to a
+// random router.
 func (f *fleet) arrive() {
 	n := f.pickCustomer()
 	r := &fleetRequest{
-		router:   f.rng.IntN(f.config.Routers),
-		customer: f.customers[n],
-		number:   n,
-		tokens:   int(requestTokens * (0.5 + f.rng.Float64())),
-		sent:     f.Now(),
+		router:        f.rng.IntN(f.config.Routers),
+		customer:      f.customers[n],
+		customerIndex: n,
+		tokens:        int(requestTokens * (0.5 + f.rng.Float64())),
+		sent:          f.Now(),
 	}
-	if f.Now() >= f.config.Warm {
+	if f.Now() >= f.config.WarmUp {
 		r.customer.sent++
 	}
 	if f.config.Policy == OneCounter {
@@ -234,16 +244,18 @@
 		f.admitLocally(r)
 		return
 	}
-	f.follow(r, f.limiters[r.router].Admit(f.Now(), r.customer.id, r.customer.limit, r.tokens))
+	f.applyDecision(r, f.limiters[r.router].Admit(f.Now(), r.customer.id, r.customer.limit, r.tokens))
 }
 
-// pickCustomer inverts the sum of 1/rank, approximately.
+// pickCustomer draws the index of a customer with a probability proportional to
+// 1/rank, by rejection sampling from a log-uniform distribution.
 func (f *fleet) pickCustomer() int {
 	n := float64(f.config.Customers)
 	for {
 		rank := math.Pow(n+1, f.rng.Float64())
 		k := int(rank)
-		// Log-uniform gives rank k the weight log(1+1/k); accept by 1/k over that.
+		// The log-uniform draw gives rank k the weight log(1+1/k), so accept it with a
+		// probability proportional to 1/k over that weight.
 		accept := (1 / float64(k)) / math.Log1p(1/float64(k)) * math.Ln2
 		if f.rng.Float64() < accept {
 			return k - 1
@@ -251,7 +263,7 @@
 	}
 }
 
-func (f *fleet) follow(r *fleetRequest, decision limits.Decision) {
+func (f *fleet) applyDecision(r *fleetRequest, decision limits.Decision) {
 	switch decision.Kind {
 	case limits.Allow:
 		f.admit(r)
@@ -259,8 +271,8 @@
 		f.refuse(r)
 	case limits.Wait:
 		f.waiting[r.router] = append(f.waiting[r.router], r)
-		f.send(r.router)
-		f.At(decision.CheckAt, func() { f.again(r.router, map[*fleetCustomer]bool{r.customer: true}) })
+		f.sendCreditRequests(r.router)
+		f.At(decision.CheckAt, func() { f.retryWaiting(r.router, map[*fleetCustomer]bool{r.customer: true}) })
 	}
 }
 
@@ -268,7 +280,7 @@
 	if f.config.Concurrent {
 		f.run(r)
 	}
-	if f.Now() < f.config.Warm {
+	if f.Now() < f.config.WarmUp {
 		return
 	}
 	f.allowed++
@@ -278,39 +290,40 @@
 	r.customer.admitted += float64(r.tokens)
 }
 
-// run keeps a request in flight for a while.
+// run keeps a request in flight for an exponentially distributed time.
 func (f *fleet) run(r *fleetRequest) {
 	c := r.customer
-	c.count(f.Now(), f.config.Warm)
+	c.addInFlightTime(f.Now(), f.config.WarmUp)
 	c.inFlight++
-	f.After(exponential(f.rng, 1/RunTime.Seconds()), func() {
-		c.count(f.Now(), f.config.Warm)
+	f.After(exponential(f.rng, 1/MeanRunTime.Seconds()), func() {
+		c.addInFlightTime(f.Now(), f.config.WarmUp)
 		c.inFlight--
 		f.limiters[r.router].Finished(f.Now(), c.id)
 	})
 }
 
 func (f *fleet) refuse(r *fleetRequest) {
-	if f.Now() >= f.config.Warm {
+	if f.Now() >= f.config.WarmUp {
 		r.customer.refused++
 	}
 }
 
-// admitLocally is the baselines' token bucket of two seconds, of at least one
-// request.
+// admitLocally decides by a token bucket of each router, for the baselines
+// EqualShares and PerRouter. It holds two seconds of the limit, but at least the
+// tokens of the largest request.
 func (f *fleet) admitLocally(r *fleetRequest) {
 	rate := r.customer.limit.TokensPerSecond
 	if f.config.Policy == EqualShares {
 		rate /= float64(f.config.Routers)
 	}
 	depth := max(2*rate, 1.5*requestTokens)
-	b := f.local[r.router][r.number]
+	b := f.localBuckets[r.router][r.customerIndex]
 	if b == nil {
 		b = &localBucket{level: depth}
-		f.local[r.router][r.number] = b
+		f.localBuckets[r.router][r.customerIndex] = b
 	}
-	b.level = min(depth, b.level+rate*(f.Now()-b.at).Seconds())
-	b.at = f.Now()
+	b.level = min(depth, b.level+rate*(f.Now()-b.updatedAt).Seconds())
+	b.updatedAt = f.Now()
 	if b.level < float64(r.tokens) {
 		f.refuse(r)
 		return
@@ -328,22 +341,22 @@
 }
 
 func (f *fleet) tick(router int) {
-	f.send(router)
-	f.After(askTick, func() { f.tick(router) })
+	f.sendCreditRequests(router)
+	f.After(creditTick, func() { f.tick(router) })
 }
 
 func (f *fleet) result() FleetResult {
-	r := FleetResult{Over: -100, Under: 100, MostInFlight: -100}
-	seconds := (f.config.End - f.config.Warm).Seconds()
+	r := FleetResult{MaxErrorPct: -100, MinErrorPct: 100, MaxInFlightOverPct: -100}
+	seconds := (f.config.End - f.config.WarmUp).Seconds()
 	modest, modestRefused := 0, 0
 	for _, c := range f.customers {
 		allowed := c.limit.TokensPerSecond * seconds
-		if f.config.Concurrent && c.greedy && c.limit.Concurrent >= MinSlots {
-			c.count(f.config.End, f.config.Warm)
-			mean := c.ran / seconds / float64(c.limit.Concurrent)
-			r.Over = max(r.Over, 100*(mean-1))
-			r.Under = min(r.Under, 100*(mean-1))
-			r.MostInFlight = max(r.MostInFlight, 100*(float64(c.most)/float64(c.limit.Concurrent)-1))
+		if f.config.Concurrent && c.greedy && c.limit.Concurrent >= MinConcurrent {
+			c.addInFlightTime(f.config.End, f.config.WarmUp)
+			mean := c.inFlightSeconds / seconds / float64(c.limit.Concurrent)
+			r.MaxErrorPct = max(r.MaxErrorPct, 100*(mean-1))
+			r.MinErrorPct = min(r.MinErrorPct, 100*(mean-1))
+			r.MaxInFlightOverPct = max(r.MaxInFlightOverPct, 100*(float64(c.maxInFlight)/float64(c.limit.Concurrent)-1))
 			continue
 		}
 		switch {
@@ -351,12 +364,12 @@
 			modest += c.sent
 			modestRefused += c.refused
 		case !f.config.Concurrent && allowed >= MinAdmitted*requestTokens:
-			r.Over = max(r.Over, 100*(c.admitted/allowed-1))
-			r.Under = min(r.Under, 100*(c.admitted/allowed-1))
+			r.MaxErrorPct = max(r.MaxErrorPct, 100*(c.admitted/allowed-1))
+			r.MinErrorPct = min(r.MinErrorPct, 100*(c.admitted/allowed-1))
 		}
 	}
-	r.ModestRefused = percent(modestRefused, modest)
-	r.Waited = percent(f.waited, f.allowed)
+	r.ModestRefusedPct = percent(modestRefused, modest)
+	r.WaitedPct = percent(f.waited, f.allowed)
 	for _, sent := range f.bytes {
 		perSecond := float64(sent) / seconds
 		r.BytesMean += perSecond / float64(f.config.Routers)
--- a/coordination/loadbench/fleet_messages.go
+++ b/coordination/loadbench/fleet_messages.go
@@ -9,14 +9,15 @@
 	"endiveplank/coordination/limits"
 )
 
-// send gathers a router's asks for a moment and sends one message to each home.
-func (f *fleet) send(router int) {
-	if f.sending[router] {
+// sendCreditRequests waits bundleDelay so that more credit requests of a router
+// become due, then sends one message with all of them to each home.
+func (f *fleet) sendCreditRequests(router int) {
+	if f.sendPlanned[router] {
 		return
 	}
-	f.sending[router] = true
-	f.After(gatherTime, func() {
-		f.sending[router] = false
+	f.sendPlanned[router] = true
+	f.After(bundleDelay, func() {
+		f.sendPlanned[router] = false
 		var homes []int
 		groups := make(map[int][]limits.CreditRequestEntry)
 		customers := make(map[int][]*fleetCustomer)
@@ -30,65 +31,65 @@
 			customers[home] = append(customers[home], customer)
 		}
 		for _, home := range homes {
-			f.ask(router, home, f.limiters[router].NewRequest(groups[home]), customers[home])
+			f.requestCredit(router, home, f.limiters[router].NewRequest(groups[home]), customers[home])
 		}
 	})
 }
 
-func (f *fleet) ask(from, to int, ask limits.CreditRequest, customers []*fleetCustomer) {
-	f.message(from, to, ask, func() {
-		answer := f.homes[to].HandleRequest(f.Now(), f.ids[from], ask)
-		if len(answer.Entries) == 0 {
+func (f *fleet) requestCredit(from, to int, request limits.CreditRequest, customers []*fleetCustomer) {
+	f.sendMessage(from, to, request, func() {
+		grant := f.homes[to].HandleRequest(f.Now(), f.ids[from], request)
+		if len(grant.Entries) == 0 {
 			return
 		}
-		f.message(to, from, answer, func() {
-			f.limiters[from].HandleGrant(f.Now(), answer)
-			answered := make(map[*fleetCustomer]bool)
+		f.sendMessage(to, from, grant, func() {
+			f.limiters[from].HandleGrant(f.Now(), grant)
+			granted := make(map[*fleetCustomer]bool)
 			for _, customer := range customers {
-				answered[customer] = true
+				granted[customer] = true
 			}
-			f.again(from, answered)
+			f.retryWaiting(from, granted)
 		})
 	})
 }
 
-// message carries a value to another router, unless it gets lost, and counts its
-// bytes. A router's own account costs nothing.
-func (f *fleet) message(from, to int, value any, arrived func()) {
+// sendMessage delivers a value to another router, unless it gets lost, and counts
+// its bytes. A message of a router to itself costs no bytes and isn't lost.
+func (f *fleet) sendMessage(from, to int, value any, deliver func()) {
 	if from == to {
-		f.After(0, arrived)
+		f.After(0, deliver)
 		return
 	}
-	if f.Now() >= f.config.Warm {
+	if f.Now() >= f.config.WarmUp {
 		f.bytes[from] += encodedSize(value) + messageOverhead
 	}
-	if f.rng.Float64() < f.config.Lost || f.parted(from) || f.parted(to) {
+	if f.rng.Float64() < f.config.MessageLoss || f.isPartitioned(from) || f.isPartitioned(to) {
 		return
 	}
 	delay := time.Duration(1+f.rng.IntN(4)) * time.Millisecond
-	f.After(delay, arrived)
+	f.After(delay, deliver)
 }
 
-func (f *fleet) parted(router int) bool {
-	return router < f.config.Parted && f.Now() >= f.config.PartedFrom && f.Now() < f.config.PartedTo
+func (f *fleet) isPartitioned(router int) bool {
+	return router < f.config.Partitioned && f.Now() >= f.config.PartitionFrom && f.Now() < f.config.PartitionTo
 }
 
-// again decides once more about the requests of some customers that wait at a
+// retryWaiting decides again about the requests of the given customers that wait at a
 // router.
-func (f *fleet) again(router int, answered map[*fleetCustomer]bool) {
+func (f *fleet) retryWaiting(router int, customers map[*fleetCustomer]bool) {
 	var rest []*fleetRequest
 	for _, r := range f.waiting[router] {
-		if !answered[r.customer] {
+		if !customers[r.customer] {
 			rest = append(rest, r)
 			continue
 		}
-		f.decideAgain(r, &rest)
+		f.retryRequest(r, &rest)
 	}
 	f.waiting[router] = rest
 }
 
-func (f *fleet) decideAgain(r *fleetRequest, rest *[]*fleetRequest) {
-	if f.Now()-r.sent > waitAtMost {
+func (f *fleet) retryRequest(r *fleetRequest, rest *[]*fleetRequest) {
+	if f.Now()-r.sent > maxWait {
 		f.refuse(r)
 		return
 	}
@@ -100,8 +101,8 @@
 		f.refuse(r)
 	case limits.Wait:
 		*rest = append(*rest, r)
-		f.send(r.router)
-		f.At(decision.CheckAt, func() { f.again(r.router, map[*fleetCustomer]bool{r.customer: true}) })
+		f.sendCreditRequests(r.router)
+		f.At(decision.CheckAt, func() { f.retryWaiting(r.router, map[*fleetCustomer]bool{r.customer: true}) })
 	}
 }
 
--- a/coordination/loadbench/fleet_scenarios.go
+++ b/coordination/loadbench/fleet_scenarios.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
-// fleetScenarios asks by how much the fleet misses a customer's limit, and what
-// control traffic that costs. The rate is 30 requests per second and router, as at
-// the peak of 330 routers.
+// fleetScenarios measure by how much the fleet misses customers' limits, and the
+// control traffic. With 100 and 330 routers, the rate is about 30 requests per
+// second and router, as in a fleet of 330 routers at its peak.
 func fleetScenarios() []Scenario {
 	lossy := fleetConfig(100, 720, 2970)
-	lossy.Lost, lossy.End = 0.05, 120*time.Second
-	parted := fleetConfig(100, 720, 2970)
-	parted.End = 130 * time.Second
-	parted.Parted, parted.PartedFrom, parted.PartedTo = 33, 90*time.Second, 120*time.Second
+	lossy.MessageLoss, lossy.End = 0.05, 120*time.Second
+	partitioned := fleetConfig(100, 720, 2970)
+	partitioned.End = 130 * time.Second
+	partitioned.Partitioned, partitioned.PartitionFrom, partitioned.PartitionTo = 33, 90*time.Second, 120*time.Second
 	return []Scenario{
 		fleetScenario(fleetConfig(9, 10, 60)),
 		fleetScenario(fleetConfig(100, 720, 2970)),
 		concurrentScenario(fleetConfig(100, 720, 2970)),
 		{Name: "limits/routers=100/lost=5pct", Run: func() []Metric { return fleetMetrics("", lossy) }},
-		{Name: "limits/routers=100/parted=33", Run: func() []Metric { return fleetMetrics("", parted)[:1] }},
+		{Name: "limits/routers=100/parted=33", Run: func() []Metric { return fleetMetrics("", partitioned)[:1] }},
 	}
 }
 
-// LargeScenarios are run as benchmarks only, because they take long.
+// LargeScenarios returns the scenarios that run only as benchmarks, because they
+// take long.
 func LargeScenarios() []Scenario {
 	return []Scenario{
 		fleetScenario(fleetConfig(330, 2400, 9800)),
@@ -39,7 +40,7 @@
 		Rate:         rate,
 		GreedyEvery:  10,
 		GreedyFactor: 3,
-		Warm:         60 * time.Second,
+		WarmUp:       60 * time.Second,
 		End:          180 * time.Second,
 	}
 }
@@ -54,7 +55,8 @@
 	}}
 }
 
-// concurrentScenario limits the requests in flight of every customer.
+// concurrentScenario limits the requests in flight of every customer instead of
+// their tokens per second.
 func concurrentScenario(config FleetConfig) Scenario {
 	config.Concurrent = true
 	config.End = 120 * time.Second
@@ -63,11 +65,11 @@
 		config.Policy = OneCounter
 		ideal := RunFleet(config)
 		return []Metric{
-			{"most-in-flight-over-pct", r.MostInFlight},
-			{"mean-in-flight-best-pct", r.Over},
-			{"mean-in-flight-worst-pct", r.Under},
-			{"modest-refused-pct", r.ModestRefused},
-			{"one-counter-modest-refused-pct", ideal.ModestRefused},
+			{"most-in-flight-over-pct", r.MaxInFlightOverPct},
+			{"mean-in-flight-best-pct", r.MaxErrorPct},
+			{"mean-in-flight-worst-pct", r.MinErrorPct},
+			{"modest-refused-pct", r.ModestRefusedPct},
+			{"one-counter-modest-refused-pct", ideal.ModestRefusedPct},
 			{"ctl-B/s/node", r.BytesMean},
 			{"ctl-B/s/busiest-node", r.BytesMax},
 		}
@@ -77,10 +79,10 @@
 func fleetMetrics(prefix string, config FleetConfig) []Metric {
 	r := RunFleet(config)
 	return []Metric{
-		{prefix + "over-pct", r.Over},
-		{prefix + "under-pct", r.Under},
-		{prefix + "modest-refused-pct", r.ModestRefused},
-		{prefix + "waited-pct", r.Waited},
+		{prefix + "over-pct", r.MaxErrorPct},
+		{prefix + "under-pct", r.MinErrorPct},
+		{prefix + "modest-refused-pct", r.ModestRefusedPct},
+		{prefix + "waited-pct", r.WaitedPct},
 		{prefix + "ctl-B/s/node", r.BytesMean},
 		{prefix + "ctl-B/s/busiest-node", r.BytesMax},
 	}
--- a/coordination/loadbench/random.go
+++ b/coordination/loadbench/random.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// exponential draws the time between two arrivals at a rate per second.
+// exponential draws the time between two arrivals of a Poisson process with a rate
+// per second.
 func exponential(rng *rand.Rand, rate float64) time.Duration {
 	return time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
 }
--- a/coordination/loadbench/serving.go
+++ b/coordination/loadbench/serving.go
@@ -9,84 +9,87 @@
 	"endiveplank/protocol"
 )
 
-// Policy is how the engine's owner admits.
-type Policy uint8
+// AdmissionPolicy is how the engine's owner admits requests.
+type AdmissionPolicy uint8
 
 const (
-	// FairQueue is package admission.
-	FairQueue Policy = iota
-	// FirstCome is a first-come queue without bound before the same gate.
+	// FairQueue uses package admission.
+	FairQueue AdmissionPolicy = iota
+	// FirstCome uses an unbounded first-come queue before the same gate.
 	FirstCome
-	// Ungated starts everything at once.
+	// Ungated starts every request at once.
 	Ungated
 )
 
 // ServingConfig describes a run of the Serving model.
 type ServingConfig struct {
 	Seed   uint64
-	Policy Policy
-	// Load is the work sent, as a multiple of the engine's capacity.
+	Policy AdmissionPolicy
+	// Load is the number of tokens sent, as a multiple of the engine's capacity.
 	Load   float64
 	Demand []Demand
 	Phases []Phase
-	// SlowFrom to SlowTo the engine has SlowFactor of its capacity.
+	// Between SlowFrom and SlowTo, the engine has SlowFactor of its capacity.
+	// Zero leaves it at its full capacity.
 	SlowFrom   time.Duration
 	SlowTo     time.Duration
 	SlowFactor float64
-	// Measure starts after the warm-up and ends before End.
-	Warm time.Duration
-	End  time.Duration
+	// The model measures from WarmUp to End.
+	WarmUp time.Duration
+	End    time.Duration
 }
 
-// The engine: 54 streams of 37 tokens per second (27 ms a token) and 2,000 tokens
-// per second in all; the gate allows twelve seconds of work.
+// The engine runs 54 streams at 37 tokens per second each (27 ms for a token), so
+// 2,000 tokens per second in total. The gate admits up to twelve seconds of work.
 const (
-	engineCapacity = 2000.0
-	streamSpeed    = 37.0
-	maxRunning     = 54
-	gateTokens     = 24000
+	engineCapacity       = 2000.0
+	streamSpeed          = 37.0
+	maxRunning           = 54
+	maxOutstandingTokens = 24000
 )
 
-// CustomerResult counts what one customer's callers saw of the requests that
-// they sent after the warm-up.
+// CustomerResult counts the requests that one customer sent after the warm-up,
+// by what its callers saw.
 type CustomerResult struct {
 	Sent    int
 	InTime  int
 	Late    int
 	Refused int
-	// Waits and Latencies are the times to start and to the whole answer, of
-	// answered requests.
+	// Waits are the times from sending to start, and Latencies those from sending
+	// to the complete answer. Both cover only requests that the engine finished.
 	Waits     []time.Duration
 	Latencies []time.Duration
-	// RunTokens counts the work that the engine finished after the warm-up, and
-	// GoodTokens that of it which was in time.
-	RunTokens  int
-	GoodTokens int
+	// FinishedTokens counts the tokens of requests that the engine finished after
+	// the warm-up, and GoodTokens those of requests finished by their deadline.
+	FinishedTokens int
+	GoodTokens     int
 }
 
-// ServingResult is what a run counted.
+// ServingResult is the result of a run of the Serving model.
 type ServingResult struct {
 	Customers map[protocol.CustomerID]*CustomerResult
-	// Goodput is the work of answers in time over what the engine could do.
+	// Goodput is the number of tokens in answers in time, as a part of what the
+	// engine could generate after the warm-up.
 	Goodput float64
-	// SlowRefusals counts refusals that were not given at once on arrival.
-	SlowRefusals int
+	// LateRefusals counts requests that were refused after they had waited in the
+	// queue, and not at once on arrival.
+	LateRefusals int
 	// NoRetryAfter counts refusals without a Retry-After.
 	NoRetryAfter int
 }
 
 type serving struct {
 	Clock
-	config  ServingConfig
-	rng     *rand.Rand
-	engine  *sharedEngine
-	queue   *admission.Queue
-	fifo    []*job
-	jobs    map[protocol.RequestID]*job
-	sent    int
-	expiry  time.Duration
-	result  ServingResult
-	drained float64
+	config           ServingConfig
+	rng              *rand.Rand
+	engine           *batchingEngine
+	queue            *admission.Queue
+	fifo             []*job
+	queued           map[protocol.RequestID]*job
+	sent             int
+	nextExpiryEvent  time.Duration
+	result           ServingResult
+	unreportedTokens float64
 }
 
 // RunServing runs the model once.
@@ -95,50 +98,51 @@
 		config: config,
 		rng:    rand.New(rand.NewPCG(config.Seed, 1)),
 		queue:  admission.New(admission.DefaultConfig(engineCapacity, streamSpeed)),
-		jobs:   make(map[protocol.RequestID]*job),
+		queued: make(map[protocol.RequestID]*job),
 	}
 	s.result.Customers = make(map[protocol.CustomerID]*CustomerResult)
-	s.engine = &sharedEngine{clock: &s.Clock, capacity: engineCapacity, speed: streamSpeed, finished: s.finished}
+	s.engine = &batchingEngine{clock: &s.Clock, capacity: engineCapacity, maxStreamSpeed: streamSpeed, onFinish: s.finished}
 	for i := range config.Demand {
 		d := &config.Demand[i]
 		s.result.Customers[d.Customer] = &CustomerResult{}
-		s.arrivals(d)
+		s.startArrivals(d)
 	}
-	possible := (config.End - config.Warm).Seconds()
+	fullCapacitySeconds := (config.End - config.WarmUp).Seconds()
 	if config.SlowFactor > 0 {
-		s.At(config.SlowFrom, func() { s.slow(config.SlowFactor) })
-		s.At(config.SlowTo, func() { s.slow(1) })
-		possible -= (1 - config.SlowFactor) * (config.SlowTo - config.SlowFrom).Seconds()
+		s.At(config.SlowFrom, func() { s.setSpeedFactor(config.SlowFactor) })
+		s.At(config.SlowTo, func() { s.setSpeedFactor(1) })
+		fullCapacitySeconds -= (1 - config.SlowFactor) * (config.SlowTo - config.SlowFrom).Seconds()
 	}
 	s.Run(config.End)
-	good := 0
+	goodTokens := 0
 	for _, c := range s.result.Customers {
-		good += c.GoodTokens
+		goodTokens += c.GoodTokens
 	}
-	s.result.Goodput = float64(good) / (possible * engineCapacity)
+	s.result.Goodput = float64(goodTokens) / (fullCapacitySeconds * engineCapacity)
 	return s.result
 }
 
-func (s *serving) slow(factor float64) {
-	s.drain()
+func (s *serving) setSpeedFactor(factor float64) {
+	s.recordProgress()
 	s.engine.setCapacity(engineCapacity*factor, streamSpeed*factor)
 }
 
-// arrivals sends a customer's requests, as a Poisson process whose rate the
-// phases change.
-func (s *serving) arrivals(d *Demand) {
-	highest := 1.0
+// startArrivals starts a customer's arrivals, a Poisson process whose rate the
+// phases change. It draws arrivals at the highest rate of any single phase and
+// discards the surplus.
+func (s *serving) startArrivals(d *Demand) {
+	maxFactor := 1.0
 	for _, p := range s.config.Phases {
 		if p.Customer == "" || p.Customer == d.Customer {
-			highest = max(highest, p.Factor)
+			maxFactor = max(maxFactor, p.Factor)
 		}
 	}
-	rate := s.config.Load * engineCapacity * d.Share / d.meanTokens() * highest
+	rate := s.config.Load * engineCapacity * d.Share / d.meanTokens() * maxFactor
 	rng := rand.New(rand.NewPCG(s.config.Seed, uint64(len(d.Customer))<<32|uint64(d.MinTokens)<<16|uint64(d.Share*1000)))
 	var next func()
 	next = func() {
-		tokens := d.draw(rng)
-		if rng.Float64()*highest < factor(s.config.Phases, d.Customer, s.Now()) {
+		tokens := d.drawTokens(rng)
+		if rng.Float64()*maxFactor < rateFactor(s.config.Phases, d.Customer, s.Now()) {
 			s.arrive(d, tokens)
 		}
 		s.After(exponential(rng, rate), next)
@@ -148,17 +152,17 @@
 
 func (s *serving) arrive(d *Demand, tokens int) {
 	s.sent++
-	j := &job{id: s.sent, tokens: tokens, demand: d, sent: s.Now(), deadline: s.Now() + d.Patience}
-	if s.measured(j) {
+	j := &job{id: s.sent, tokens: tokens, demand: d, sentAt: s.Now(), deadline: s.Now() + d.Patience}
+	if s.isMeasured(j) {
 		s.result.Customers[d.Customer].Sent++
 	}
-	s.drain()
+	s.recordProgress()
 	switch s.config.Policy {
 	case Ungated:
 		s.engine.start(j)
 	case FirstCome:
 		s.fifo = append(s.fifo, j)
-		s.fill()
+		s.startWaiting()
 	case FairQueue:
 		s.submit(j)
 	}
@@ -179,29 +183,31 @@
 	case admission.Admitted:
 		s.engine.start(j)
 	case admission.Queued:
-		s.jobs[r.ID] = j
-		s.watchExpiry()
+		s.queued[r.ID] = j
+		s.scheduleExpiry()
 	case admission.Refused:
 		s.refused(j, outcome.RetryAfter)
 	}
 }
 
-// gate admits while the engine has a stream free and less than gateTokens of work.
+// gate reports whether a request may start: the engine must have a free stream, and
+// its work with the request must be at most maxOutstandingTokens.
 func (s *serving) gate(tokens int) bool {
-	return len(s.engine.running) < maxRunning && s.engine.outstanding()+float64(tokens) <= gateTokens
+	return len(s.engine.running) < maxRunning && s.engine.outstandingTokens()+float64(tokens) <= maxOutstandingTokens
 }
 
-// drain tells the queue what the engine has done since the last event.
-func (s *serving) drain() {
+// recordProgress tells the queue how many tokens the engine generated since the
+// last event. It keeps the fraction of a token for the next call.
+func (s *serving) recordProgress() {
 	streams := len(s.engine.running)
-	s.drained += s.engine.advance()
-	whole := int(s.drained)
-	s.drained -= float64(whole)
-	s.queue.RecordProgress(s.Now(), whole, streams)
+	s.unreportedTokens += s.engine.advance()
+	wholeTokens := int(s.unreportedTokens)
+	s.unreportedTokens -= float64(wholeTokens)
+	s.queue.RecordProgress(s.Now(), wholeTokens, streams)
 }
 
-// fill starts what may start now.
-func (s *serving) fill() {
+// startWaiting starts all waiting requests that the gate admits now.
+func (s *serving) startWaiting() {
 	for len(s.fifo) > 0 && s.gate(s.fifo[0].tokens) {
 		s.engine.start(s.fifo[0])
 		s.fifo = s.fifo[1:]
@@ -211,34 +217,36 @@
 		if !ok {
 			break
 		}
-		j := s.jobs[r.ID]
-		delete(s.jobs, r.ID)
+		j := s.queued[r.ID]
+		delete(s.queued, r.ID)
 		s.engine.start(j)
 	}
 	s.expire()
 }
 
-// expire answers the requests whose time has passed in the queue.
+// expire counts the requests that the queue refuses because they can no longer be
+// answered by their deadline.
 func (s *serving) expire() {
 	for _, refusal := range s.queue.Expire(s.Now()) {
-		j := s.jobs[refusal.Request.ID]
-		delete(s.jobs, refusal.Request.ID)
-		s.result.SlowRefusals++
+		j := s.queued[refusal.Request.ID]
+		delete(s.queued, refusal.Request.ID)
+		s.result.LateRefusals++
 		s.refused(j, refusal.RetryAfter)
 	}
 }
 
-// watchExpiry sets the event at which the next request's time passes.
-func (s *serving) watchExpiry() {
+// scheduleExpiry adds the event at which the next request in the queue expires,
+// unless an earlier or equal one is queued.
+func (s *serving) scheduleExpiry() {
 	at, ok := s.queue.NextExpiry()
-	if !ok || s.expiry > s.Now() && s.expiry <= at {
+	if !ok || s.nextExpiryEvent > s.Now() && s.nextExpiryEvent <= at {
 		return
 	}
-	s.expiry = at
+	s.nextExpiryEvent = at
 	s.At(at, func() {
-		s.drain()
-		s.fill()
-		s.watchExpiry()
+		s.recordProgress()
+		s.startWaiting()
+		s.scheduleExpiry()
 	})
 }
 
@@ -246,31 +254,31 @@
 	if retryAfter <= 0 {
 		s.result.NoRetryAfter++
 	}
-	if s.measured(j) {
+	if s.isMeasured(j) {
 		s.result.Customers[j.demand.Customer].Refused++
 	}
 }
 
 func (s *serving) finished(j *job) {
-	s.drain()
+	s.recordProgress()
 	c := s.result.Customers[j.demand.Customer]
 	inTime := s.Now() <= j.deadline
-	if s.Now() >= s.config.Warm {
-		c.RunTokens += j.tokens
+	if s.Now() >= s.config.WarmUp {
+		c.FinishedTokens += j.tokens
 		if inTime {
 			c.GoodTokens += j.tokens
 		}
 	}
-	if s.measured(j) {
-		c.Waits = append(c.Waits, j.started-j.sent)
-		c.Latencies = append(c.Latencies, s.Now()-j.sent)
+	if s.isMeasured(j) {
+		c.Waits = append(c.Waits, j.startedAt-j.sentAt)
+		c.Latencies = append(c.Latencies, s.Now()-j.sentAt)
 		if inTime {
 			c.InTime++
 		} else {
 			c.Late++
 		}
 	}
-	s.fill()
+	s.startWaiting()
 }
 
-func (s *serving) measured(j *job) bool { return j.sent >= s.config.Warm }
+func (s *serving) isMeasured(j *job) bool { return j.sentAt >= s.config.WarmUp }
--- a/coordination/loadbench/serving_scenarios.go
+++ b/coordination/loadbench/serving_scenarios.go
@@ -8,11 +8,11 @@
 	"endiveplank/protocol"
 )
 
-// servingScenarios asks what callers see of one owner's queue under load.
+// servingScenarios measure what callers see of one owner's queue under load.
 func servingScenarios() []Scenario {
 	return []Scenario{
-		saturated(1.5, Mix()),
-		saturated(3, Mix()),
+		saturated(1.5, WorkloadMix()),
+		saturated(3, WorkloadMix()),
 		urgentSaturation(),
 		surge(),
 		burst(),
@@ -22,22 +22,23 @@
 }
 
 const (
-	warmUp      = 60 * time.Second
-	servingEnd  = 300 * time.Second
-	summaries   = protocol.CustomerID("summaries")
-	longWork    = protocol.CustomerID("long-questions")
-	surging     = protocol.CustomerID("dispatch-large")
-	surgeFactor = 10
-	// usualLoad is the load under which a surge, a burst or a slow upstream comes.
-	usualLoad = 0.8
+	warmUp          = 60 * time.Second
+	servingEnd      = 300 * time.Second
+	summaries       = protocol.CustomerID("summaries")
+	longQuestions   = protocol.CustomerID("long-questions")
+	surgingCustomer = protocol.CustomerID("dispatch-large")
+	surgeFactor     = 10
+	// normalLoad is the load before the surge.
+	normalLoad = 0.8
 )
 
 func servingConfig(load float64, demand []Demand) ServingConfig {
-	return ServingConfig{Load: load, Demand: demand, Warm: warmUp, End: servingEnd}
+	return ServingConfig{Load: load, Demand: demand, WarmUp: warmUp, End: servingEnd}
 }
 
-// pooled runs all seeds and adds up what they counted. Goodput is the lowest.
-func pooled(config ServingConfig, policy Policy) ServingResult {
+// runAllSeeds runs all seeds and adds up their results. Its Goodput is the lowest of
+// all runs.
+func runAllSeeds(config ServingConfig, policy AdmissionPolicy) ServingResult {
 	config.Policy = policy
 	all := ServingResult{Customers: make(map[protocol.CustomerID]*CustomerResult), Goodput: 1e9}
 	for _, d := range config.Demand {
@@ -47,7 +48,7 @@
 		config.Seed = seed
 		r := RunServing(config)
 		all.Goodput = min(all.Goodput, r.Goodput)
-		all.SlowRefusals += r.SlowRefusals
+		all.LateRefusals += r.LateRefusals
 		all.NoRetryAfter += r.NoRetryAfter
 		for customer, c := range r.Customers {
 			all.Customers[customer].add(c)
@@ -63,11 +64,11 @@
 	c.Refused += other.Refused
 	c.Waits = append(c.Waits, other.Waits...)
 	c.Latencies = append(c.Latencies, other.Latencies...)
-	c.RunTokens += other.RunTokens
+	c.FinishedTokens += other.FinishedTokens
 	c.GoodTokens += other.GoodTokens
 }
 
-// class adds up the customers of one class.
+// class returns the sum of the results of the customers of one class.
 func (r *ServingResult) class(demand []Demand, class admission.Class) *CustomerResult {
 	sum := &CustomerResult{}
 	for _, d := range demand {
@@ -78,22 +79,23 @@
 	return sum
 }
 
-// share is the part of all work run that was one customer's, in percent.
+// share returns one customer's share of all finished tokens, in percent.
 func (r *ServingResult) share(customer protocol.CustomerID) float64 {
 	total := 0
 	for _, c := range r.Customers {
-		total += c.RunTokens
+		total += c.FinishedTokens
 	}
-	return percent(r.Customers[customer].RunTokens, total)
+	return percent(r.Customers[customer].FinishedTokens, total)
 }
 
-// toldLate is the part of refusals that were not given at once, in percent.
-func (r *ServingResult) toldLate() float64 {
+// lateRefusalPct returns the share of refusals that were not given at once, in
+// percent.
+func (r *ServingResult) lateRefusalPct() float64 {
 	refused := 0
 	for _, c := range r.Customers {
 		refused += c.Refused
 	}
-	return percent(r.SlowRefusals, refused)
+	return percent(r.LateRefusals, refused)
 }
 
 func percent(part, whole int) float64 {
@@ -103,90 +105,91 @@
 	return 100 * float64(part) / float64(whole)
 }
 
-func goodputs(config ServingConfig) []Metric {
+func baselineGoodputs(config ServingConfig) []Metric {
 	return []Metric{
-		{"first-come-goodput-pct", 100 * pooled(config, FirstCome).Goodput},
-		{"ungated-goodput-pct", 100 * pooled(config, Ungated).Goodput},
+		{"first-come-goodput-pct", 100 * runAllSeeds(config, FirstCome).Goodput},
+		{"ungated-goodput-pct", 100 * runAllSeeds(config, Ungated).Goodput},
 	}
 }
 
 func saturated(load float64, demand []Demand) Scenario {
 	return Scenario{Name: fmt.Sprintf("serving/saturated=%g", load), Run: func() []Metric {
 		config := servingConfig(load, demand)
-		r := pooled(config, FairQueue)
+		r := runAllSeeds(config, FairQueue)
 		urgent := r.class(demand, 0)
-		firstCome := pooled(config, FirstCome)
-		return append(goodputs(config),
+		firstCome := runAllSeeds(config, FirstCome)
+		return append(baselineGoodputs(config),
 			Metric{"goodput-pct", 100 * r.Goodput},
 			Metric{"urgent-wait-p50-ms", milliseconds(Quantile(urgent.Waits, 0.5))},
 			Metric{"urgent-wait-p99-ms", milliseconds(Quantile(urgent.Waits, 0.99))},
 			Metric{"first-come-urgent-wait-p99-ms", milliseconds(Quantile(firstCome.class(demand, 0).Waits, 0.99))},
 			Metric{"late-pct", percent(urgent.Late, urgent.Sent)},
 			Metric{"summaries-share-pct", r.share(summaries)},
-			Metric{"told-late-pct", r.toldLate()},
+			Metric{"told-late-pct", r.lateRefusalPct()},
 			Metric{"no-retry-after", float64(r.NoRetryAfter)},
 		)
 	}}
 }
 
-// urgentSaturation sends 2.7 times the capacity in class 0 alone.
+// urgentSaturation sends 2.7 times the capacity in class 0 alone. The lower classes
+// must not starve.
 func urgentSaturation() Scenario {
 	return Scenario{Name: "serving/urgent-saturation", Run: func() []Metric {
-		demand := UrgentOnly(0.9)
-		r := pooled(servingConfig(3, demand), FairQueue)
+		demand := UrgentMix(0.9)
+		r := runAllSeeds(servingConfig(3, demand), FairQueue)
 		return []Metric{
 			{"goodput-pct", 100 * r.Goodput},
 			{"summaries-share-pct", r.share(summaries)},
-			{"told-late-pct", r.toldLate()},
+			{"told-late-pct", r.lateRefusalPct()},
 		}
 	}}
 }
 
-// surge compares the latencies of all customers but one with and without a
-// surge of that one.
+// surge compares the latencies of the other customers with and without a surge of
+// one customer, which must not slow the others down much.
 func surge() Scenario {
 	return Scenario{Name: "serving/surge=10", Run: func() []Metric {
-		calm := servingConfig(usualLoad, Mix())
-		stormy := calm
-		stormy.Phases = []Phase{{Customer: surging, Factor: surgeFactor, To: servingEnd}}
-		r := pooled(stormy, FairQueue)
-		urgent, all := movedP99(calm, stormy, FairQueue)
-		_, firstCome := movedP99(calm, stormy, FirstCome)
+		baseline := servingConfig(normalLoad, WorkloadMix())
+		surged := baseline
+		surged.Phases = []Phase{{Customer: surgingCustomer, Factor: surgeFactor, To: servingEnd}}
+		r := runAllSeeds(surged, FairQueue)
+		urgent, all := maxP99Increase(baseline, surged, FairQueue)
+		_, firstCome := maxP99Increase(baseline, surged, FirstCome)
 		return []Metric{
 			{"goodput-pct", 100 * r.Goodput},
 			{"others-p99-moved-pct", all},
 			{"urgent-others-p99-moved-pct", urgent},
 			{"first-come-others-p99-moved-pct", firstCome},
-			{"told-late-pct", r.toldLate()},
+			{"told-late-pct", r.lateRefusalPct()},
 		}
 	}}
 }
 
-// movedP99 returns by how many percent the p99 of the total latency grew for the
-// customer it grew most for, among class 0 and among all.
-func movedP99(calm, stormy ServingConfig, policy Policy) (urgent, all float64) {
-	before, after := pooled(calm, policy), pooled(stormy, policy)
-	for _, d := range calm.Demand {
-		if d.Customer == surging {
+// maxP99Increase returns the largest increase of a customer's p99 total latency, in
+// percent, among the customers of class 0 and among all, without the surging one.
+func maxP99Increase(baseline, surged ServingConfig, policy AdmissionPolicy) (urgent, all float64) {
+	before, after := runAllSeeds(baseline, policy), runAllSeeds(surged, policy)
+	for _, d := range baseline.Demand {
+		if d.Customer == surgingCustomer {
 			continue
 		}
-		was := Quantile(before.Customers[d.Customer].Latencies, 0.99)
-		is := Quantile(after.Customers[d.Customer].Latencies, 0.99)
-		moved := 100 * (float64(is)/float64(was) - 1)
-		all = max(all, moved)
+		p99Before := Quantile(before.Customers[d.Customer].Latencies, 0.99)
+		p99After := Quantile(after.Customers[d.Customer].Latencies, 0.99)
+		increase := 100 * (float64(p99After)/float64(p99Before) - 1)
+		all = max(all, increase)
 		if d.Class == 0 {
-			urgent = max(urgent, moved)
+			urgent = max(urgent, increase)
 		}
 	}
 	return urgent, all
 }
 
-// burst has all customers send five times as much for two of every 20 seconds.
+// burst multiplies the rates of all customers by five for two of every 20 seconds.
 func burst() Scenario {
 	return Scenario{Name: "serving/burst", Run: func() []Metric {
-		config := servingConfig(0.6, Mix())
-		config.Phases = []Phase{{Factor: 5, To: 2 * time.Second, Every: 20 * time.Second}}
-		r, firstCome := pooled(config, FairQueue), pooled(config, FirstCome)
+		config := servingConfig(0.6, WorkloadMix())
+		config.Phases = []Phase{{Factor: 5, To: 2 * time.Second, Period: 20 * time.Second}}
+		r, firstCome := runAllSeeds(config, FairQueue), runAllSeeds(config, FirstCome)
 		urgent := r.class(config.Demand, 0)
 		return []Metric{
 			{"urgent-refused-pct", percent(urgent.Refused, urgent.Sent)},
@@ -196,15 +199,15 @@
 	}}
 }
 
-// slowUpstream leaves the engine 30% of its capacity for a while, at 1.5 times
-// the usual capacity's load.
+// slowUpstream reduces the engine to 30% of its capacity for two minutes. The load
+// is 1.5 times the full capacity.
 func slowUpstream() Scenario {
 	return Scenario{Name: "serving/slow-upstream", Run: func() []Metric {
-		config := servingConfig(1.5, Mix())
+		config := servingConfig(1.5, WorkloadMix())
 		config.SlowFrom, config.SlowTo, config.SlowFactor = 120*time.Second, 240*time.Second, 0.3
-		r := pooled(config, FairQueue)
+		r := runAllSeeds(config, FairQueue)
 		urgent := r.class(config.Demand, 0)
-		return append(goodputs(config),
+		return append(baselineGoodputs(config),
 			Metric{"goodput-pct", 100 * r.Goodput},
 			Metric{"late-pct", percent(urgent.Late, urgent.Sent)},
 			Metric{"urgent-wait-p99-ms", milliseconds(Quantile(urgent.Waits, 0.99))},
@@ -212,25 +215,25 @@
 	}}
 }
 
-// longAndShort sends half of all work as long requests of one customer, just
-// above the capacity.
+// longAndShort runs just above the capacity, with 40% of all tokens in long requests
+// of one customer. Short requests must not wait behind them.
 func longAndShort() Scenario {
 	return Scenario{Name: "serving/long-and-short", Run: func() []Metric {
-		demand := Mix()
+		demand := WorkloadMix()
 		for i := range demand {
-			if demand[i].Customer == longWork {
+			if demand[i].Customer == longQuestions {
 				demand[i].Share += 0.5
 			}
 			demand[i].Share /= 1.5
 		}
 		config := servingConfig(1.1, demand)
-		r, firstCome := pooled(config, FairQueue), pooled(config, FirstCome)
+		r, firstCome := runAllSeeds(config, FairQueue), runAllSeeds(config, FirstCome)
 		short := protocol.CustomerID("households")
 		return []Metric{
 			{"goodput-pct", 100 * r.Goodput},
 			{"short-wait-p99-ms", milliseconds(Quantile(r.Customers[short].Waits, 0.99))},
 			{"first-come-short-wait-p99-ms", milliseconds(Quantile(firstCome.Customers[short].Waits, 0.99))},
-			{"long-share-pct", r.share(longWork)},
+			{"long-share-pct", r.share(longQuestions)},
 		}
 	}}
 }
--- a/coordination/loadbench/stall.go
+++ b/coordination/loadbench/stall.go
@@ -8,45 +8,48 @@
 	"endiveplank/coordination/stream"
 )
 
-// StallConfig describes a run of the Stall model: streams of one engine whose
-// waits between tokens are log-normal, with pauses now and then, and of which some
-// connections go silent for good.
+// StallConfig describes a run of the Stall model: streams of one engine. The waits
+// between their tokens are log-normal, with an occasional pause. Some connections
+// fall silent for good.
 type StallConfig struct {
 	Seed    uint64
 	Streams int
-	// Median is the usual wait between tokens, and Sigma its spread.
+	// Median and Sigma are the parameters of the log-normal wait between tokens.
 	Median time.Duration
 	Sigma  float64
-	// One in PauseEvery waits is a pause of up to PauseMost.
+	// One in PauseEvery waits, on average, is a pause of up to MaxPause.
 	PauseEvery int
-	PauseMost  time.Duration
-	// SilentShare of the streams fall silent at some token.
+	MaxPause   time.Duration
+	// SilentShare is the share of streams that fall silent at a random token.
 	SilentShare float64
-	// Fixed replaces the learnt limit by a timeout where it is above zero.
-	Fixed time.Duration
+	// FixedTimeout replaces the learned timeout if it is above zero.
+	FixedTimeout time.Duration
 }
 
-// StallResult is what a run counted.
+// StallResult is the result of a run of the Stall model.
 type StallResult struct {
-	// FalsePerMillion counts stalls called on live streams, per million tokens.
-	FalsePerMillion float64
-	// Detection is the mean time from a stream's last token to its reconnection.
-	Detection time.Duration
-	// Missed counts silent streams that were not noticed.
+	// FalseStallsPerMillion counts live streams taken for stalled, per million
+	// tokens.
+	FalseStallsPerMillion float64
+	// DetectionTime is the mean time from a silent stream's last token to its
+	// reconnection.
+	DetectionTime time.Duration
+	// Missed counts silent streams that were not detected.
 	Missed int
 }
 
-// RunStall runs the model once, stream after stream.
+// RunStall runs the model once. The streams run one after another and share one
+// estimator.
 func RunStall(config StallConfig) StallResult {
 	const tokensPerStream = 200
 	rng := rand.New(rand.NewPCG(config.Seed, 5))
-	pace := stream.NewWaitEstimator(stallPace(config))
+	estimator := stream.NewWaitEstimator(estimatorConfig(config))
 	var result StallResult
-	tokens, falseAlarms, silent := 0, 0, 0
-	var detection time.Duration
+	tokens, falseStalls, silent := 0, 0, 0
+	var detectionTime time.Duration
 	for range config.Streams {
 		now := time.Duration(0)
-		watch := stream.NewMonitor(now, stream.DefaultMonitorConfig())
+		monitor := stream.NewMonitor(now, stream.DefaultMonitorConfig())
 		silentAt := -1
 		if rng.Float64() < config.SilentShare {
 			silentAt = 1 + rng.IntN(tokensPerStream-1)
@@ -54,54 +57,54 @@
 		for i := range tokensPerStream {
 			if i == silentAt {
 				silent++
-				step := watch.Check(now, pace)
-				after := watch.Check(step.CheckAt, pace)
-				if after.Action != stream.Reconnect {
+				first := monitor.Check(now, estimator)
+				second := monitor.Check(first.CheckAt, estimator)
+				if second.Action != stream.Reconnect {
 					result.Missed++
 				}
-				detection += step.CheckAt - now
+				detectionTime += first.CheckAt - now
 				break
 			}
 			wait := drawWait(config, rng)
 			now += wait
-			if watch.Check(now-1, pace).Action != stream.Wait {
-				falseAlarms++
-				watch = stream.NewMonitor(now, stream.DefaultMonitorConfig())
+			if monitor.Check(now-1, estimator).Action != stream.Wait {
+				falseStalls++
+				monitor = stream.NewMonitor(now, stream.DefaultMonitorConfig())
 				continue
 			}
 			tokens++
-			if sample, ok := watch.Progress(now, i+1); ok {
-				pace.Observe(sample)
+			if sample, ok := monitor.Progress(now, i+1); ok {
+				estimator.Observe(sample)
 			}
 		}
 	}
-	result.FalsePerMillion = 1e6 * float64(falseAlarms) / float64(tokens)
-	result.Detection = detection / time.Duration(max(silent, 1))
+	result.FalseStallsPerMillion = 1e6 * float64(falseStalls) / float64(tokens)
+	result.DetectionTime = detectionTime / time.Duration(max(silent, 1))
 	return result
 }
 
 func drawWait(config StallConfig, rng *rand.Rand) time.Duration {
 	if rng.IntN(config.PauseEvery) == 0 {
-		return time.Duration(rng.Float64() * float64(config.PauseMost))
+		return time.Duration(rng.Float64() * float64(config.MaxPause))
 	}
 	return time.Duration(float64(config.Median) * math.Exp(config.Sigma*rng.NormFloat64()))
 }
 
-func stallPace(config StallConfig) stream.WaitEstimatorConfig {
-	pace := stream.DefaultWaitEstimatorConfig()
-	if config.Fixed > 0 {
-		for i := range pace.Phases {
-			pace.Phases[i] = stream.Limits{Initial: config.Fixed, Min: config.Fixed, Max: config.Fixed}
+func estimatorConfig(config StallConfig) stream.WaitEstimatorConfig {
+	estimator := stream.DefaultWaitEstimatorConfig()
+	if config.FixedTimeout > 0 {
+		for i := range estimator.Phases {
+			estimator.Phases[i] = stream.Limits{Initial: config.FixedTimeout, Min: config.FixedTimeout, Max: config.FixedTimeout}
 		}
 	}
-	return pace
+	return estimator
 }
 
-// stallScenarios asks how soon a silent connection is noticed, and how often a
-// live stream is taken for one, on a usual and on a heavily loaded engine.
+// stallScenarios measure how soon a silent connection is detected and how often a
+// live stream is taken for a silent one, on a usual and on a heavily loaded engine.
 func stallScenarios() []Scenario {
-	usual := StallConfig{Median: 20 * time.Millisecond, PauseMost: 300 * time.Millisecond}
-	loaded := StallConfig{Median: 150 * time.Millisecond, PauseMost: 2500 * time.Millisecond}
+	usual := StallConfig{Median: 20 * time.Millisecond, MaxPause: 300 * time.Millisecond}
+	loaded := StallConfig{Median: 150 * time.Millisecond, MaxPause: 2500 * time.Millisecond}
 	return []Scenario{
 		stallScenario("stall/usual-engine", usual),
 		stallScenario("stall/loaded-engine", loaded),
@@ -116,16 +119,16 @@
 	config.SilentShare = 0.05
 	return Scenario{Name: name, Run: func() []Metric {
 		r := RunStall(config)
-		config.Fixed = time.Second
+		config.FixedTimeout = time.Second
 		short := RunStall(config)
-		config.Fixed = 10 * time.Second
+		config.FixedTimeout = 10 * time.Second
 		long := RunStall(config)
 		return []Metric{
-			{"false-per-million", r.FalsePerMillion},
-			{"detection-ms", milliseconds(r.Detection)},
+			{"false-per-million", r.FalseStallsPerMillion},
+			{"detection-ms", milliseconds(r.DetectionTime)},
 			{"missed", float64(r.Missed)},
-			{"fixed-1s-false-per-million", short.FalsePerMillion},
-			{"fixed-10s-detection-ms", milliseconds(long.Detection)},
+			{"fixed-1s-false-per-million", short.FalseStallsPerMillion},
+			{"fixed-10s-detection-ms", milliseconds(long.DetectionTime)},
 		}
 	}}
 }
--- a/coordination/loadbench/storm.go
+++ b/coordination/loadbench/storm.go
@@ -12,60 +12,63 @@
 type RetryPolicy uint8
 
 const (
-	// Budgeted retries by package retry.
+	// Budgeted uses the retry budgets of package retry.
 	Budgeted RetryPolicy = iota
-	// FixedRetries retries each failed request three times.
+	// FixedRetries retries each failed request up to three times.
 	FixedRetries
-	// Unbounded retries until the caller's deadline.
+	// Unbounded retries as long as another attempt can end by the caller's deadline.
 	Unbounded
 )
 
-// StormConfig describes a run of the Storm model.
+// StormConfig describes a run of the Storm model: routers that retry failed
+// attempts against a pool that is saturated or unavailable.
 type StormConfig struct {
 	Seed    uint64
 	Policy  RetryPolicy
 	Routers int
-	// Load is the fresh work, as a multiple of the pool's capacity.
+	// Load is the rate of first attempts, as a multiple of the pool's capacity.
 	Load float64
-	// The pool does no work from LostFrom to LostTo.
-	LostFrom time.Duration
-	LostTo   time.Duration
-	End      time.Duration
+	// The pool starts no attempt between OutageFrom and OutageTo.
+	OutageFrom time.Duration
+	OutageTo   time.Duration
+	End        time.Duration
 }
 
-// StormResult is what a run counted.
+// StormResult is the result of a run of the Storm model.
 type StormResult struct {
-	// Amplification is attempts per fresh request, Worst the highest over any
-	// 10 s in which fresh requests came.
-	Amplification float64
-	Worst         float64
-	// Answered is the part of fresh requests that were answered in time.
-	Answered float64
-	// Recovery is how long after LostTo 95 of 100 fresh requests sent within
-	// one second were answered again; End if never.
+	// Amplification is the number of attempts per request over the whole run.
+	// WorstAmplification is the highest such number over any 10 s.
+	Amplification      float64
+	WorstAmplification float64
+	// AnsweredShare is the share of requests of which an attempt was answered
+	// within its timeout.
+	AnsweredShare float64
+	// Recovery is the time from OutageTo to the first second of whose requests at
+	// least 95% were answered, or End if there was none.
 	Recovery time.Duration
 }
 
 const (
-	stormRate      = 200.0 // requests per second that the pool can answer
-	attemptTimeout = 5 * time.Second
-	callerPatience = 30 * time.Second
-	stormTokens    = 300
-	fixedRetries   = 3
-	amplifyWindow  = 10 // seconds
+	stormRate           = 200.0 // requests per second that the pool can answer
+	attemptTimeout      = 5 * time.Second
+	callerTimeout       = 30 * time.Second
+	stormTokens         = 300
+	maxFixedRetries     = 3
+	amplificationWindow = 10 // seconds
 )
 
-// storm is a pool that serves attempts first come first served and works
-// also on those whose routers have given up, as engines do that don't notice.
+// storm models a pool that serves attempts in order of arrival. It also spends time
+// on attempts whose routers have given up, like engines that don't notice this.
 type storm struct {
 	Clock
 	config  StormConfig
 	rng     *rand.Rand
 	budgets []*retry.Budget
 	queue   []*attempt
-	serving bool
-	// Per second of sending.
-	fresh    []int
+	busy    bool
+	// requests, attempts and answered are counted per second. An answer counts in
+	// the second in which its request was first sent.
+	requests []int
 	attempts []int
 	answered []int
 }
@@ -87,7 +90,7 @@
 	s := &storm{
 		config:   config,
 		rng:      rand.New(rand.NewPCG(config.Seed, 2)),
-		fresh:    make([]int, seconds),
+		requests: make([]int, seconds),
 		attempts: make([]int, seconds),
 		answered: make([]int, seconds),
 	}
@@ -97,66 +100,67 @@
 	var next func()
 	next = func() {
 		r := &stormRequest{router: s.rng.IntN(config.Routers), sent: s.Now()}
-		s.fresh[s.second(r.sent)]++
+		s.requests[s.second(r.sent)]++
 		s.budgets[r.router].RecordFirstAttempt(s.Now(), stormTokens)
-		s.try(r, 1)
+		s.startAttempt(r, 1)
 		s.After(exponential(s.rng, config.Load*stormRate), next)
 	}
 	s.At(0, next)
-	s.At(config.LostTo, s.serve)
+	s.At(config.OutageTo, s.serveNext)
 	s.Run(config.End)
 	return s.result()
 }
 
 func (s *storm) second(at time.Duration) int { return int(at / time.Second) }
 
-func (s *storm) try(r *stormRequest, number int) {
+func (s *storm) startAttempt(r *stormRequest, number int) {
 	a := &attempt{request: r, number: number}
 	s.attempts[s.second(s.Now())]++
 	s.queue = append(s.queue, a)
 	s.After(attemptTimeout, func() {
 		if !a.done {
 			a.done = true
-			s.failed(a)
+			s.attemptFailed(a)
 		}
 	})
-	s.serve()
+	s.serveNext()
 }
 
-// serve works on the queue while the pool is there.
-func (s *storm) serve() {
-	lost := s.Now() >= s.config.LostFrom && s.Now() < s.config.LostTo
-	if s.serving || lost || len(s.queue) == 0 {
+// serveNext starts the next attempt of the queue, unless the pool is busy or in its
+// outage.
+func (s *storm) serveNext() {
+	inOutage := s.Now() >= s.config.OutageFrom && s.Now() < s.config.OutageTo
+	if s.busy || inOutage || len(s.queue) == 0 {
 		return
 	}
 	a := s.queue[0]
 	s.queue = s.queue[1:]
-	s.serving = true
+	s.busy = true
 	s.After(time.Duration(float64(time.Second)/stormRate), func() {
-		s.serving = false
+		s.busy = false
 		if !a.done {
 			a.done = true
 			s.answered[s.second(a.request.sent)]++
 		}
-		s.serve()
+		s.serveNext()
 	})
 }
 
-func (s *storm) failed(a *attempt) {
-	delay, again := s.decide(a)
-	if again {
-		s.After(delay, func() { s.try(a.request, a.number+1) })
+func (s *storm) attemptFailed(a *attempt) {
+	delay, shouldRetry := s.decideRetry(a)
+	if shouldRetry {
+		s.After(delay, func() { s.startAttempt(a.request, a.number+1) })
 	}
 }
 
-func (s *storm) decide(a *attempt) (time.Duration, bool) {
-	const pause = 100 * time.Millisecond
-	deadline := a.request.sent + callerPatience
+func (s *storm) decideRetry(a *attempt) (time.Duration, bool) {
+	const fixedDelay = 100 * time.Millisecond
+	deadline := a.request.sent + callerTimeout
 	switch s.config.Policy {
 	case FixedRetries:
-		return pause, a.number <= fixedRetries
+		return fixedDelay, a.number <= maxFixedRetries
 	case Unbounded:
-		return pause, s.Now()+attemptTimeout < deadline
+		return fixedDelay, s.Now()+attemptTimeout < deadline
 	}
 	decision := s.budgets[a.request.router].Decide(s.Now(), s.rng, retry.Failure{
 		Attempt:    a.number,
@@ -170,26 +174,26 @@
 
 func (s *storm) result() StormResult {
 	var r StormResult
-	fresh, attempts, answered := 0, 0, 0
-	// Requests of the last seconds may still be on their way.
-	settled := len(s.fresh) - int((callerPatience)/time.Second)
-	for i := range s.fresh {
-		fresh += s.fresh[i]
+	requests, attempts, answered := 0, 0, 0
+	// Requests of the last seconds may still be in flight, so they are left out.
+	settledSeconds := len(s.requests) - int((callerTimeout)/time.Second)
+	for i := range s.requests {
+		requests += s.requests[i]
 		attempts += s.attempts[i]
-		if i < settled {
+		if i < settledSeconds {
 			answered += s.answered[i]
 		}
 	}
-	r.Amplification = float64(attempts) / float64(fresh)
-	r.Answered = float64(answered) / float64(sum(s.fresh[:settled]))
-	for i := 0; i+amplifyWindow < len(s.fresh); i++ {
-		window := float64(sum(s.attempts[i:i+amplifyWindow])) / float64(sum(s.fresh[i:i+amplifyWindow]))
-		r.Worst = max(r.Worst, window)
+	r.Amplification = float64(attempts) / float64(requests)
+	r.AnsweredShare = float64(answered) / float64(sum(s.requests[:settledSeconds]))
+	for i := 0; i+amplificationWindow < len(s.requests); i++ {
+		window := float64(sum(s.attempts[i:i+amplificationWindow])) / float64(sum(s.requests[i:i+amplificationWindow]))
+		r.WorstAmplification = max(r.WorstAmplification, window)
 	}
 	r.Recovery = s.config.End
-	for i := s.second(s.config.LostTo); i < settled; i++ {
-		if float64(s.answered[i]) >= 0.95*float64(s.fresh[i]) {
-			r.Recovery = time.Duration(i)*time.Second - s.config.LostTo
+	for i := s.second(s.config.OutageTo); i < settledSeconds; i++ {
+		if float64(s.answered[i]) >= 0.95*float64(s.requests[i]) {
+			r.Recovery = time.Duration(i)*time.Second - s.config.OutageTo
 			break
 		}
 	}
--- a/coordination/loadbench/storm_scenarios.go
+++ b/coordination/loadbench/storm_scenarios.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// stormScenarios asks how much work retries add when everything fails, and
-// whether the pool recovers after it was lost for a while.
+// stormScenarios measure how many attempts retries add when the pool is saturated
+// or unavailable, and how soon it recovers from an outage.
 func stormScenarios() []Scenario {
 	saturation := StormConfig{Routers: 9, Load: 3, End: 80 * time.Second}
 	loss := StormConfig{
-		Routers:  9,
-		Load:     0.8,
-		LostFrom: 30 * time.Second,
-		LostTo:   45 * time.Second,
-		End:      200 * time.Second,
+		Routers:    9,
+		Load:       0.8,
+		OutageFrom: 30 * time.Second,
+		OutageTo:   45 * time.Second,
+		End:        200 * time.Second,
 	}
 	return []Scenario{
 		{Name: "storm/saturated=3", Run: func() []Metric { return stormMetrics(saturation, false) }},
@@ -29,7 +29,7 @@
 			config.Seed = seed
 			r := RunStorm(config)
 			amplification = max(amplification, r.Amplification)
-			worst = max(worst, r.Worst)
+			worst = max(worst, r.WorstAmplification)
 			recovered = max(recovered, r.Recovery.Seconds())
 		}
 		metrics = append(metrics,
