--- a/coordination/node/crash.go
+++ b/coordination/node/crash.go
@@ -166,7 +166,7 @@
 		return
 	}
 	if !final {
-		n.spillOrEnqueue(now, target, r, false, placement.Answer{Verdict: placement.NoRoom})
+		n.spillOrEnqueue(now, target, r, false, placement.Answer{Verdict: placement.NoCapacity})
 		return
 	}
 	target.heldForTrial = append(target.heldForTrial, r)
@@ -192,7 +192,7 @@
 	hold := n.holdFor(now, target, r)
 	switch hold {
 	case quarantine.HoldNone:
-		r.placeAsk.Stage = placement.Final
+		r.placeQuery.Stage = placement.StageFinal
 		n.decideEngine(now, target, r, true)
 	case quarantine.HoldQuarantined:
 		n.applyHold(now, target, r, hold, true)
