--- a/coordination/fleetstate/machine.go
+++ b/coordination/fleetstate/machine.go
@@ -149,7 +149,7 @@
 	return Result{Ownership: &answer}
 }
 
-func (m *Machine) applyOwnership(index uint64, command Command) (ownership.Answer, []ownership.Touched) {
+func (m *Machine) applyOwnership(index uint64, command Command) (ownership.Answer, []ownership.Change) {
 	switch {
 	case command.Open != nil:
 		return m.ownership.Open(index, *command.Open)
@@ -190,14 +190,14 @@
 	m.changeLog.Record(changes)
 }
 
-func (m *Machine) recordOwnership(index uint64, touched []ownership.Touched) {
+func (m *Machine) recordOwnership(index uint64, touched []ownership.Change) {
 	changes := make([]revlog.Entry[Item], 0, len(touched))
 	for _, t := range touched {
 		item := assignmentItem(t.Upstream)
 		if t.Session != ownership.NoSession {
 			item = sessionItem(t.Session)
 		}
-		changes = append(changes, revlog.Entry[Item]{Revision: index, Item: item, Gone: t.Gone})
+		changes = append(changes, revlog.Entry[Item]{Revision: index, Item: item, Gone: t.Removed})
 	}
 	m.changeLog.Record(changes)
 }
--- a/coordination/ownership/guard.go
+++ b/coordination/ownership/guard.go
@@ -14,43 +14,44 @@
 	Session() SessionID
 }
 
-// Verdict says why an admission is allowed or not.
-type Verdict string
+// Decision says whether an admission is allowed, and if not, why.
+type Decision string
 
 const (
 	// Allowed means that this router owns the upstream now.
-	Allowed Verdict = "allowed"
-	// NoLease means that the router's lease ran out or was never given.
-	NoLease Verdict = "no-lease"
+	Allowed Decision = "allowed"
+	// NoLease means that the router's lease expired or was never granted.
+	NoLease Decision = "no-lease"
 	// NotOwner means that another router, or nobody, owns the upstream.
-	NotOwner Verdict = "not-owner"
-	// Released means that this router gave the upstream up or was asked to.
-	Released Verdict = "released"
+	NotOwner Decision = "not-owner"
+	// Released means that this router released the upstream or was asked to.
+	Released Decision = "released"
 )
 
-// Guard stands in the owner before every single admission to an upstream.
+// Guard checks in the owner every single admission to an upstream.
 //
-// It is made for every admission of a peak of 9,800 requests a second, so it
-// is a few comparisons and a map read. The harm it prevents: a router that was
-// frozen for longer than its lease runs on exactly where it stopped, possibly
-// right before an admission, and would send work to an upstream that another
-// router now counts. A check when the lease was renewed, or by a timer, can
-// lie before the freeze; a check with the present time in each admission
-// cannot.
+// It runs at every admission, at a peak of 9,800 requests a second, so it costs
+// only a few comparisons and a map lookup. It guards against a router that was
+// frozen for longer than its lease: the router resumes exactly where it
+// stopped, possibly right before an admission, and would send a request to an
+// upstream that another router now owns. A check at lease renewal, or by a
+// timer, can have run before the freeze; a check of the current time in each
+// admission can't.
 type Guard struct {
 	lease    Lease
 	lookup   func(protocol.UpstreamID) (Assignment, bool)
 	released map[protocol.UpstreamID]protocol.Fence
 }
 
-// NewGuard returns a guard over the router's lease and its newest view.
+// NewGuard returns a guard that checks the router's lease, and looks up
+// assignments in the router's newest view.
 func NewGuard(lease Lease, lookup func(protocol.UpstreamID) (Assignment, bool)) *Guard {
 	return &Guard{lease: lease, lookup: lookup, released: map[protocol.UpstreamID]protocol.Fence{}}
 }
 
-// MayAdmit decides about one admission at now. The fence goes along with all
-// that the router sends to the upstream.
-func (g *Guard) MayAdmit(now time.Duration, upstream protocol.UpstreamID) (protocol.Fence, Verdict) {
+// MayAdmit decides about one admission at now. The router adds the returned
+// fence to everything it sends to the upstream.
+func (g *Guard) MayAdmit(now time.Duration, upstream protocol.UpstreamID) (protocol.Fence, Decision) {
 	assignment, ok := g.lookup(upstream)
 	if !ok || assignment.Owner == NoSession || assignment.Owner != g.lease.Session() {
 		return 0, NotOwner
@@ -64,9 +65,9 @@
 	return assignment.Fence, Allowed
 }
 
-// Release stops admissions to an upstream under its present assignment and
-// returns what to put into the Release command. It comes before the command
-// is proposed, because that may be committed before its answer arrives.
+// Release stops admissions to an upstream under its current assignment and
+// returns the entry for the Release command. Call it before proposing the
+// command, because the command may be committed before its reply arrives.
 func (g *Guard) Release(upstream protocol.UpstreamID) Held {
 	assignment, _ := g.lookup(upstream)
 	g.released[upstream] = assignment.Fence
--- a/coordination/ownership/planner_test.go
+++ b/coordination/ownership/planner_test.go
@@ -16,7 +16,7 @@
 // CI runs the properties on one seed; -rapid.seed gives others.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// cluster applies plans to a state at once.
+// cluster applies plans to a state without delay.
 type cluster struct {
 	state *State
 	live  []Upstream
@@ -24,18 +24,18 @@
 	moved int
 }
 
-func newCluster(routers, upstreams, sites int) *cluster {
+func newCluster(routers, upstreams, dataCentres int) *cluster {
 	c := &cluster{state: NewState()}
 	for i := range upstreams {
-		c.live = append(c.live, Upstream{ID: protocol.UpstreamID(fmt.Sprint("u", i)), DataCentre: site(i % sites), Capacity: 1})
+		c.live = append(c.live, Upstream{ID: protocol.UpstreamID(fmt.Sprint("u", i)), DataCentre: dataCentre(i % dataCentres), Capacity: 1})
 	}
 	for i := range routers {
-		c.join(i, site(i%sites))
+		c.join(i, dataCentre(i%dataCentres))
 	}
 	return c
 }
 
-func site(i int) protocol.DataCentre { return protocol.DataCentre(fmt.Sprint("dc", i)) }
+func dataCentre(i int) protocol.DataCentre { return protocol.DataCentre(fmt.Sprint("dc", i)) }
 
 func (c *cluster) join(i int, at protocol.DataCentre) SessionID {
 	c.index++
@@ -48,9 +48,9 @@
 	c.state.Close(c.index, Close{id})
 }
 
-// settle applies plans, with owners releasing what they are asked to, until a
-// plan is empty, and returns how many rounds that took.
-func (c *cluster) settle() int {
+// converge applies plans, with owners releasing what they are asked to, until a
+// plan is empty. It returns the number of rounds, or -1 after 200 of them.
+func (c *cluster) converge() int {
 	for round := range 200 {
 		plan := MakePlan(c.state.Sessions(), c.live, c.state.Assignments())
 		if plan.Empty() {
@@ -71,14 +71,15 @@
 	return -1
 }
 
-// Whatever routers and upstreams of whatever size come, stop and go in
-// whatever data centre, the plan settles, every live upstream has an owner, in
-// its own data centre if a router is there, and none is left of the others.
-func TestPlanSettles(t *testing.T) {
+// Routers and upstreams of random capacities join and leave in random data
+// centres. A planner that never stops moving upstreams, leaves one without an
+// owner, or chooses a remote owner although the data centre has a router, fails
+// here. So does one that keeps assignments of upstreams that left.
+func TestPlanConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(0, 0, 1)
 		for step := range rapid.IntRange(1, 25).Draw(t, "steps") {
-			at := site(rapid.IntRange(0, 2).Draw(t, "site"))
+			at := dataCentre(rapid.IntRange(0, 2).Draw(t, "site"))
 			sessions := c.state.Sessions()
 			switch kind := rapid.IntRange(0, 4).Draw(t, "kind"); {
 			case kind < 2:
@@ -91,24 +92,24 @@
 			case kind == 4 && len(c.live) > 0:
 				c.live = c.live[1:]
 			}
-			rounds := c.settle()
-			assert.Assert(t, rounds >= 0, "the plan does not settle")
+			rounds := c.converge()
+			assert.Assert(t, rounds >= 0, "the plan does not converge")
 			checkOwners(t, c)
 		}
 	})
 }
 
 func checkOwners(t *rapid.T, c *cluster) {
-	sites := map[protocol.DataCentre]bool{}
+	dataCentres := map[protocol.DataCentre]bool{}
 	for _, session := range c.state.Sessions() {
-		sites[session.DataCentre] = true
+		dataCentres[session.DataCentre] = true
 	}
 	assert.Assert(t, len(c.state.Assignments()) <= len(c.live))
 	for _, upstream := range c.live {
 		assignment, _ := c.state.Assignment(upstream.ID)
 		owner, ok := c.state.Session(assignment.Owner)
-		assert.Assert(t, ok || len(sites) == 0, "%s has no owner", upstream.ID)
-		assert.Assert(t, !sites[upstream.DataCentre] || owner.DataCentre == upstream.DataCentre, "%s is owned elsewhere", upstream.ID)
+		assert.Assert(t, ok || len(dataCentres) == 0, "%s has no owner", upstream.ID)
+		assert.Assert(t, !dataCentres[upstream.DataCentre] || owner.DataCentre == upstream.DataCentre, "%s is owned elsewhere", upstream.ID)
 	}
 }
 
@@ -120,12 +121,13 @@
 func (l fixedLease) Valid(now time.Duration) bool { return now < l.until }
 func (l fixedLease) Session() SessionID           { return l.session }
 
-// A router owns an upstream, is frozen past its lease, and thaws right before
-// an admission, with its old view. The admission must be refused; so must one
-// after it agreed to give the upstream up, and one to another's upstream.
+// A router owns an upstream, is frozen until after its lease expired, and
+// resumes right before an admission, with its stale view. The guard must refuse
+// the admission, and also one after the router released the upstream, and one
+// to an upstream of another router.
 func TestGuard(t *testing.T) {
 	c := newCluster(1, 2, 1)
-	c.settle()
+	c.converge()
 	guard := NewGuard(fixedLease{3 * time.Second, 1}, c.state.Assignment)
 	fence, verdict := guard.MayAdmit(2*time.Second, "u0")
 	assert.Equal(t, verdict, Allowed)
@@ -150,8 +152,10 @@
 	assert.Equal(t, verdict, Released)
 }
 
-// A router restarts and asks for a session while its old one is still open; an
-// old request arrives late; an answer is lost and the request is sent again.
+// A router restarts and requests a session while its old one is still open, a
+// delayed request of the old process arrives, and a request is repeated because
+// its reply was lost. None of them may give an upstream two owners,
+// and a stopping router may get no upstream.
 func TestOpenSession(t *testing.T) {
 	state := NewState()
 	open := func(index, incarnation uint64) Answer {
@@ -171,38 +175,39 @@
 	assert.Equal(t, len(answer.Assignments), 0, "assigned to a stopping router")
 }
 
-// BenchmarkMoves compares upstreams moved when a router joins, and when one is
-// lost and comes back, with plain rendezvous hashing, where each upstream goes
-// to its first router; and the skew of upstreams over routers.
+// BenchmarkMoves measures how many upstreams move when a router joins and when
+// it is lost again, and the skew of upstreams over routers. It compares the
+// planner with plain rendezvous hashing, where each upstream goes to the first
+// router in its order.
 func BenchmarkMoves(b *testing.B) {
-	for _, size := range []struct{ routers, upstreams, sites int }{{9, 12, 3}, {330, 790, 8}, {1000, 2400, 8}} {
+	for _, size := range []struct{ routers, upstreams, dataCentres int }{{9, 12, 3}, {330, 790, 8}, {1000, 2400, 8}} {
 		b.Run(fmt.Sprintf("routers=%d", size.routers), func(b *testing.B) {
 			const trials = 10
-			var join, plainJoin, back, skew, plainSkew float64
+			var join, plainJoin, loss, skew, plainSkew float64
 			for range b.N {
 				rng := rand.New(rand.NewPCG(1, 3))
-				c := newCluster(size.routers, size.upstreams, size.sites)
-				c.settle()
-				skew, plainSkew = skewOf(c.owners()), skewOf(c.plainOwners())
-				join, plainJoin, back = 0, 0, 0
+				c := newCluster(size.routers, size.upstreams, size.dataCentres)
+				c.converge()
+				skew, plainSkew = skewOf(c.owners()), skewOf(c.rendezvousOwners())
+				join, plainJoin, loss = 0, 0, 0
 				for trial := range trials {
-					before, plain := c.owners(), c.plainOwners()
-					id := c.join(size.routers+trial, site(rng.IntN(size.sites)))
-					c.settle()
+					before, plain := c.owners(), c.rendezvousOwners()
+					id := c.join(size.routers+trial, dataCentre(rng.IntN(size.dataCentres)))
+					c.converge()
 					join += changed(before, c.owners())
-					plainJoin += changed(plain, c.plainOwners())
+					plainJoin += changed(plain, c.rendezvousOwners())
 					before = c.owners()
 					c.close(id)
-					c.settle()
-					back += changed(before, c.owners())
+					c.converge()
+					loss += changed(before, c.owners())
 				}
 			}
 			b.ReportMetric(join/trials, "join-moves")
 			b.ReportMetric(plainJoin/trials, "plain-join-moves")
-			b.ReportMetric(back/trials, "loss-moves")
+			b.ReportMetric(loss/trials, "loss-moves")
 			b.ReportMetric(skew, "skew-max/mean")
 			b.ReportMetric(plainSkew, "plain-skew-max/mean")
-			sessions, assignments := c0(size.routers, size.upstreams, size.sites)
+			sessions, assignments := convergedCluster(size.routers, size.upstreams, size.dataCentres)
 			start := time.Now()
 			MakePlan(sessions.state.Sessions(), sessions.live, assignments)
 			b.ReportMetric(float64(time.Since(start).Microseconds()), "us/plan")
@@ -210,9 +215,9 @@
 	}
 }
 
-func c0(routers, upstreams, sites int) (*cluster, []Assignment) {
-	c := newCluster(routers, upstreams, sites)
-	c.settle()
+func convergedCluster(routers, upstreams, dataCentres int) (*cluster, []Assignment) {
+	c := newCluster(routers, upstreams, dataCentres)
+	c.converge()
 	return c, c.state.Assignments()
 }
 
@@ -224,7 +229,7 @@
 	return owners
 }
 
-func (c *cluster) plainOwners() map[protocol.UpstreamID]SessionID {
+func (c *cluster) rendezvousOwners() map[protocol.UpstreamID]SessionID {
 	owners := map[protocol.UpstreamID]SessionID{}
 	for _, upstream := range c.live {
 		best := -1.0
@@ -260,7 +265,7 @@
 // BenchmarkGuard measures the check before each admission at 790 upstreams.
 func BenchmarkGuard(b *testing.B) {
 	c := newCluster(330, 790, 8)
-	c.settle()
+	c.converge()
 	guard := NewGuard(fixedLease{time.Hour, 1}, c.state.Assignment)
 	b.ReportAllocs()
 	b.ResetTimer()
--- a/coordination/ownership/state.go
+++ b/coordination/ownership/state.go
@@ -9,35 +9,36 @@
 	"endiveplank/protocol"
 )
 
-// SessionID names a router session: the log index of the command that opened
-// it. It grows over the whole fleet and is never used twice.
+// SessionID identifies a router session. It is the log index of the command
+// that opened the session, so IDs grow across the fleet and are never reused.
 type SessionID uint64
 
 // NoSession is the owner of an upstream that nobody owns.
 const NoSession SessionID = 0
 
-// Limits of one command and of the state, against a router or a command gone
-// wrong. They are far above 1,000 routers and 790 servers.
+// Limits of one command and of the state, which bound what a faulty router or
+// command can add. They are far above 1,000 routers and 790 upstreams.
 const (
 	maxSessions  = 10_000
 	maxUpstreams = 50_000
 	maxBatch     = 5_000
-	maxText      = 256
+	maxNameBytes = 256
 )
 
-// Session is one run of a router between two losses of its lease.
+// Session is the period in which a router process holds its lease without a
+// loss.
 type Session struct {
 	ID     SessionID         `msgpack:"i"`
 	Router protocol.RouterID `msgpack:"r"`
 	// Incarnation grows with each start of the router's process.
 	Incarnation uint64              `msgpack:"n"`
 	DataCentre  protocol.DataCentre `msgpack:"d"`
-	// Address is host:port for the fleet's own messages.
+	// Address is the host:port for the fleet's internal messages.
 	Address string `msgpack:"a"`
-	// Capacity is the router's share of upstreams relative to others, 100 for
-	// an ordinary one.
+	// Capacity is the router's share of upstreams relative to other routers;
+	// the usual value is 100.
 	Capacity uint32 `msgpack:"c"`
-	// Stopping routers get no more upstreams.
+	// Stopping means that the router gets no more upstreams.
 	Stopping bool   `msgpack:"s,omitempty"`
 	Revision uint64 `msgpack:"v"`
 }
@@ -47,8 +48,8 @@
 	Upstream protocol.UpstreamID `msgpack:"u"`
 	Owner    SessionID           `msgpack:"o"`
 	// Fence is the log index of the command that assigned the upstream, so it
-	// grows with every change of owner, also when an upstream was forgotten
-	// between.
+	// grows with every change of owner, even if the upstream was removed and
+	// added again in between.
 	Fence protocol.Fence `msgpack:"f"`
 	// Moving asks the owner to release the upstream, so that it can go to
 	// another router.
@@ -70,14 +71,14 @@
 	Session SessionID `msgpack:"s"`
 }
 
-// Close ends a session for ever and frees its upstreams. The leader proposes
-// it only after the session's lease ran out on the leader's clock, or at the
-// request of its router after that stopped admitting.
+// Close ends a session permanently and frees its upstreams. The leader proposes
+// it only after the session's lease has expired by the leader's clock, or when
+// its router asks for it after it stopped admitting requests.
 type Close struct {
 	Session SessionID `msgpack:"s"`
 }
 
-// Target is one upstream and the session that is to own it.
+// Target is one upstream and the session that will own it.
 type Target struct {
 	Upstream protocol.UpstreamID `msgpack:"u"`
 	Owner    SessionID           `msgpack:"o"`
@@ -93,34 +94,35 @@
 	Upstreams []protocol.UpstreamID `msgpack:"u"`
 }
 
-// Held is one upstream as its owner holds it.
+// Held is one upstream that a session owns, and the fence under which it owns
+// it.
 type Held struct {
 	Upstream protocol.UpstreamID `msgpack:"u"`
 	Fence    protocol.Fence      `msgpack:"f"`
 }
 
-// Release frees upstreams, proposed by their owner after it stopped admitting
-// to them.
+// Release frees upstreams. Their owner proposes it after it stopped admitting
+// requests to them.
 type Release struct {
 	Session SessionID `msgpack:"s"`
 	Held    []Held    `msgpack:"h"`
 }
 
-// Forget removes unowned upstreams that are gone for good.
+// Forget removes unowned upstreams that no longer exist.
 type Forget struct {
 	Upstreams []protocol.UpstreamID `msgpack:"u"`
 }
 
-// Outcome says what became of a command.
+// Outcome is the outcome of a command.
 type Outcome string
 
 const (
-	// Done means that the command took effect, wholly or for the upstreams
+	// Done means that the command took effect, fully or for the upstreams
 	// listed in the answer.
 	Done Outcome = "done"
 	// Superseded means that a later incarnation of the router has a session.
 	Superseded Outcome = "superseded"
-	// NoSuchSession means that the session is closed or never was.
+	// NoSuchSession means that the session is closed or never existed.
 	NoSuchSession Outcome = "no-such-session"
 	// Refused means that the command is malformed or beyond a limit.
 	Refused Outcome = "refused"
@@ -134,11 +136,11 @@
 	Assignments []Assignment `msgpack:"a,omitempty"`
 }
 
-// Touched is a session or an assignment changed by a command.
-type Touched struct {
+// Change names a session or an assignment that a command changed or removed.
+type Change struct {
 	Session  SessionID
 	Upstream protocol.UpstreamID
-	Gone     bool
+	Removed  bool
 }
 
 // State holds sessions and assignments. It is not safe for concurrent use.
@@ -179,11 +181,11 @@
 	})
 }
 
-// Open opens a session. A resend of an incarnation that has a session gets
-// that one; an older incarnation than an open one is refused. An older open
-// session of the router is left to its lease: its process may be frozen, not
-// gone.
-func (s *State) Open(index uint64, open Open) (Answer, []Touched) {
+// Open opens a session. A repeated request for an incarnation that has a session
+// returns that session; a request for an older incarnation than an open one is
+// refused. An older open session of the router stays open until its lease
+// expires: its process may be frozen rather than terminated.
+func (s *State) Open(index uint64, open Open) (Answer, []Change) {
 	if !open.valid() || len(s.sessions) >= maxSessions {
 		return Answer{Outcome: Refused}, nil
 	}
@@ -200,7 +202,7 @@
 		DataCentre: open.DataCentre, Address: open.Address,
 		Capacity: open.Capacity, Revision: index,
 	}
-	return Answer{Outcome: Done, Session: id}, []Touched{{Session: id}}
+	return Answer{Outcome: Done, Session: id}, []Change{{Session: id}}
 }
 
 // newest returns the router's open session of the highest incarnation.
@@ -214,12 +216,12 @@
 }
 
 func (o Open) valid() bool {
-	return o.Router != "" && len(o.Router) <= maxText && len(o.DataCentre) <= maxText &&
-		len(o.Address) <= maxText && o.Capacity > 0
+	return o.Router != "" && len(o.Router) <= maxNameBytes && len(o.DataCentre) <= maxNameBytes &&
+		len(o.Address) <= maxNameBytes && o.Capacity > 0
 }
 
 // Stop marks a session as stopping.
-func (s *State) Stop(index uint64, stop Stop) (Answer, []Touched) {
+func (s *State) Stop(index uint64, stop Stop) (Answer, []Change) {
 	session, ok := s.sessions[stop.Session]
 	if !ok {
 		return Answer{Outcome: NoSuchSession}, nil
@@ -230,35 +232,35 @@
 	session.Stopping = true
 	session.Revision = index
 	s.sessions[session.ID] = session
-	return Answer{Outcome: Done, Session: session.ID}, []Touched{{Session: session.ID}}
+	return Answer{Outcome: Done, Session: session.ID}, []Change{{Session: session.ID}}
 }
 
 // Close ends a session and frees its upstreams.
-func (s *State) Close(index uint64, command Close) (Answer, []Touched) {
+func (s *State) Close(index uint64, command Close) (Answer, []Change) {
 	if _, ok := s.sessions[command.Session]; !ok {
 		return Answer{Outcome: NoSuchSession}, nil
 	}
 	delete(s.sessions, command.Session)
 	answer := Answer{Outcome: Done, Session: command.Session}
-	touched := []Touched{{Session: command.Session, Gone: true}}
+	changes := []Change{{Session: command.Session, Removed: true}}
 	for _, assignment := range s.Assignments() {
 		if assignment.Owner == command.Session {
-			s.free(index, assignment, &answer, &touched)
+			s.free(index, assignment, &answer, &changes)
 		}
 	}
-	return answer, touched
+	return answer, changes
 }
 
-// Assign gives upstreams to sessions. An upstream that has an owner is left
-// out, whatever the leader thought when it proposed: only a release or the end
-// of the owner's session frees an upstream, so that never two routers count
-// its load.
-func (s *State) Assign(index uint64, assign Assign) (Answer, []Touched) {
+// Assign gives upstreams to sessions. It skips an upstream that has an owner,
+// whatever view the leader had when it proposed the command: only a release or
+// the end of the owner's session frees an upstream, so that two routers never
+// count its load.
+func (s *State) Assign(index uint64, assign Assign) (Answer, []Change) {
 	if len(assign.Targets) > maxBatch {
 		return Answer{Outcome: Refused}, nil
 	}
 	answer := Answer{Outcome: Done}
-	var touched []Touched
+	var changes []Change
 	for _, target := range assign.Targets {
 		if !s.assignable(target) {
 			continue
@@ -269,13 +271,13 @@
 		}
 		s.assignments[target.Upstream] = assignment
 		answer.Assignments = append(answer.Assignments, assignment)
-		touched = append(touched, Touched{Upstream: target.Upstream})
+		changes = append(changes, Change{Upstream: target.Upstream})
 	}
-	return answer, touched
+	return answer, changes
 }
 
 func (s *State) assignable(target Target) bool {
-	if target.Upstream == "" || len(target.Upstream) > maxText {
+	if target.Upstream == "" || len(target.Upstream) > maxNameBytes {
 		return false
 	}
 	owner, open := s.sessions[target.Owner]
@@ -290,12 +292,12 @@
 }
 
 // Move asks owners to release upstreams.
-func (s *State) Move(index uint64, move Move) (Answer, []Touched) {
+func (s *State) Move(index uint64, move Move) (Answer, []Change) {
 	if len(move.Upstreams) > maxBatch {
 		return Answer{Outcome: Refused}, nil
 	}
 	answer := Answer{Outcome: Done}
-	var touched []Touched
+	var changes []Change
 	for _, upstream := range move.Upstreams {
 		assignment, ok := s.assignments[upstream]
 		if !ok || assignment.Owner == NoSession || assignment.Moving {
@@ -305,15 +307,16 @@
 		assignment.Revision = index
 		s.assignments[upstream] = assignment
 		answer.Assignments = append(answer.Assignments, assignment)
-		touched = append(touched, Touched{Upstream: upstream})
+		changes = append(changes, Change{Upstream: upstream})
 	}
-	return answer, touched
+	return answer, changes
 }
 
-// Release frees upstreams of a session. The fence must be the present one: the
-// upstream can be assigned to the same session again after a first release,
-// and a delayed duplicate of that would then free it while its router admits.
-func (s *State) Release(index uint64, release Release) (Answer, []Touched) {
+// Release frees upstreams of a session. The fence must be the current one: the
+// upstream can be assigned to the same session again after a release, and a
+// delayed duplicate of that release would then free it while its router admits
+// requests.
+func (s *State) Release(index uint64, release Release) (Answer, []Change) {
 	if _, ok := s.sessions[release.Session]; !ok {
 		return Answer{Outcome: NoSuchSession}, nil
 	}
@@ -321,43 +324,43 @@
 		return Answer{Outcome: Refused}, nil
 	}
 	answer := Answer{Outcome: Done, Session: release.Session}
-	var touched []Touched
+	var changes []Change
 	for _, held := range release.Held {
 		assignment, ok := s.assignments[held.Upstream]
 		if ok && assignment.Owner == release.Session && assignment.Fence == held.Fence {
-			s.free(index, assignment, &answer, &touched)
+			s.free(index, assignment, &answer, &changes)
 		}
 	}
-	return answer, touched
+	return answer, changes
 }
 
-func (s *State) free(index uint64, assignment Assignment, answer *Answer, touched *[]Touched) {
+func (s *State) free(index uint64, assignment Assignment, answer *Answer, changes *[]Change) {
 	assignment.Owner = NoSession
 	assignment.Moving = false
 	assignment.Revision = index
 	s.assignments[assignment.Upstream] = assignment
 	answer.Assignments = append(answer.Assignments, assignment)
-	*touched = append(*touched, Touched{Upstream: assignment.Upstream})
+	*changes = append(*changes, Change{Upstream: assignment.Upstream})
 }
 
 // Forget removes upstreams that nobody owns.
-func (s *State) Forget(forget Forget) (Answer, []Touched) {
+func (s *State) Forget(forget Forget) (Answer, []Change) {
 	if len(forget.Upstreams) > maxBatch {
 		return Answer{Outcome: Refused}, nil
 	}
-	var touched []Touched
+	var changes []Change
 	for _, upstream := range forget.Upstreams {
 		assignment, ok := s.assignments[upstream]
 		if !ok || assignment.Owner != NoSession {
 			continue
 		}
 		delete(s.assignments, upstream)
-		touched = append(touched, Touched{Upstream: upstream, Gone: true})
+		changes = append(changes, Change{Upstream: upstream, Removed: true})
 	}
-	return Answer{Outcome: Done}, touched
+	return Answer{Outcome: Done}, changes
 }
 
-// Snapshot is the state as a value with one fixed order.
+// Snapshot is the state as a value in a fixed order.
 type Snapshot struct {
 	Sessions    []Session    `msgpack:"s,omitempty"`
 	Assignments []Assignment `msgpack:"a,omitempty"`
@@ -368,7 +371,7 @@
 	return Snapshot{Sessions: s.Sessions(), Assignments: s.Assignments()}
 }
 
-// FromSnapshot returns the state that a snapshot was taken of.
+// FromSnapshot returns the state that the snapshot holds.
 func FromSnapshot(snapshot Snapshot) *State {
 	state := NewState()
 	for _, session := range snapshot.Sessions {
