--- a/coordination/kvmove/kvmove_test.go
+++ b/coordination/kvmove/kvmove_test.go
@@ -19,16 +19,16 @@
 	return Chat{Key: placement.Key{Root: root}, Deepest: root + 100, Tokens: tokens, UsedAt: now - idle}
 }
 
-// to sends odd roots to a small engine, and even ones to one so fast that
-// prefill there is cheaper than any transfer. Root 0 has no place.
-func to(key placement.Key) (Destination, bool) {
+// placeByRoot sends odd roots to a small engine, and even ones to one so fast
+// that prefill there is cheaper than any transfer. Root 0 has no destination.
+func placeByRoot(key placement.Key) (Destination, bool) {
 	if key.Root%2 == 1 {
 		return Destination{Upstream: "small", Capacity: 100}, true
 	}
 	return Destination{Upstream: "fast", Capacity: 2000}, key.Root != 0
 }
 
-func anyone(protocol.UpstreamID) bool { return true }
+func anyEngine(protocol.UpstreamID) bool { return true }
 
 func TestPlanTakesTheMovesThatSaveMost(t *testing.T) {
 	chats := []Chat{
@@ -45,7 +45,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var got []chat.ChainHash
-			for _, move := range MakePlan(now, chats, to, costs, tc.span) {
+			for _, move := range MakePlan(now, chats, placeByRoot, costs, tc.span) {
 				got = append(got, move.Chat.Key.Root)
 			}
 			assert.DeepEqual(t, got, tc.want)
@@ -58,18 +58,18 @@
 	for i := range chats {
 		list = append(list, chatOf(chat.ChainHash(2*i+1), 5000, 0))
 	}
-	return NewMover(now, now+time.Minute, MakePlan(now, list, to, costs, time.Minute))
+	return NewMover(now, now+time.Minute, MakePlan(now, list, placeByRoot, costs, time.Minute))
 }
 
-// An engine with many chats is drained, and its links answer at once. Without
-// a pace the drain takes the whole link and running streams stall. No more
-// may be started in a span than the planned rate carries, and no more at once
-// than the bound.
+// An engine with many chats is drained, and every move ends as soon as it
+// starts. Without a rate limit the drain takes the whole link, and running
+// streams stall. The mover must start no more moves in a period than the
+// planned rate allows, and have no more in progress than the bound.
 func TestMovesKeepToTheirRate(t *testing.T) {
 	m := drain(50)
 	started := 0
 	for at := now; at < now+5*time.Second; at += 20 * time.Millisecond {
-		for _, move := range m.Next(at, anyone) {
+		for _, move := range m.Next(at, anyEngine) {
 			started++
 			m.Ended(move.Chat.Deepest, true)
 		}
@@ -78,39 +78,40 @@
 	m = drain(50)
 	started = 0
 	for at := now; at < now+5*time.Second; at += 20 * time.Millisecond {
-		started += len(m.Next(at, anyone))
+		started += len(m.Next(at, anyEngine))
 	}
-	assert.Equal(t, started, atOnce)
+	assert.Equal(t, started, maxConcurrent)
 }
 
-// A destination refuses imports, or leaves during the drain, or the drain's
-// end comes. Moves to it would only take bandwidth from those that work.
-func TestMovesThatCantWorkAreDropped(t *testing.T) {
-	run := func(m *Mover, moved bool, takes func(protocol.UpstreamID) bool) {
+// A destination refuses imports or leaves during the drain, or the drain ends.
+// The mover must drop the moves that can't succeed any more: they would only
+// take bandwidth from the others.
+func TestMovesThatCantSucceedAreDropped(t *testing.T) {
+	run := func(m *Mover, moved bool, available func(protocol.UpstreamID) bool) {
 		for at := now; at < now+2*time.Minute; at += 20 * time.Millisecond {
-			for _, move := range m.Next(at, takes) {
+			for _, move := range m.Next(at, available) {
 				m.Ended(move.Chat.Deepest, moved)
 			}
 		}
-		assert.Assert(t, m.Over())
+		assert.Assert(t, m.Done())
 	}
 	refused := drain(20)
-	run(refused, false, anyone)
-	assert.Equal(t, refused.Failed, refusals)
-	assert.Equal(t, refused.Dropped, 20-refusals)
-	gone := drain(20)
-	run(gone, true, func(protocol.UpstreamID) bool { return false })
-	assert.Equal(t, gone.Dropped, 20)
-	late := drain(20)
-	late.until = now + 2*time.Second
-	run(late, true, anyone)
-	assert.Equal(t, late.Moved, 3)
+	run(refused, false, anyEngine)
+	assert.Equal(t, refused.Failed, maxFailures)
+	assert.Equal(t, refused.Dropped, 20-maxFailures)
+	left := drain(20)
+	run(left, true, func(protocol.UpstreamID) bool { return false })
+	assert.Equal(t, left.Dropped, 20)
+	ending := drain(20)
+	ending.until = now + 2*time.Second
+	run(ending, true, anyEngine)
+	assert.Equal(t, ending.Moved, 3)
 }
 
-func TestHotKeepsTheLatest(t *testing.T) {
-	h := NewHot(10)
+func TestRecentChatsKeepsTheLatest(t *testing.T) {
+	h := NewRecentChats(10)
 	for i := range 100 {
-		h.Note(chatOf(chat.ChainHash(i), 10, time.Duration(100-i)*time.Second))
+		h.Record(chatOf(chat.ChainHash(i), 10, time.Duration(100-i)*time.Second))
 	}
 	chats := h.Chats()
 	assert.Assert(t, len(chats) >= 5 && len(chats) <= 10)
--- a/coordination/kvmove/plan.go
+++ b/coordination/kvmove/plan.go
@@ -11,86 +11,89 @@
 	"endiveplank/protocol/chat"
 )
 
-// Chat is a chat whose cache an engine holds.
+// Chat is a chat whose KV cache an engine holds.
 type Chat struct {
-	// Key is what placement orders engines by.
+	// Key is the key by which placement orders the engines for the chat.
 	Key placement.Key
-	// Deepest is the longest prefix that is cached, Tokens its length.
+	// Deepest identifies the longest cached prefix, and Tokens is its length.
 	Deepest chat.ChainHash
 	Tokens  int
-	// UsedAt is when its last turn was.
+	// UsedAt is the time of its last turn.
 	UsedAt time.Duration
 }
 
 // Costs is the cost model of moves.
 type Costs struct {
-	// Transfer is how many tokens' cache one transfer carries in a second.
+	// Transfer is the rate of one transfer, in tokens of cache per second.
 	Transfer float64
-	// Setup is the time of a move beside its transfer.
+	// Setup is the time that a move takes in addition to its transfer.
 	Setup time.Duration
-	// PrefillPerCapacity is how many prompt tokens an engine prefills in a
-	// second for each token a second of its announced capacity.
+	// PrefillPerCapacity is the number of prompt tokens that an engine prefills
+	// per second for each token per second of its announced capacity.
 	PrefillPerCapacity float64
-	// HalfLife is after how long without a turn a chat is half as likely to
-	// have another.
+	// HalfLife is the time without a turn after which a chat is half as likely
+	// to have another turn.
 	HalfLife time.Duration
-	// MaxIdle is how long ago a chat's last turn may be. A destination takes
-	// an import for its most recently used cache and evicts another chat's,
-	// so one that comes back late costs more reuse than it brings.
+	// MaxIdle bounds the time since a chat's last turn. A destination treats an
+	// import as its most recently used cache and evicts the cache of another
+	// chat, so moving a chat that returns late loses more reuse than it gains.
 	MaxIdle time.Duration
 }
 
-// DefaultCosts returns the costs of a deployment that gives none.
+// DefaultCosts returns the costs for a deployment that sets none.
 //
-// Load: chats of some thousands of tokens, six in ten of which return within
-// five minutes. 500,000 tokens a second is 100 Gbit/s at 25 KB a token; a
-// model with more cache a token, or a slower link, needs its own figure, and
-// below some ten times the capacity no move is worthwhile any more. Prefill
+// They assume chats of some thousands of tokens, six in ten of which return
+// within five minutes. 500,000 tokens per second is 100 Gbit/s at 25 KB per
+// token. A model with more cache per token, or a slower link, needs its own
+// value; below about ten times the capacity, no move is worthwhile. Prefill
 // runs about ten times faster than generation. The half-life follows the
-// pauses between turns. With MaxIdle at two minutes the fleet's reuse stays as
-// it is where caches are full, and grows where they have room; see
-// docs/benchmarks/engine-orders.md.
+// pauses between turns. With MaxIdle at two minutes the cache reuse of the
+// fleet is unchanged where caches are full, and grows where they have spare
+// capacity; see docs/benchmarks/engine-orders.md.
 func DefaultCosts() Costs {
 	return Costs{Transfer: 500_000, Setup: 5 * time.Millisecond, PrefillPerCapacity: 10, HalfLife: 10 * time.Minute, MaxIdle: 2 * time.Minute}
 }
 
-// Destination is where a chat's next turn will go.
+// Destination is the engine to which placement will send a chat's next turn.
 type Destination struct {
 	Upstream protocol.UpstreamID
-	// Capacity is as announced, in tokens a second.
+	// Capacity is the announced capacity in tokens per second.
 	Capacity float64
 }
 
-// Move is one cache to move.
+// Move is the move of one chat's cache.
 type Move struct {
 	Chat Chat
 	To   protocol.UpstreamID
-	// Time is what the move takes, Saved the prefill it is expected to save.
+	// Time is the duration of the move, and Saved the prefill time that it is
+	// expected to save.
 	Time, Saved time.Duration
 }
 
-// worth weighs a move. The prefill counts with the chance that the chat has
+// evaluate estimates a move and reports whether it saves more time than it
+// takes. The saved prefill is multiplied by the probability that the chat has
 // another turn at all.
-func (c Costs) worth(now time.Duration, chat Chat, to Destination) (move Move, worthwhile bool) {
+func (c Costs) evaluate(now time.Duration, chat Chat, to Destination) (move Move, worthwhile bool) {
 	prefill := float64(chat.Tokens) / (max(1, to.Capacity) * c.PrefillPerCapacity)
-	chance := math.Exp2(-(now - chat.UsedAt).Seconds() / c.HalfLife.Seconds())
+	probability := math.Exp2(-(now - chat.UsedAt).Seconds() / c.HalfLife.Seconds())
 	move = Move{
 		Chat:  chat,
 		To:    to.Upstream,
 		Time:  c.Setup + seconds(float64(chat.Tokens)/c.Transfer),
-		Saved: seconds(prefill * chance),
+		Saved: seconds(prefill * probability),
 	}
 	return move, move.Saved > move.Time && now-chat.UsedAt <= c.MaxIdle
 }
 
-// MakePlan returns the moves that are cheaper than the prefill they save, the
-// best first, as far as they fit into span, one after the other. place says
-// where a chat's next turn will go; a chat without a place stays.
+// MakePlan returns the moves that take less time than the prefill they save,
+// the best first. It keeps those that, one after the other, fit into span, the
+// time before the engine stops. place returns the engine to which a chat's next
+// turn will go; a chat without such an engine is not moved.
 //
-// Load: an engine with some thousands of chats that leaves in tens of seconds.
-// Harm prevented: its chats all prefill again, at the same time as the other
-// engines take its work over. The limit of span is what the engine gives, and
-// the order makes the most of it.
+// It is meant for an engine with some thousands of chats that leaves within
+// tens of seconds. Without moves, all its chats would prefill again while the
+// other engines take over its requests. Sorting by the time saved per time
+// spent makes the best use of span.
 func MakePlan(now time.Duration, chats []Chat, place func(placement.Key) (Destination, bool), costs Costs, span time.Duration) []Move {
 	var moves []Move
 	for _, candidate := range chats {
@@ -98,18 +101,18 @@
 		if !placed {
 			continue
 		}
-		if move, worthwhile := costs.worth(now, candidate, to); worthwhile {
+		if move, worthwhile := costs.evaluate(now, candidate, to); worthwhile {
 			moves = append(moves, move)
 		}
 	}
 	slices.SortStableFunc(moves, func(a, b Move) int {
 		return cmp.Compare(float64(b.Saved)/float64(b.Time), float64(a.Saved)/float64(a.Time))
 	})
-	return fitting(moves, span)
+	return selectFitting(moves, span)
 }
 
-// fitting leaves out the moves that don't fit any more.
-func fitting(moves []Move, span time.Duration) []Move {
+// selectFitting returns, in order, the moves that still fit into the remaining span.
+func selectFitting(moves []Move, span time.Duration) []Move {
 	var kept []Move
 	for _, move := range moves {
 		if move.Time <= span {
--- a/coordination/kvmove/recentchats.go
+++ b/coordination/kvmove/recentchats.go
@@ -7,33 +7,36 @@
 	"endiveplank/protocol/chat"
 )
 
-// Hot remembers the chats that lately ran on one engine.
-type Hot struct {
+// RecentChats records the chats that recently ran on one engine.
+type RecentChats struct {
 	limit int
 	chats map[chat.ChainHash]Chat
 }
 
-// NewHot returns a memory of about limit chats; each takes some 100 bytes.
-func NewHot(limit int) *Hot { return &Hot{limit: limit, chats: map[chat.ChainHash]Chat{}} }
+// NewRecentChats returns a record of at most limit chats, each of which takes
+// about 100 bytes.
+func NewRecentChats(limit int) *RecentChats {
+	return &RecentChats{limit: limit, chats: map[chat.ChainHash]Chat{}}
+}
 
-// Note notes a turn of a chat, which is known by the root in its key.
-func (h *Hot) Note(turn Chat) {
+// Record records a turn of a chat. The root in the key identifies the chat.
+func (h *RecentChats) Record(turn Chat) {
 	h.chats[turn.Key.Root] = turn
 	if len(h.chats) > h.limit {
-		h.forget()
+		h.evict()
 	}
 }
 
-// forget drops the older half, so that its sorting is paid for by as many
-// turns.
-func (h *Hot) forget() {
+// evict deletes the older half of the chats. Deleting many at once spreads the
+// cost of sorting over as many turns.
+func (h *RecentChats) evict() {
 	for _, old := range h.Chats()[h.limit/2:] {
 		delete(h.chats, old.Key.Root)
 	}
 }
 
-// Chats returns the chats, last used first.
-func (h *Hot) Chats() []Chat {
+// Chats returns the chats, the most recently used first.
+func (h *RecentChats) Chats() []Chat {
 	chats := make([]Chat, 0, len(h.chats))
 	for _, known := range h.chats {
 		chats = append(chats, known)
--- a/coordination/node/kvmove.go
+++ b/coordination/node/kvmove.go
@@ -21,7 +21,7 @@
 // engineActivity is what an owner records about the recent chats of one engine,
 // and the move of their caches.
 type engineActivity struct {
-	hotChats map[protocol.Model]*kvmove.Hot
+	hotChats map[protocol.Model]*kvmove.RecentChats
 	// doneTokens is the work that was completed for each model under the
 	// ownership with the number fence, in tokens as the load bound counts them.
 	doneTokens map[protocol.Model]float64
@@ -42,7 +42,7 @@
 	}
 	activity := n.activity[target.id]
 	if activity == nil {
-		activity = &engineActivity{hotChats: map[protocol.Model]*kvmove.Hot{}}
+		activity = &engineActivity{hotChats: map[protocol.Model]*kvmove.RecentChats{}}
 		n.activity[target.id] = activity
 	}
 	if activity.doneTokens == nil || activity.fence != target.config.Fence {
@@ -52,11 +52,11 @@
 	activity.doneTokens[r.place.Model] += r.cost
 	hot := activity.hotChats[r.place.Model]
 	if hot == nil {
-		hot = kvmove.NewHot(maxHotChats)
+		hot = kvmove.NewRecentChats(maxHotChats)
 		activity.hotChats[r.place.Model] = hot
 	}
 	last := r.placeAsk.Chain[len(r.placeAsk.Chain)-1]
-	hot.Note(kvmove.Chat{Key: placementKey(r.placeAsk), Deepest: last.Hash, Tokens: last.Tokens, UsedAt: now})
+	hot.Record(kvmove.Chat{Key: placementKey(r.placeAsk), Deepest: last.Hash, Tokens: last.Tokens, UsedAt: now})
 }
 
 // placementKey is the key by which the chat of an ask is placed.
--- a/coordination/placement/tracebench/planned.go
+++ b/coordination/placement/tracebench/planned.go
@@ -116,14 +116,14 @@
 			mover.Ended(move.Chat.Deepest, moved)
 		})
 	}
-	if !mover.Over() {
+	if !mover.Done() {
 		w.schedule(now+moveTick, func(now time.Duration) { w.stepMover(now, from, mover) })
 	}
 }
 
 // hotChats lists the chats in an engine's cache as its owner would.
 func (w *world) hotChats(e *engine, set *placement.Set) []kvmove.Chat {
-	hot := kvmove.NewHot(2 * len(e.cache.entries))
+	hot := kvmove.NewRecentChats(2 * len(e.cache.entries))
 	for _, entry := range e.cache.entries {
 		if entry.turn == nil {
 			continue
@@ -133,7 +133,7 @@
 			Group:  entry.turn.chain[0].Hash,
 			Spread: set.Spread(w.trace.shares[entry.turn.customer]),
 		}
-		hot.Note(kvmove.Chat{Key: key, Deepest: entry.deepest, Tokens: entry.tokens, UsedAt: entry.usedAt})
+		hot.Record(kvmove.Chat{Key: key, Deepest: entry.deepest, Tokens: entry.tokens, UsedAt: entry.usedAt})
 	}
 	return hot.Chats()
 }
