--- a/coordination/membership/config.go
+++ b/coordination/membership/config.go
@@ -6,20 +6,20 @@
 	"endiveplank/protocol"
 )
 
-// PacketOverhead is what a packet costs besides its content, in bytes, when it
-// is a frame on a TCP connection with TLS 1.3: 40 for IP and TCP, 22 for the
+// PacketOverhead is the number of bytes that a packet takes in addition to its
+// content when it is a frame on a TCP connection with TLS 1.3: 40 for IP and TCP, 22 for the
 // TLS record, 13 for the frame's header, and 40 for the bare TCP
 // acknowledgement that the other end's kernel returns. Over UDP it would be 28.
 const PacketOverhead = 115
 
-// MaxPacket is the largest content of a packet in bytes. One packet fits one
-// Ethernet frame of 1,500 bytes.
+// MaxPacket is the largest content of a packet in bytes. A packet of that size
+// fits into one Ethernet frame of 1,500 bytes.
 const MaxPacket = 1200
 
 // MaxItem is the largest payload of a broadcast item in bytes.
 const MaxItem = 900
 
-// Seed is a process to ask for the membership. ID may be empty when only the
+// Seed is a process that a new member asks for the member list. ID may be empty when only the
 // address is known.
 type Seed struct {
 	ID      protocol.RouterID
@@ -32,54 +32,59 @@
 	Address    string
 	DataCentre protocol.DataCentre
 	Region     string
-	// Started tells this life of the process from earlier ones: its start in
-	// Unix milliseconds.
+	// Started is the start time of the process in Unix milliseconds. It
+	// distinguishes this process from earlier ones with the same ID.
 	Started uint64
 	Seeds   []Seed
 
-	// Rings is the number of monitors of each member. Eight is enough for
-	// three independent confirmations when half of them are lost together,
-	// and partners are probed often enough to keep connections open.
+	// Rings is the number of monitors of each member. With eight, three
+	// independent confirmations remain possible when half of the monitors are
+	// lost together, and partners are probed often enough to keep connections
+	// open.
 	Rings int
 	// ProbePeriod is the time between two probes of a healthy member.
 	ProbePeriod time.Duration
-	// ProbeTimeout is the time after which a probe is repeated through
-	// helpers, and once more; after three of them it failed. It is far above
-	// a round trip in a region and covers a short pause of the target.
+	// ProbeTimeout is the time after which an unanswered probe is repeated,
+	// also through helpers. After the first ping and two repeats the probe has
+	// failed. The timeout is far above a round trip in a region and covers a
+	// short pause of the target.
 	ProbeTimeout time.Duration
 	// Helpers is the number of members asked to probe in each repeat.
 	Helpers int
-	// SuspicionMax is the time to refute when nobody confirms a suspicion,
-	// and SuspicionMin when Confirmations members did.
+	// SuspicionMax is the time that a suspect has to refute when nobody
+	// confirms the suspicion, and SuspicionMin the time when Confirmations
+	// members confirmed it.
 	SuspicionMin  time.Duration
 	SuspicionMax  time.Duration
 	Confirmations int
-	// FreezeGap between two ticks means that this process did not run.
+	// FreezeGap is the gap between two ticks above which this process counts
+	// as having been frozen.
 	FreezeGap time.Duration
 	// GossipPeriod is the time between packets that carry only rumours, sent
-	// to GossipFanout neighbours while there are fresh ones.
+	// to GossipFanout neighbours while rumours are queued.
 	GossipPeriod time.Duration
 	GossipFanout int
-	// Transmissions times log2 of the members is how often one member sends
-	// one rumour.
+	// Transmissions, multiplied by log2 of the number of members, is the
+	// number of times that a member sends one rumour.
 	Transmissions float64
-	// MaxRumours bounds the queue.
+	// MaxRumours bounds the queue of rumours.
 	MaxRumours int
-	// SeedPeriod is the time between two questions to a seed that is not a
-	// living member.
+	// SeedPeriod is the mean time between two Join packets to seeds that are
+	// not living members.
 	SeedPeriod time.Duration
-	// SyncPeriod is the least time between two fetches of a list.
+	// SyncPeriod is how long the digests of two members must differ before one
+	// fetches the other's list. It is also the least time between two fetches.
 	SyncPeriod time.Duration
-	// ForgetAfter is how long a dead member is remembered, so that old news
-	// doesn't bring it back.
+	// ForgetAfter is how long a dead member stays on the list, so that an old
+	// update doesn't add it again.
 	ForgetAfter time.Duration
-	// MaxMembers bounds the list, dead ones included.
+	// MaxMembers bounds the list, dead members included.
 	MaxMembers int
-	// BytesPerSecond bounds what is sent, PacketOverhead included.
+	// BytesPerSecond bounds the bytes sent, PacketOverhead included.
 	BytesPerSecond int
 }
 
-// DefaultConfig returns the limits that docs/design/membership.md arrives at.
+// DefaultConfig returns the limits that docs/design/membership.md derives.
 func DefaultConfig() Config {
 	return Config{
 		Rings:          8,
--- a/coordination/membership/core.go
+++ b/coordination/membership/core.go
@@ -9,8 +9,8 @@
 	"endiveplank/protocol"
 )
 
-// Core is one member. Its methods must not run at the same time, and now never
-// goes back.
+// Core is one member. Its methods must not be called concurrently, and now must
+// never decrease.
 type Core struct {
 	config Config
 	random *rand.Rand
@@ -21,19 +21,19 @@
 	self   *record
 	living int
 	digest uint32
-	// suspects holds those with a time to refute, in the order of accusation.
+	// suspects holds the suspected members in the order of suspicion.
 	suspects []*record
-	// adoptions counts the moves of its own start time.
-	adoptions int
-	// leaving says that this member said goodbye.
+	// startAdvances counts how often advanceStart changed the own start time.
+	startAdvances int
+	// leaving means that this member announced that it leaves.
 	leaving bool
 
-	// targets are probed in turn, neighbours get gossip; stale asks for both
-	// to be found again.
-	targets    []protocol.RouterID
-	neighbours []protocol.RouterID
-	nextTarget int
-	stale      bool
+	// targets are probed in turn, and neighbours receive gossip.
+	// neighboursStale means that both must be determined again.
+	targets         []protocol.RouterID
+	neighbours      []protocol.RouterID
+	nextTarget      int
+	neighboursStale bool
 
 	sequence  uint64
 	probes    []*probe
@@ -41,18 +41,19 @@
 	urgent    []protocol.RouterID
 	relays    []relay
 	nextProbe time.Duration
-	// lastAnswer is when a probe was last answered.
-	lastAnswer time.Duration
+	// lastAck is when a probe was last answered.
+	lastAck time.Duration
 
 	health  health
 	rumours queue
 	budget  budget
 	items   itemStore
 	fetch   fetch
-	// differing is since when members' digests differ from this one's.
-	differing map[protocol.RouterID]time.Duration
+	// differingSince holds since when the digests of members have differed from
+	// this member's.
+	differingSince map[protocol.RouterID]time.Duration
 
-	born       time.Duration
+	startedAt  time.Duration
 	lastTick   time.Duration
 	nextGossip time.Duration
 	nextSeed   time.Duration
@@ -62,19 +63,19 @@
 	out    Output
 }
 
-// New returns a member that knows itself and those given, which may be none.
+// New returns a member whose list holds itself and the known members, if any.
 func New(config Config, now time.Duration, random *rand.Rand, known ...Member) *Core {
 	c := &Core{
-		config:    config,
-		random:    random,
-		members:   map[protocol.RouterID]*record{},
-		differing: map[protocol.RouterID]time.Duration{},
-		rumours:   queue{limit: config.MaxRumours},
-		budget:    newBudget(config.BytesPerSecond),
-		items:     itemStore{seen: map[rumourKey]itemSeen{}},
-		born:      now,
-		lastTick:  now,
-		stale:     true,
+		config:          config,
+		random:          random,
+		members:         map[protocol.RouterID]*record{},
+		differingSince:  map[protocol.RouterID]time.Duration{},
+		rumours:         queue{limit: config.MaxRumours},
+		budget:          newBudget(config.BytesPerSecond),
+		items:           itemStore{seen: map[rumourKey]itemSeen{}},
+		startedAt:       now,
+		lastTick:        now,
+		neighboursStale: true,
 	}
 	c.budget.last = now
 	c.self = c.insert(now, Member{
@@ -88,7 +89,7 @@
 		}
 	}
 	c.rumours.add(rumour{Kind: rumourAlive, Member: c.self.Member})
-	// Members that start together must not probe together.
+	// The jitter keeps members that start together from probing together.
 	c.nextProbe = now + c.jitter(config.ProbePeriod)
 	c.nextGossip = now + c.jitter(config.GossipPeriod)
 	c.nextSeed = now + c.jitter(TickInterval)
@@ -113,7 +114,8 @@
 	return living
 }
 
-// Member returns what is known of a router, also of one that died lately.
+// Member returns a router's entry in the list, which also holds routers that
+// died recently.
 func (c *Core) Member(id protocol.RouterID) (Member, bool) {
 	m := c.members[id]
 	if m == nil {
@@ -125,10 +127,10 @@
 // Living returns the number of living members, this one included.
 func (c *Core) Living() int { return c.living }
 
-// Known returns the number of members remembered, the dead included.
+// Known returns the number of members on the list, the dead included.
 func (c *Core) Known() int { return len(c.order) }
 
-// Queued returns the number of rumours that wait.
+// Queued returns the number of rumours in the queue.
 func (c *Core) Queued() int { return len(c.rumours.items) }
 
 // Counts returns the totals since the start.
@@ -138,14 +140,15 @@
 	return copied
 }
 
-// Tick passes time; the driver calls it every TickInterval.
+// Tick starts probes and gossip that are due and expires timeouts. The driver
+// calls it every TickInterval.
 func (c *Core) Tick(now time.Duration) Output {
-	c.begin(now)
+	c.beginStep(now)
 	c.lastTick = now
 	if c.leaving {
 		return c.out
 	}
-	if c.stale {
+	if c.neighboursStale {
 		c.findNeighbours()
 	}
 	c.tickSuspicions(now)
@@ -158,52 +161,53 @@
 	return c.out
 }
 
-// Receive takes a packet from a member whose ID the transport did not prove.
+// Receive handles a packet from a member whose ID the transport did not verify.
 func (c *Core) Receive(now time.Duration, data []byte) Output {
 	return c.ReceiveFrom(now, "", data)
 }
 
-// ReceiveFrom takes a packet from a member whose ID the transport proved. One
-// that names another sender is refused: it could make that one live or leave.
+// ReceiveFrom handles a packet from a member whose ID the transport verified. It
+// refuses a packet that names another sender, because the packet could make that
+// other member count as alive or as left.
 func (c *Core) ReceiveFrom(now time.Duration, sender protocol.RouterID, data []byte) Output {
-	c.begin(now)
+	c.beginStep(now)
 	m, err := decode(data)
 	if err != nil || m.From == c.config.Self || (sender != "" && m.From != sender) {
 		c.counts.Refused++
 		return c.out
 	}
-	c.hear(now, m)
-	c.answer(now, m)
+	c.applyUpdates(now, m)
+	c.respond(now, m)
 	return c.out
 }
 
-// Leave says goodbye, so that nobody has to find out. The member is silent
-// from then on.
+// Leave announces that this member leaves, so that the others need not detect
+// it. The member sends nothing after that.
 func (c *Core) Leave(now time.Duration) Output {
-	c.begin(now)
+	c.beginStep(now)
 	c.leaving = true
 	c.rumours.add(rumour{Kind: rumourLeft, Member: c.self.Member})
 	for _, id := range c.neighbours {
-		c.send(now, c.members[id], message{Kind: Gossip}, classAnswer)
+		c.send(now, c.members[id], message{Kind: Gossip}, classAck)
 	}
 	return c.out
 }
 
-// begin starts a step. A process that was frozen first reads what came
-// meanwhile, so every step looks at the gap.
-func (c *Core) begin(now time.Duration) {
+// beginStep starts a step. A process that was frozen may first read the packets
+// that came meanwhile, so every step checks the gap, not only Tick.
+func (c *Core) beginStep(now time.Duration) {
 	c.out.Packets = c.out.Packets[:0]
 	c.out.Events = c.out.Events[:0]
 	c.out.Items = c.out.Items[:0]
 	if now-c.lastTick > c.config.FreezeGap {
-		c.thaw(now)
+		c.handleFreeze(now)
 	}
 }
 
-// thaw throws away what this process concluded from its own absence: answers
-// to its probes may lie unread, and the suspects had no chance to be heard.
-// Without it a frozen member declares others dead in the moment it goes on.
-func (c *Core) thaw(now time.Duration) {
+// handleFreeze discards what this process would conclude from its own freeze:
+// acks of its probes may still be unread, and it could receive no refutations.
+// Otherwise a frozen member would declare others dead as soon as it resumes.
+func (c *Core) handleFreeze(now time.Duration) {
 	c.counts.Frozen++
 	c.lastTick = now
 	c.probes = c.probes[:0]
@@ -212,38 +216,39 @@
 	for _, m := range c.suspects {
 		m.suspicion.since = now
 	}
-	c.health.worse(frozenPenalty)
-	c.event(Doubted, c.self, WhyFrozen, "")
+	c.health.degrade(frozenPenalty)
+	c.emit(HealthDegraded, c.self, WhyFrozen, "")
 }
 
-// answer reacts to a packet after its news was heard.
-func (c *Core) answer(now time.Duration, m message) {
+// respond handles a packet by its kind after its updates were applied.
+func (c *Core) respond(now time.Duration, m message) {
 	if c.leaving {
 		return
 	}
-	from := c.orStranger(m.From)
+	from := c.memberOrUnknown(m.From)
 	switch m.Kind {
 	case Ping:
 		if m.Target == c.config.Self {
-			c.send(now, from, message{Kind: Ack, Sequence: m.Sequence, Target: m.Target}, classAnswer)
+			c.send(now, from, message{Kind: Ack, Sequence: m.Sequence, Target: m.Target}, classAck)
 		}
 	case Ack:
-		c.acknowledged(now, m)
+		c.handleAck(now, m)
 	case PingRequest:
-		c.relay(now, from, m)
+		c.handlePingRequest(now, from, m)
 	case Nack:
-		c.refusedBy(m)
+		c.handleNack(m)
 	case Join:
 		c.sendList(now, from, "")
 	case ListRequest:
 		c.sendList(now, from, m.Target)
 	case List:
-		c.listed(now, from, m)
+		c.handleList(now, from, m)
 	}
 }
 
-// tickGossip sends rumours that wait on packets of their own. Riding on probes
-// alone, news takes a second for each doubling.
+// tickGossip sends queued rumours in gossip packets. If rumours were sent only
+// on probes, the number of members that an update has reached would double only
+// once a second.
 func (c *Core) tickGossip(now time.Duration) {
 	if now < c.nextGossip || len(c.rumours.items) == 0 || len(c.neighbours) == 0 {
 		return
@@ -252,12 +257,13 @@
 	first := c.random.IntN(len(c.neighbours))
 	for i := range min(c.config.GossipFanout, len(c.neighbours)) {
 		to := c.members[c.neighbours[(first+i)%len(c.neighbours)]]
-		c.send(now, to, message{Kind: Gossip}, classNews)
+		c.send(now, to, message{Kind: Gossip}, classGossip)
 	}
 }
 
-// tickSeeds asks a seed that is not a living member: to join, and to find the
-// other side again after a partition that outlasted the memory of its members.
+// tickSeeds sends a Join to a seed that is not a living member. A new member
+// joins that way, and after a partition longer than ForgetAfter, the two sides
+// find each other again.
 func (c *Core) tickSeeds(now time.Duration) {
 	if now < c.nextSeed {
 		return
@@ -269,7 +275,7 @@
 	c.nextSeed = now + period/2 + c.jitter(period)
 	var absent []Seed
 	for _, seed := range c.config.Seeds {
-		if !c.reaches(seed) {
+		if !c.isLive(seed) {
 			absent = append(absent, seed)
 		}
 	}
@@ -281,8 +287,8 @@
 	c.sendWith(now, to, message{Kind: Join, Rumours: []rumour{{Kind: rumourAlive, Member: c.self.Member}}}, classProbe)
 }
 
-// reaches says whether a seed is this process or a living member.
-func (c *Core) reaches(seed Seed) bool {
+// isLive reports whether a seed is this process or a living member.
+func (c *Core) isLive(seed Seed) bool {
 	if seed.ID != "" {
 		m := c.members[seed.ID]
 		return m != nil && m.State.living()
@@ -292,8 +298,8 @@
 	})
 }
 
-// tickForget takes out who has been dead for long. A life of a process that is
-// forgotten can come back only by old news, and is then probed and dies again.
+// tickForget removes members that have been dead for ForgetAfter. An old update
+// can add such a member again; it is then probed and declared dead once more.
 func (c *Core) tickForget(now time.Duration) {
 	if now < c.nextForget {
 		return
@@ -309,13 +315,14 @@
 	})
 }
 
-// send sends a message with whatever rumours fit.
+// send sends a message with as many queued rumours as fit.
 func (c *Core) send(now time.Duration, to *record, m message, of class) bool {
 	return c.sendWith(now, to, m, of)
 }
 
-// sendWith encodes and pays for a packet: the message's own rumours first,
-// then what is said about the receiver, who must refute it, then the queue.
+// sendWith encodes a packet and takes its bytes from the budget. The packet holds
+// the message's own rumours, then a suspicion or death of the receiver, who must
+// refute it, then queued rumours. It returns false if the budget is spent.
 func (c *Core) sendWith(now time.Duration, to *record, m message, of class) bool {
 	m.From = c.config.Self
 	m.Incarnation = c.self.Incarnation
@@ -324,15 +331,15 @@
 	for _, r := range m.Rumours {
 		data = appendRumour(data, r)
 	}
-	data = c.appendDoubt(data, to)
+	data = c.appendReceiverState(data, to)
 	cost := PacketOverhead + len(data)
-	if c.budget.left(now, of) < cost {
+	if c.budget.available(now, of) < cost {
 		c.counts.ShedPackets++
 		return false
 	}
 	if m.Kind != List {
-		room := min(MaxPacket-len(data), c.budget.left(now, classNews)-cost)
-		data = c.rumours.take(data, room, c.transmissions())
+		space := min(MaxPacket-len(data), c.budget.available(now, classGossip)-cost)
+		data = c.rumours.take(data, space, c.transmissions())
 	}
 	cost = PacketOverhead + len(data)
 	c.budget.spend(cost)
@@ -342,9 +349,9 @@
 	return true
 }
 
-// appendDoubt tells a member that it is suspected or held for dead. Nobody
-// else can refute it, and the rumour may have passed it by.
-func (c *Core) appendDoubt(data []byte, to *record) []byte {
+// appendReceiverState tells the receiver that it is suspected or declared dead.
+// Nobody else can refute that, and the rumour may not have reached it.
+func (c *Core) appendReceiverState(data []byte, to *record) []byte {
 	switch to.State {
 	case Suspect:
 		return appendRumour(data, rumour{Kind: rumourSuspect, Member: to.Member, By: c.config.Self})
@@ -354,17 +361,17 @@
 	return data
 }
 
-func (c *Core) event(kind EventKind, about *record, why Why, by protocol.RouterID) {
+func (c *Core) emit(kind EventKind, about *record, why Why, by protocol.RouterID) {
 	c.out.Events = append(c.out.Events, Event{Kind: kind, Member: about.Member, Why: why, By: by})
 }
 
-// insert adds a member in order of IDs.
+// insert adds a member to the list, which is sorted by ID.
 func (c *Core) insert(now time.Duration, m Member) *record {
 	added := &record{Member: m, hash: idHash(m.ID), changed: now}
 	at, _ := c.find(m.ID)
 	c.order = slices.Insert(c.order, at, added)
 	c.members[m.ID] = added
-	c.count(added, 1)
+	c.updateDigest(added, 1)
 	return added
 }
 
@@ -374,10 +381,10 @@
 	})
 }
 
-// count takes a living member into the digest and the number of the living, or
-// out of them.
-func (c *Core) count(m *record, by int) {
-	c.living += by
+// updateDigest adds a living member to the digest and to the number of living
+// members if delta is 1, and removes it if delta is -1.
+func (c *Core) updateDigest(m *record, delta int) {
+	c.living += delta
 	c.digest ^= uint32(position(m.hash^m.Incarnation.Started, 0))
-	c.stale = true
+	c.neighboursStale = true
 }
--- a/coordination/membership/core_test.go
+++ b/coordination/membership/core_test.go
@@ -10,15 +10,15 @@
 	"endiveplank/protocol"
 )
 
-const bornAt = 1000
+const testStart = 1000
 
 func testMember(id protocol.RouterID) Member {
-	return Member{ID: id, Address: "address-" + string(id), Incarnation: Incarnation{Started: bornAt}}
+	return Member{ID: id, Address: "address-" + string(id), Incarnation: Incarnation{Started: testStart}}
 }
 
 func newTestCore(id protocol.RouterID, known ...protocol.RouterID) *Core {
 	config := DefaultConfig()
-	config.Self, config.Address, config.Started = id, "address-"+string(id), bornAt
+	config.Self, config.Address, config.Started = id, "address-"+string(id), testStart
 	var members []Member
 	for _, other := range known {
 		members = append(members, testMember(other))
@@ -26,16 +26,17 @@
 	return New(config, 0, rand.New(rand.NewPCG(1, 2)), members...)
 }
 
-// from builds a packet of another member.
+// from encodes a packet of another member.
 func from(id protocol.RouterID, m message) []byte {
 	m.From = id
 	if m.Incarnation == (Incarnation{}) {
-		m.Incarnation = Incarnation{Started: bornAt}
+		m.Incarnation = Incarnation{Started: testStart}
 	}
 	return encode(m)
 }
 
-// run ticks a core up to a moment; respond may answer each packet it sends.
+// run ticks a core until a time. respond, if set, may reply to each packet that
+// it sends.
 func run(c *Core, until time.Duration, respond func(now time.Duration, p Packet, m message)) []Event {
 	var events []Event
 	for now := c.lastTick + TickInterval; now <= until; now += TickInterval {
@@ -64,8 +65,9 @@
 	return count
 }
 
-// witnesses answer pings, and as helpers say that the dead ones are silent.
-func witnesses(c *Core, dead ...protocol.RouterID) func(time.Duration, Packet, message) {
+// answerPings returns a respond function for run: all members but the dead ones
+// answer pings, and send nacks when they are asked to ping a member.
+func answerPings(c *Core, dead ...protocol.RouterID) func(time.Duration, Packet, message) {
 	return func(now time.Duration, p Packet, m message) {
 		for _, id := range dead {
 			if p.To == id {
@@ -81,53 +83,53 @@
 	}
 }
 
-// A router dies; its monitors' probes and those of their helpers go
-// unanswered. It must be declared dead, told to others, and forgotten later.
-func TestSilentMemberDiesAndIsForgotten(t *testing.T) {
+// A router dies, and the probes of its monitors and of their helpers go
+// unanswered. It must be declared dead, and removed from the list later.
+func TestUnansweredMemberIsDeclaredDeadAndRemoved(t *testing.T) {
 	c := newTestCore("a", "b", "c", "d")
-	events := run(c, 10*time.Second, witnesses(c, "b"))
+	events := run(c, 10*time.Second, answerPings(c, "b"))
 	assert.Equal(t, kinds(events, Died), 1)
 	assert.Equal(t, c.Living(), 3)
 	assert.Equal(t, c.Known(), 4)
-	run(c, 11*time.Second+c.config.ForgetAfter, witnesses(c, "b"))
+	run(c, 11*time.Second+c.config.ForgetAfter, answerPings(c, "b"))
 	assert.Equal(t, c.Known(), 3)
 }
 
-// The VM stops for 20 s while a probe and a suspicion are open, and goes on.
-// By its timers everyone is long dead, though the answers lie unread. It must
-// declare nobody dead for its own absence.
-func TestThawedMemberAccusesNobody(t *testing.T) {
+// The VM is frozen for 20 s while a probe and a suspicion are open. When it
+// resumes, all timeouts have expired, although the acks are there but unread.
+// The member must declare nobody dead because of its own freeze.
+func TestResumedMemberDeclaresNobodyDead(t *testing.T) {
 	c := newTestCore("a", "b", "c", "d")
 	c.Receive(0, from("c", message{Kind: Gossip, Rumours: []rumour{{Kind: rumourSuspect, Member: testMember("b"), By: "c"}}}))
 	run(c, time.Second, nil)
 	out := c.Tick(21 * time.Second)
 	assert.Equal(t, kinds(out.Events, Died), 0)
-	assert.Equal(t, kinds(out.Events, Doubted), 1)
+	assert.Equal(t, kinds(out.Events, HealthDegraded), 1)
 	assert.Equal(t, c.Living(), 4)
-	events := run(c, 25*time.Second, witnesses(c))
+	events := run(c, 25*time.Second, answerPings(c))
 	assert.Equal(t, kinds(events, Died), 0)
 	assert.Equal(t, c.Counts().Frozen, uint64(1))
 }
 
-// This router is cut off or far too slow: nobody answers it, no helper either.
-// The fault is its own, so for seconds it accuses nobody; when it lasts, it has
-// to notice that it is alone.
-func TestMemberThatHearsNobodyDoubtsItselfFirst(t *testing.T) {
+// This router is isolated or far too slow: neither members nor helpers answer
+// it. The fault is its own, so it must suspect nobody for some seconds. If that
+// lasts, it must detect that it has lost all others.
+func TestIsolatedMemberDegradesItsHealthFirst(t *testing.T) {
 	c := newTestCore("a", "b", "c", "d")
 	events := run(c, 10*time.Second, nil)
 	assert.Equal(t, kinds(events, Suspected), 0)
-	assert.Assert(t, kinds(events, Doubted) > 0)
-	assert.Equal(t, c.health.doubt, maxDoubt)
+	assert.Assert(t, kinds(events, HealthDegraded) > 0)
+	assert.Equal(t, c.health.score, maxHealthScore)
 	run(c, 5*time.Minute, nil)
 	assert.Equal(t, c.Living(), 1)
 }
 
-// Answers come, but each after its probe was given up: this router is the slow
-// one. It must take back what it concluded.
-func TestLateAnswerTakesAccusationBack(t *testing.T) {
+// Acks arrive, but each after its probe has failed, so this router is the slow
+// one. It must clear its suspicion and degrade its own health.
+func TestLateAckClearsSuspicion(t *testing.T) {
 	c := newTestCore("a", "b", "c", "d")
 	var missed []message
-	answer := witnesses(c, "b")
+	answer := answerPings(c, "b")
 	events := run(c, 4*time.Second, func(now time.Duration, p Packet, m message) {
 		if p.To == "b" && m.Kind == Ping {
 			missed = append(missed, m)
@@ -135,74 +137,77 @@
 		answer(now, p, m)
 	})
 	assert.Equal(t, kinds(events, Suspected), 1)
-	doubt := c.health.doubt
+	score := c.health.score
 	out := c.Receive(4*time.Second, from("b", message{Kind: Ack, Sequence: missed[0].Sequence, Target: "b"}))
 	assert.Equal(t, kinds(out.Events, Refuted), 1)
-	assert.Equal(t, c.health.doubt, doubt+1)
+	assert.Equal(t, c.health.score, score+1)
 }
 
-// A living router is accused, by mistake, and hears of it. It must raise its
-// incarnation; a member that holds it for dead must take it back by that.
-func TestAccusedMemberRefutes(t *testing.T) {
-	accused := newTestCore("b", "a", "c")
-	accused.Receive(0, from("a", message{Kind: Ping, Target: "b", Rumours: []rumour{{Kind: rumourDead, Member: testMember("b"), By: "a"}}}))
-	assert.Equal(t, accused.self.Incarnation.Refuted, uint32(1))
+// A living router is wrongly declared dead and receives that update. It must
+// raise its incarnation, and a member that considers it dead must add it again
+// when it receives that incarnation.
+func TestDeathIsRefuted(t *testing.T) {
+	reported := newTestCore("b", "a", "c")
+	reported.Receive(0, from("a", message{Kind: Ping, Target: "b", Rumours: []rumour{{Kind: rumourDead, Member: testMember("b"), By: "a"}}}))
+	assert.Equal(t, reported.self.Incarnation.Refuted, uint32(1))
 
-	// It had refuted a suspicion already, so the death names an older
-	// incarnation, which it need not refute again. Its packets show it.
+	// The member has already refuted a suspicion, so the death names an older
+	// incarnation and needs no second refutation. Its packets carry the newer one.
 	c := newTestCore("a", "b", "c")
-	c.gone(0, testMember("b"), Dead, WhyTold, "c")
-	out := c.Receive(0, from("b", message{Kind: Ping, Target: "a", Incarnation: Incarnation{Started: bornAt, Refuted: 1}}))
+	c.handleDeadOrLeft(0, testMember("b"), Dead, WhyReported, "c")
+	out := c.Receive(0, from("b", message{Kind: Ping, Target: "a", Incarnation: Incarnation{Started: testStart, Refuted: 1}}))
 	assert.Equal(t, kinds(out.Events, Joined), 1)
 	assert.Equal(t, c.Living(), 3)
-	c.gone(0, testMember("b"), Dead, WhyTold, "c")
-	assert.Equal(t, c.Living(), 3, "news of the older incarnation is void")
+	c.handleDeadOrLeft(0, testMember("b"), Dead, WhyReported, "c")
+	assert.Equal(t, c.Living(), 3, "an update of the older incarnation is ignored")
 }
 
-// A router restarts under its ID before anyone misses it. Those that wait for
-// what the old process held must hear of it, and old news must not undo it.
-func TestRestartedMemberIsReborn(t *testing.T) {
+// A router restarts under its ID before anyone suspects it. Callers that wait for
+// the old process must be told, and a late update about the old process must not
+// declare the new one dead.
+func TestRestartIsReported(t *testing.T) {
 	c := newTestCore("a", "b", "c")
 	reborn := testMember("b")
 	reborn.Incarnation.Started++
 	out := c.Receive(0, from("b", message{Kind: Join, Incarnation: reborn.Incarnation, Rumours: []rumour{{Kind: rumourAlive, Member: reborn}}}))
-	assert.Equal(t, kinds(out.Events, Reborn), 1)
+	assert.Equal(t, kinds(out.Events, Restarted), 1)
 	assert.Equal(t, len(out.Packets), 1)
-	c.gone(0, testMember("b"), Dead, WhyTold, "c")
+	c.handleDeadOrLeft(0, testMember("b"), Dead, WhyReported, "c")
 	assert.Equal(t, c.Living(), 3)
 	unknown := reborn
 	unknown.Incarnation.Started++
-	c.gone(0, unknown, Dead, WhyTold, "c")
-	assert.Equal(t, c.Living(), 3, "nor the death of a life that was never heard of")
+	c.handleDeadOrLeft(0, unknown, Dead, WhyReported, "c")
+	assert.Equal(t, c.Living(), 3, "nor the death of a process that is not known yet")
 }
 
-// A VM is replaced: a process with another ID answers at the address of one
-// that is gone. The old one must not stay on the list.
+// A VM is replaced: a process with another ID answers at the address of a former
+// member. The former member must not stay alive on the list.
 func TestAddressTakenOverEndsFormerMember(t *testing.T) {
 	c := newTestCore("a", "b", "c")
-	newcomer := Member{ID: "z", Address: "address-b", Incarnation: Incarnation{Started: bornAt + 1}}
+	newcomer := Member{ID: "z", Address: "address-b", Incarnation: Incarnation{Started: testStart + 1}}
 	out := c.Receive(0, from("z", message{Kind: Join, Incarnation: newcomer.Incarnation, Rumours: []rumour{{Kind: rumourAlive, Member: newcomer}}}))
 	assert.Equal(t, kinds(out.Events, Died), 1)
 	assert.Equal(t, out.Events[1].Why, WhyAddressTaken)
 	assert.Equal(t, c.Living(), 3)
 }
 
-// A router restarts on a VM whose clock is behind. Others hold its new life
-// for the older one and take none of its news.
-func TestClockThatWentBackIsOvercome(t *testing.T) {
+// A router restarts on a VM whose clock is behind. The others would take the new
+// process for the older one and ignore its updates, so the router must advance
+// its start time.
+func TestStartTimeAdvancesWhenTheClockIsBehind(t *testing.T) {
 	c := newTestCore("a", "b")
 	old := testMember("a")
-	old.Incarnation.Started = bornAt + 500
+	old.Incarnation.Started = testStart + 500
 	c.Receive(0, from("b", message{Kind: List, Rumours: []rumour{{Kind: rumourAlive, Member: old}}}))
-	assert.Equal(t, c.self.Incarnation.Started, uint64(bornAt+501))
+	assert.Equal(t, c.self.Incarnation.Started, uint64(testStart+501))
 	for range 10 {
 		old.Incarnation.Started += 1000
 		c.Receive(0, from("b", message{Kind: List, Rumours: []rumour{{Kind: rumourAlive, Member: old}}}))
 	}
-	assert.Assert(t, c.adoptions <= maxAdoptions, "two processes under one ID must not outbid each other for ever")
+	assert.Assert(t, c.startAdvances <= maxStartAdvances, "two processes with one ID must not advance past each other forever")
 }
 
-// A new router knows one address and no ID.
+// A new router knows one address and no ID. It must still join.
 func TestJoinByAddressAlone(t *testing.T) {
 	seed, joiner := newTestCore("a", "c"), newTestCore("b")
 	joiner.config.Seeds = []Seed{{Address: "address-a"}}
@@ -215,8 +220,9 @@
 	assert.Equal(t, seed.Living(), 3)
 }
 
-// One region was parted, and lists meet again. Each says that the other's
-// members are dead; none may die of that without a chance to refute.
+// A partition between regions ends, and members fetch lists of the other side.
+// Each list holds the other side's members as dead; none of them may be declared
+// dead for that without a chance to refute.
 func TestDeathOnAListIsOnlySuspected(t *testing.T) {
 	c := newTestCore("a", "b", "c")
 	out := c.Receive(0, from("c", message{Kind: List, Rumours: []rumour{{Kind: rumourDead, Member: testMember("b")}}}))
@@ -224,9 +230,10 @@
 	assert.Equal(t, kinds(out.Events, Died), 0)
 }
 
-// A thousand members' news and a flood of probes come in the same second.
-// What is sent must stay within the budget, and answers go before the rest.
-func TestBudgetHoldsAndAnswersGoFirst(t *testing.T) {
+// More items are queued than the queue holds, and probes arrive at every tick.
+// The bytes sent must stay within the budget, and no ack may be shed for less
+// useful packets.
+func TestBudgetHoldsAndAcksGoFirst(t *testing.T) {
 	c := newTestCore("a", "b", "c", "d")
 	for key := range uint64(3000) {
 		c.Broadcast(1, key, make([]byte, 100))
@@ -248,8 +255,8 @@
 	assert.Assert(t, c.Counts().ShedRumours > 0)
 }
 
-// Load summaries come faster than they can be spread. Only the newest of each
-// key is worth sending, each arrives once, and none before a notice.
+// Load summaries come faster than they can be spread. Only the newest item of
+// each key may be sent, each arrives once, and a quarantine notice goes first.
 func TestItemsReplaceEachOtherAndArriveOnce(t *testing.T) {
 	c, other := newTestCore("a", "b"), newTestCore("b", "a")
 	for version := range byte(5) {
@@ -267,9 +274,10 @@
 	assert.DeepEqual(t, items[1].Payload, []byte{4})
 }
 
-// The budget is spent, so probes aren't sent. That nobody answers them says
-// nothing about anybody, and a suspect must be asked before it dies.
-func TestSpentBudgetAccusesNobody(t *testing.T) {
+// The budget is spent, so probes aren't sent. Their failure says nothing about
+// the targets: the member must suspect nobody, and must not declare a suspect
+// dead that it has not probed.
+func TestSpentBudgetSuspectsNobody(t *testing.T) {
 	c := newTestCore("a", "b", "c", "d")
 	c.Receive(0, from("c", message{Kind: Gossip, Rumours: []rumour{{Kind: rumourSuspect, Member: testMember("b"), By: "c"}}}))
 	c.config.BytesPerSecond, c.budget = 0, budget{}
@@ -278,19 +286,19 @@
 	assert.Equal(t, c.Living(), 4)
 }
 
-// An overloaded router answers seconds late for a while. It must not be
-// declared dead and revived every few seconds for as long as that lasts.
+// An overloaded router answers seconds late for a while. It must not be declared
+// dead and added again every few seconds for as long as that lasts.
 func TestFlappingMemberGetsMoreTime(t *testing.T) {
 	c := newTestCore("a", "b", "c")
 	b := c.members["b"]
 	b.suspicion.by = []protocol.RouterID{"c"}
-	first := c.timeToRefute(b)
+	first := c.suspicionTimeout(b)
 	for flap := range uint32(5) {
-		c.gone(TickInterval, b.Member, Dead, WhyTold, "c")
-		c.Receive(TickInterval, from("b", message{Kind: Gossip, Incarnation: Incarnation{Started: bornAt, Refuted: flap + 1}}))
+		c.handleDeadOrLeft(TickInterval, b.Member, Dead, WhyReported, "c")
+		c.Receive(TickInterval, from("b", message{Kind: Gossip, Incarnation: Incarnation{Started: testStart, Refuted: flap + 1}}))
 	}
 	b.suspicion.by = []protocol.RouterID{"c"}
-	assert.Equal(t, c.timeToRefute(b), first<<maxRevivals)
-	c.Receive(2*calm, from("b", message{Kind: Gossip, Incarnation: Incarnation{Started: bornAt, Refuted: 9}}))
-	assert.Equal(t, b.revivals, 0)
+	assert.Equal(t, c.suspicionTimeout(b), first<<maxFalseDeaths)
+	c.Receive(2*steadyTime, from("b", message{Kind: Gossip, Incarnation: Incarnation{Started: testStart, Refuted: 9}}))
+	assert.Equal(t, b.falseDeaths, 0)
 }
--- a/coordination/membership/doc.go
+++ b/coordination/membership/doc.go
@@ -1,38 +1,48 @@
-// Package membership finds out which routers of the fleet live, and spreads
-// small items to all of them, at a cost that does not grow with the fleet.
+// Package membership detects which routers of the fleet are alive, and spreads
+// small items to all of them, at a cost per router that does not grow with the
+// fleet.
 //
-// Mechanism. Members stand on Config.Rings rings, each ordered by another
-// hash of the router ID. A member probes its successor on each ring, one in
-// each Config.ProbePeriod, so that every member has as many monitors as there
-// are rings, and connections stay warm because partners rarely change. A probe
-// that is not answered is repeated, directly and through helpers. When it
-// fails, the member is suspected. The suspect and its monitors are told; they
-// probe it out of turn, and each that fails too shortens the time the suspect
-// has to answer. It refutes by raising its incarnation, which every packet of
-// its own carries; one that doesn't is dead, and all are told. News
-// travels as rumours on every packet and, while they are fresh, on packets of
-// their own. A digest of the membership in each packet shows when two members
-// disagree for long; one then fetches the other's list in pieces.
+// It is a gossip protocol with a failure detector of the SWIM kind. Core is one
+// member; it does no I/O, and a driver passes it the time and the packets.
 //
-// Failures guarded here:
+// Members stand on Config.Rings rings, each ordered by a different hash of the
+// router ID. A member probes its successors on the rings in turn, one in each
+// Config.ProbePeriod. So every member has as many monitors as there are rings,
+// and connections stay open because partners rarely change. An unanswered probe
+// is repeated, directly and through helpers. If it still fails, the prober
+// suspects the member, and sends the suspicion to the suspect and to its other
+// monitors. These probe the suspect at once, and each that fails too shortens
+// the time that the suspect has to refute. The suspect refutes by raising its
+// incarnation, which all its packets carry. A suspect that does not refute in
+// time is declared dead, and the whole fleet is told.
 //
-//   - A router dies, or a whole data centre: found within seconds by probes.
-//   - This process was frozen. Its timers say that everyone is late. The gap
-//     between two ticks shows it; probes under way are dropped and suspicions
-//     start again.
-//   - This process is overloaded or badly connected. Its probes fail, and
-//     neither members nor helpers answer. It doubts itself first: it accuses
-//     nobody on such a probe and stretches its timeouts.
-//   - Packets are lost. Repeats, helpers and the time to refute keep a false
-//     accusation from becoming a false death.
+// Updates travel as rumours on every packet and, while there are any to send,
+// on gossip packets too. Every packet carries a digest of the sender's member
+// list, which shows when two members disagree for long; one of them then
+// fetches the other's list in pages.
+//
+// The failures it guards against:
+//
+//   - A router dies, or a whole data centre: probes detect it within seconds.
+//   - This process was frozen, and by its timers all others are late. It
+//     detects the freeze by the gap between two ticks, drops the probes in
+//     progress and restarts the suspicion timeouts.
+//   - This process is overloaded or badly connected: its probes fail, and
+//     neither members nor helpers answer. It lowers its own health first: it
+//     suspects nobody on such a probe and stretches its timeouts.
+//   - Packets are lost. Repeated probes, helpers and the time to refute keep a
+//     false suspicion from becoming a false death.
 //   - A process restarts under its old ID, or another one takes over its
-//     address. The start time in the incarnation tells the two lives apart.
-//   - Regions part. Each side declares the other dead and forgets it; both go
-//     on asking the seeds, and one answer joins the lists again.
-//   - A storm of news. Bytes are bounded each second (Config.BytesPerSecond)
-//     and in the queue (Config.MaxRumours); the least useful goes first.
-//   - Broken or hostile packets: refused whole, counted, and nothing changes.
+//     address. The start time in the incarnation tells the two processes apart.
+//   - The network between regions is partitioned. Each side declares the other
+//     dead and removes it; both keep asking the seeds, and one reply merges the
+//     lists again.
+//   - Very many updates arrive at once. The bytes sent per second
+//     (Config.BytesPerSecond) and the queue (Config.MaxRumours) are bounded;
+//     the least useful rumours are dropped first.
+//   - Packets are malformed or forged: they are refused as a whole and counted,
+//     and change nothing.
 //
-// What is said here is a hint that lets others act early. Who may own an
-// upstream is decided by leases alone.
+// Membership is only a hint that lets others act early. Leases alone decide
+// which router owns an upstream.
 package membership
--- a/coordination/membership/health.go
+++ b/coordination/membership/health.go
@@ -3,24 +3,24 @@
 import "time"
 
 const (
-	// maxDoubt bounds the stretch to four times, so that even an unsound
-	// member finds a dead one.
-	maxDoubt = 6
-	// frozenPenalty is for a process that did not run for a while: it may
-	// happen again at once.
+	// maxHealthScore bounds stretched timeouts to four times their length, so
+	// that even an unhealthy member detects a dead one.
+	maxHealthScore = 6
+	// frozenPenalty is added after a freeze of this process, which may freeze
+	// again at once.
 	frozenPenalty = 2
 )
 
-// health is how far this member doubts itself. Load: its own process is slow
-// or its own network loses packets. Harm prevented: it would find everyone
-// else late. It gives others more time for each point.
-type health struct{ doubt int }
+// health is the local health of this member; a higher score is worse. A member
+// whose own process is slow, or whose own network loses packets, would find all
+// others late, so it gives them more time for each point of the score.
+type health struct{ score int }
 
-func (h *health) worse(by int) { h.doubt = min(maxDoubt, h.doubt+by) }
+func (h *health) degrade(by int) { h.score = min(maxHealthScore, h.score+by) }
 
-func (h *health) better() { h.doubt = max(0, h.doubt-1) }
+func (h *health) improve() { h.score = max(0, h.score-1) }
 
-// stretch lengthens a timeout by half for each point.
+// stretch lengthens a timeout by half of its length for each point of the score.
 func (h *health) stretch(d time.Duration) time.Duration {
-	return d + d*time.Duration(h.doubt)/2
+	return d + d*time.Duration(h.score)/2
 }
--- a/coordination/membership/items.go
+++ b/coordination/membership/items.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// maxItems bounds the items remembered, so that each is passed on once.
+// maxItems bounds the items recorded. An item is recorded so that this member
+// passes it on only once.
 const maxItems = 4096
 
 // itemSeen is the newest version of an item that was seen.
@@ -12,14 +13,15 @@
 	at      time.Duration
 }
 
-// itemStore remembers which items were seen.
+// itemStore records which items were seen. version numbers this member's own.
 type itemStore struct {
 	seen    map[rumourKey]itemSeen
 	version uint64
 }
 
-// newer remembers an item and says whether it is news.
-func (s *itemStore) newer(now time.Duration, r rumour) bool {
+// recordIfNewer records an item and reports whether it is new or newer than the
+// recorded version.
+func (s *itemStore) recordIfNewer(now time.Duration, r rumour) bool {
 	key := r.key()
 	old, known := s.seen[key]
 	started := r.Member.Incarnation.Started
@@ -42,9 +44,9 @@
 }
 
 // Broadcast spreads a small item to all members. An item replaces an earlier
-// one of the same kind and key from this member wherever that still waits.
-// Kinds from BulkKind up are the first to be shed. It returns false for a
-// payload over MaxItem; the caller sends that by other means.
+// one of the same kind and key from this member wherever that is still queued.
+// Kinds from BulkKind up are the first to be shed. Broadcast returns false for
+// a payload larger than MaxItem, which the caller must send by other means.
 func (c *Core) Broadcast(kind uint8, key uint64, payload []byte) bool {
 	if len(payload) > MaxItem {
 		return false
@@ -57,8 +59,8 @@
 	return true
 }
 
-func (c *Core) hearItem(now time.Duration, r rumour) {
-	if r.Member.ID == c.config.Self || !c.items.newer(now, r) {
+func (c *Core) handleItem(now time.Duration, r rumour) {
+	if r.Member.ID == c.config.Self || !c.items.recordIfNewer(now, r) {
 		return
 	}
 	c.rumours.add(r)
--- a/coordination/membership/list.go
+++ b/coordination/membership/list.go
@@ -8,80 +8,82 @@
 )
 
 const (
-	// fetchTimeout is the time after which a piece is asked for again, and
-	// fetchTries how often. A sender whose budget is spent sends the next
-	// piece later.
-	fetchTimeout = 2 * time.Second
-	fetchTries   = 5
-	// maxPiece is the largest piece of a list in bytes. A larger one would
-	// need a budget that is all but unspent, and a busy member would hardly
-	// ever send it.
-	maxPiece = 700
-	// settled is how old news must be before its absence from another's list
-	// means something.
-	settled = 5 * time.Second
+	// fetchTimeout is the time after which a page is requested again, and
+	// maxFetchAttempts the number of requests. A sender whose budget is spent
+	// sends no page, so that a later request has to get it.
+	fetchTimeout     = 2 * time.Second
+	maxFetchAttempts = 5
+	// maxPageBytes is the largest page of a list. A larger page would need an
+	// almost unspent budget, and a busy member would hardly ever send it.
+	maxPageBytes = 700
+	// minAbsenceAge is how long ago a member must have changed before its
+	// absence from another member's list means something.
+	minAbsenceAge = 5 * time.Second
 )
 
-// fetch is a list that is being asked for.
+// fetch is the fetch of another member's list in progress.
 type fetch struct {
-	from  protocol.RouterID
-	after protocol.RouterID
-	due   time.Duration
-	tries int
+	from         protocol.RouterID
+	after        protocol.RouterID
+	due          time.Duration
+	attemptsLeft int
 }
 
-// maxDiffering bounds the members whose difference is remembered.
-const maxDiffering = 32
+// maxDifferingMembers bounds the members recorded in differingSince.
+const maxDifferingMembers = 32
 
-// compare looks at another's digest. Digests differ while news is on its way;
-// when one member differs twice and long apart, some news was lost for one of
-// the two. Only that member can take it back: after a partition, those of the
-// same side agree with each other all the time.
-func (c *Core) compare(now time.Duration, m message) {
+// compareDigest starts a fetch of the sender's list when its digest has differed
+// from this member's for at least SyncPeriod. Digests differ while an update is
+// still spreading; a difference that lasts means that one of the two members
+// missed an update. Only an equal digest from the same sender ends the
+// difference: after a partition, members of one side always agree with each
+// other.
+func (c *Core) compareDigest(now time.Duration, m message) {
 	if m.Digest == c.digest {
-		delete(c.differing, m.From)
+		delete(c.differingSince, m.From)
 		return
 	}
-	since, known := c.differing[m.From]
+	since, known := c.differingSince[m.From]
 	if !known {
-		if len(c.differing) < maxDiffering {
-			c.differing[m.From] = now
+		if len(c.differingSince) < maxDifferingMembers {
+			c.differingSince[m.From] = now
 		}
 		return
 	}
 	if now-since < c.config.SyncPeriod || c.fetch.from != "" || m.Kind == List {
 		return
 	}
-	clear(c.differing)
-	c.fetch = fetch{from: m.From, due: now, tries: fetchTries}
+	clear(c.differingSince)
+	c.fetch = fetch{from: m.From, due: now, attemptsLeft: maxFetchAttempts}
 }
 
-// tickFetch asks for the next piece, or again.
+// tickFetch requests the next page, or requests a page again.
 func (c *Core) tickFetch(now time.Duration) {
 	if c.fetch.from == "" || now < c.fetch.due {
 		return
 	}
-	if c.fetch.tries == 0 {
+	if c.fetch.attemptsLeft == 0 {
 		c.fetch = fetch{}
 		return
 	}
-	from := c.orStranger(c.fetch.from)
-	c.fetch.tries--
+	from := c.memberOrUnknown(c.fetch.from)
+	c.fetch.attemptsLeft--
 	c.fetch.due = now + fetchTimeout
-	c.send(now, from, message{Kind: ListRequest, Target: c.fetch.after}, classNews)
+	c.send(now, from, message{Kind: ListRequest, Target: c.fetch.after}, classGossip)
 }
 
-// orStranger returns a member, or a record with the ID alone. One that knows
-// this member may itself be missing from the list here: after a partition, it
-// is the one to ask. The driver knows its address from its connection.
-func (c *Core) orStranger(id protocol.RouterID) *record {
+// memberOrUnknown returns a member, or a record with only the ID if the member is
+// not on the list. A router that sends packets to this member may be missing
+// from the list here: after a partition, its list is the one to fetch. The
+// driver knows its address from its connection.
+func (c *Core) memberOrUnknown(id protocol.RouterID) *record {
 	if known := c.members[id]; known != nil {
 		return known
 	}
 	return &record{Member: Member{ID: id, State: Alive}}
 }
 
-// sendList sends the piece of the list after a member.
+// sendList sends the page of the list that follows the member ID after.
 func (c *Core) sendList(now time.Duration, to *record, after protocol.RouterID) {
 	m := message{Kind: List, Target: after}
 	size := len(appendHead(nil, m))
@@ -94,7 +96,7 @@
 		for _, entry := range entries {
 			size += len(appendRumour(nil, entry))
 		}
-		if size > maxPiece {
+		if size > maxPageBytes {
 			m.More = true
 			break
 		}
@@ -103,8 +105,8 @@
 	c.sendWith(now, to, m, classList)
 }
 
-// entriesOf is what a list says of a member. The dead are in it, because one
-// who missed the news would else keep them.
+// entriesOf returns the list entries of a member. The list includes dead
+// members, because a receiver that missed their death would otherwise keep them.
 func entriesOf(m *record) []rumour {
 	switch m.State {
 	case Dead:
@@ -115,26 +117,27 @@
 	return []rumour{{Kind: rumourAlive, Member: m.Member}}
 }
 
-// listed goes on after a piece of a list, whose entries were heard.
-func (c *Core) listed(now time.Duration, from *record, m message) {
+// handleList continues the fetch after a page, whose entries are already
+// applied.
+func (c *Core) handleList(now time.Duration, from *record, m message) {
 	last := m.Target
 	if len(m.Rumours) > 0 {
 		last = m.Rumours[len(m.Rumours)-1].Member.ID
 	}
-	c.doubtAbsent(now, m, last)
+	c.probeMissing(now, m, last)
 	if !m.More || last == m.Target {
 		c.fetch = fetch{}
 		return
 	}
-	c.fetch = fetch{from: from.ID, after: last, due: now, tries: fetchTries}
+	c.fetch = fetch{from: from.ID, after: last, due: now, attemptsLeft: maxFetchAttempts}
 }
 
-// doubtAbsent probes the members that another's list lacks. Its sender may
-// have forgotten a dead one of whom this member never heard that it died.
-func (c *Core) doubtAbsent(now time.Duration, m message, last protocol.RouterID) {
+// probeMissing probes the living members that are missing from a page. The
+// sender may have removed a dead member whose death this member missed.
+func (c *Core) probeMissing(now time.Duration, m message, last protocol.RouterID) {
 	for _, known := range c.order {
 		inside := known.ID > m.Target && (!m.More || known.ID <= last)
-		if !inside || known == c.self || !known.State.living() || now-known.changed < settled {
+		if !inside || known == c.self || !known.State.living() || now-known.changed < minAbsenceAge {
 			continue
 		}
 		if !slices.ContainsFunc(m.Rumours, func(r rumour) bool { return r.Member.ID == known.ID }) {
--- a/coordination/membership/memberbench/bounds_test.go
+++ b/coordination/membership/memberbench/bounds_test.go
@@ -8,17 +8,18 @@
 	"gotest.tools/v3/assert"
 )
 
-// bound is the range that a figure must stay in. Either end may be missing.
+// bound is the range of a metric. Either end may be missing.
 type bound struct {
 	Min *float64 `json:"min,omitempty"`
 	Max *float64 `json:"max,omitempty"`
 }
 
-// benchSeed is the seed of every figure in docs/benchmarks/membership.md.
+// benchSeed is the seed of every metric in docs/benchmarks/membership.md.
 const benchSeed = 6
 
-// TestBounds holds the figures of the short runs against bounds.json. All are
-// counts or virtual times on a fixed seed.
+// TestBounds checks the metrics of the short scenarios against bounds.json. All
+// of them are counts or virtual times with a fixed seed, so they don't depend on
+// the machine.
 func TestBounds(t *testing.T) {
 	data, err := os.ReadFile("bounds.json")
 	assert.NilError(t, err)
@@ -30,25 +31,25 @@
 		}
 		t.Run(scenario.Name, func(t *testing.T) {
 			t.Parallel()
-			figures := bounds[scenario.Name]
-			assert.Assert(t, len(figures) > 0, "scenario without bounds")
-			met := 0
+			scenarioBounds := bounds[scenario.Name]
+			assert.Assert(t, len(scenarioBounds) > 0, "scenario without bounds")
+			checked := 0
 			for _, m := range scenario.Run(benchSeed) {
 				t.Logf("%s = %.4g", m.Name, m.Value)
-				b, bounded := figures[m.Name]
+				b, bounded := scenarioBounds[m.Name]
 				if !bounded {
 					continue
 				}
-				met++
+				checked++
 				assert.Assert(t, b.Min == nil || m.Value >= *b.Min, "%s is %.4g", m.Name, m.Value)
 				assert.Assert(t, b.Max == nil || m.Value <= *b.Max, "%s is %.4g", m.Name, m.Value)
 			}
-			assert.Equal(t, met, len(figures), "each bound needs a figure")
+			assert.Equal(t, checked, len(scenarioBounds), "each bound needs a metric")
 		})
 	}
 }
 
-// BenchmarkScenarios reports every figure; run it with -benchtime=1x.
+// BenchmarkScenarios reports every metric; run it with -benchtime=1x.
 func BenchmarkScenarios(b *testing.B) {
 	for _, scenario := range Scenarios() {
 		b.Run(scenario.Name, func(b *testing.B) {
@@ -63,7 +64,7 @@
 	}
 }
 
-// BenchmarkMemory reports the heap bytes for each member known.
+// BenchmarkMemory reports the heap bytes per known member.
 func BenchmarkMemory(b *testing.B) {
 	for range b.N {
 		b.ReportMetric(MemoryPerMember(1000), "B/member")
--- a/coordination/membership/memberbench/heartbeat.go
+++ b/coordination/membership/memberbench/heartbeat.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	// heartbeatPeriod and heartbeatTimeout are those of the leases: a renewal
-	// a second, and 3.5 s until a session is closed.
+	// heartbeatPeriod and heartbeatTimeout are the values of the leases: one
+	// renewal per second, and 3.5 s until a session is closed.
 	heartbeatPeriod  = time.Second
 	heartbeatTimeout = 3500 * time.Millisecond
 )
 
-// heartbeats is the baseline: each member tells all others each second that
-// it lives, and holds for dead who was silent for too long.
+// heartbeats is the baseline: each member sends a heartbeat to all others every
+// second, and declares a member dead that has sent none for too long.
 type heartbeats struct {
-	self   protocol.RouterID
-	others []protocol.RouterID
-	heard  map[protocol.RouterID]time.Duration
-	dead   map[protocol.RouterID]bool
-	next   time.Duration
-	bytes  uint64
+	self      protocol.RouterID
+	others    []protocol.RouterID
+	lastHeard map[protocol.RouterID]time.Duration
+	dead      map[protocol.RouterID]bool
+	next      time.Duration
+	bytes     uint64
 }
 
 func newHeartbeats(self protocol.RouterID, all []protocol.RouterID, first time.Duration) *heartbeats {
-	h := &heartbeats{self: self, heard: map[protocol.RouterID]time.Duration{}, dead: map[protocol.RouterID]bool{}, next: first}
+	h := &heartbeats{self: self, lastHeard: map[protocol.RouterID]time.Duration{}, dead: map[protocol.RouterID]bool{}, next: first}
 	for _, id := range all {
 		if id != self {
 			h.others = append(h.others, id)
@@ -39,7 +39,7 @@
 func (h *heartbeats) Tick(now time.Duration) membership.Output {
 	var out membership.Output
 	for _, id := range h.others {
-		if !h.dead[id] && now-h.heard[id] > heartbeatTimeout {
+		if !h.dead[id] && now-h.lastHeard[id] > heartbeatTimeout {
 			h.dead[id] = true
 			out.Events = append(out.Events, membership.Event{Kind: membership.Died, Member: membership.Member{ID: id}})
 		}
@@ -58,7 +58,7 @@
 // Receive implements stepper.
 func (h *heartbeats) Receive(now time.Duration, data []byte) membership.Output {
 	id := protocol.RouterID(data)
-	h.heard[id] = now
+	h.lastHeard[id] = now
 	delete(h.dead, id)
 	return membership.Output{}
 }
--- a/coordination/membership/memberbench/scenarios.go
+++ b/coordination/membership/memberbench/scenarios.go
@@ -10,24 +10,25 @@
 	"endiveplank/protocol"
 )
 
-// Metric is one figure of a run.
+// Metric is one measured value of a run.
 type Metric struct {
 	Name  string
 	Value float64
 }
 
-// Scenario is a run with its figures. CI says whether it is short enough to
-// run with the tests.
+// Scenario is a simulation that returns metrics. CI is set if it is short enough
+// to run with the tests.
 type Scenario struct {
 	Name string
 	CI   bool
 	Run  func(seed uint64) []Metric
 }
 
-// settle lets a new world spread its members' first news.
-const settle = 20 * time.Second
+// warmUp is the time in which a new simulation spreads the first updates of its
+// members.
+const warmUp = 20 * time.Second
 
-// Scenarios lists all runs.
+// Scenarios returns all scenarios.
 func Scenarios() []Scenario {
 	var list []Scenario
 	for _, n := range []int{9, 330, 1000} {
@@ -46,15 +47,16 @@
 		Scenario{"heartbeats/nodes=9", true, func(seed uint64) []Metric { return baseline(9, seed) }},
 		Scenario{"heartbeats/nodes=330", false, func(seed uint64) []Metric { return baseline(330, seed) }},
 		Scenario{"data-centre-lost/nodes=330", true, dataCentreLost},
-		Scenario{"parted-hour/nodes=48", true, func(seed uint64) []Metric { return partedHour(48, seed) }},
-		Scenario{"parted-hour/nodes=330", false, func(seed uint64) []Metric { return partedHour(330, seed) }},
+		Scenario{"parted-hour/nodes=48", true, func(seed uint64) []Metric { return partitionedHour(48, seed) }},
+		Scenario{"parted-hour/nodes=330", false, func(seed uint64) []Metric { return partitionedHour(330, seed) }},
 		Scenario{"restarts-120/nodes=48", true, func(seed uint64) []Metric { return restarts(48, seed) }},
 		Scenario{"restarts-120/nodes=330", false, func(seed uint64) []Metric { return restarts(330, seed) }},
 		Scenario{"items/nodes=330", true, func(seed uint64) []Metric { return items(330, seed) }},
 	)
 }
 
-// variants are runs of other timings, for the choice of the default ones.
+// variants returns scenarios with other timings than the default ones, to
+// compare them.
 func variants() []Scenario {
 	var list []Scenario
 	const n = 330
@@ -71,17 +73,18 @@
 	return list
 }
 
-// traffic is the bytes that all members had sent at a moment.
+// traffic holds the bytes that the processes have sent until a time, in total by
+// packet kind and for each process.
 type traffic struct {
 	at    time.Duration
 	kinds map[membership.PacketKind]uint64
 	all   []uint64
 }
 
-func (w *world) traffic() traffic {
-	t := traffic{at: w.now, kinds: map[membership.PacketKind]uint64{}, all: make([]uint64, len(w.nodes))}
-	for i, n := range w.nodes {
-		counts := n.core.(*membership.Core).Counts()
+func (sim *simulation) traffic() traffic {
+	t := traffic{at: sim.now, kinds: map[membership.PacketKind]uint64{}, all: make([]uint64, len(sim.processes))}
+	for i, p := range sim.processes {
+		counts := p.core.(*membership.Core).Counts()
 		for _, kind := range membership.PacketKinds() {
 			t.kinds[kind] += counts.Bytes[kind]
 			t.all[i] += counts.Bytes[kind]
@@ -90,10 +93,10 @@
 	return t
 }
 
-// rates gives the bytes a node a second since an earlier moment: by kind, the
-// mean, and that of the node that sent most.
-func (w *world) rates(since traffic, byKind bool) []Metric {
-	now := w.traffic()
+// rates returns the bytes per process and second since an earlier time: by kind
+// if byKind is set, the mean, and the maximum over all processes.
+func (sim *simulation) rates(since traffic, byKind bool) []Metric {
+	now := sim.traffic()
 	seconds := (now.at - since.at).Seconds()
 	var metrics []Metric
 	var sum, most uint64
@@ -101,37 +104,36 @@
 		sum += now.all[i] - since.all[i]
 		most = max(most, now.all[i]-since.all[i])
 	}
-	perNode := seconds * float64(len(w.nodes))
+	processSeconds := seconds * float64(len(sim.processes))
 	for _, kind := range membership.PacketKinds() {
 		if byKind {
-			metrics = append(metrics, Metric{kind.String() + "-B/node/s", float64(now.kinds[kind]-since.kinds[kind]) / perNode})
+			metrics = append(metrics, Metric{kind.String() + "-B/node/s", float64(now.kinds[kind]-since.kinds[kind]) / processSeconds})
 		}
 	}
-	return append(metrics, Metric{"B/node/s", float64(sum) / perNode}, Metric{"max-B/node/s", float64(most) / seconds})
+	return append(metrics, Metric{"B/node/s", float64(sum) / processSeconds}, Metric{"max-B/node/s", float64(most) / seconds})
 }
 
-// quiet measures what a fleet costs in which nothing happens, in bytes and in
-// memory for each member known.
+// quiet measures the traffic of a fleet without failures.
 func quiet(n int, seed uint64) []Metric {
-	w := newWorld(n, seed, membership.DefaultConfig())
-	w.run(settle)
-	since := w.traffic()
-	w.run(settle + time.Minute)
-	return w.rates(since, true)
+	sim := newSimulation(n, seed, membership.DefaultConfig())
+	sim.runUntil(warmUp)
+	since := sim.traffic()
+	sim.runUntil(warmUp + time.Minute)
+	return sim.rates(since, true)
 }
 
-// MemoryPerMember returns the heap bytes that one core takes for each member
-// it knows. It depends on the runtime, so no bound rests on it.
+// MemoryPerMember returns the heap bytes that one core takes per known member.
+// The value depends on the Go runtime, so it has no bound.
 func MemoryPerMember(n int) float64 {
-	w := newWorld(1, 1, membership.DefaultConfig())
+	sim := newSimulation(1, 1, membership.DefaultConfig())
 	known := make([]membership.Member, n)
 	for i := range known {
-		known[i] = w.member(i, baseStart)
+		known[i] = sim.member(i, baseStart)
 	}
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	core := w.newCore(0, baseStart, known)
+	core := sim.newCore(0, baseStart, known)
 	core.Tick(time.Millisecond)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
@@ -140,30 +142,31 @@
 	return float64(after.HeapAlloc-before.HeapAlloc) / float64(n)
 }
 
-// verdicts gathers what the members say about each other.
-type verdicts struct {
+// observer collects the suspicions and deaths that members report.
+type observer struct {
 	killed map[protocol.RouterID]time.Duration
-	// first and last are the times from a kill to the first and the last
-	// member that knows; all holds every member's.
+	// first and last are the times from a kill until the first and the last
+	// member declared the killed one dead; all holds the times of all members.
 	first, last map[protocol.RouterID]time.Duration
 	all         []time.Duration
-	// accusations and deaths of members that run, by whether they were
-	// healthy; each death is counted once for each member that believes it.
-	accused, wronged, impairedDead int
-	wrongedIDs                     map[protocol.RouterID]bool
-	impaired                       map[protocol.RouterID]bool
+	// falseAccusations counts failed probes of healthy running members that led
+	// to a suspicion. falseDeaths and impairedDead count the deaths of healthy
+	// and of impaired running members, once per member that reports the death.
+	falseAccusations, falseDeaths, impairedDead int
+	falselyDeclared                             map[protocol.RouterID]bool
+	impaired                                    map[protocol.RouterID]bool
 }
 
-func watch(w *world) *verdicts {
-	v := &verdicts{
+func observe(sim *simulation) *observer {
+	v := &observer{
 		killed: map[protocol.RouterID]time.Duration{}, first: map[protocol.RouterID]time.Duration{}, last: map[protocol.RouterID]time.Duration{},
-		impaired: map[protocol.RouterID]bool{}, wrongedIDs: map[protocol.RouterID]bool{},
+		impaired: map[protocol.RouterID]bool{}, falselyDeclared: map[protocol.RouterID]bool{},
 	}
-	w.record = func(s seen) { v.take(w, s) }
+	sim.record = func(s observation) { v.record(sim, s) }
 	return v
 }
 
-func (v *verdicts) take(w *world, s seen) {
+func (v *observer) record(sim *simulation, s observation) {
 	id := s.Member.ID
 	killedAt, killed := v.killed[id]
 	switch {
@@ -175,23 +178,24 @@
 		v.last[id] = took
 		v.all = append(v.all, took)
 	case s.Kind == membership.Suspected && !killed && s.Why == membership.WhyProbeFailed && !v.impaired[id]:
-		v.accused++
+		v.falseAccusations++
 	case s.Kind == membership.Died && v.impaired[id]:
 		v.impairedDead++
 	case s.Kind == membership.Died:
-		v.wronged++
-		v.wrongedIDs[id] = true
+		v.falseDeaths++
+		v.falselyDeclared[id] = true
 	}
 }
 
-// kill stops a process without a word.
-func (v *verdicts) kill(w *world, i int) {
-	w.nodes[i].dead = true
-	v.killed[w.nodes[i].id] = w.now
+// kill stops a process without a leave.
+func (v *observer) kill(sim *simulation, i int) {
+	sim.processes[i].dead = true
+	v.killed[sim.processes[i].id] = sim.now
 }
 
-// detection gives the times to find the killed ones, in milliseconds.
-func (v *verdicts) detection() []Metric {
+// detection returns the times until the killed processes were detected, in
+// milliseconds.
+func (v *observer) detection() []Metric {
 	return []Metric{
 		{"killed", float64(len(v.killed))},
 		{"found", float64(len(v.first))},
@@ -228,171 +232,174 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// kills stops members one after the other, under a share of lost packets.
+// kills stops members one after the other while the network loses the share loss
+// of all packets.
 func kills(n, count int, loss float64, seed uint64, config membership.Config) []Metric {
-	w := newWorld(n, seed, config)
-	v := watch(w)
-	w.loss = loss
-	w.run(settle)
-	order := w.random.Perm(n)
+	sim := newSimulation(n, seed, config)
+	v := observe(sim)
+	sim.loss = loss
+	sim.runUntil(warmUp)
+	order := sim.random.Perm(n)
 	for k := range count {
-		w.run(settle + time.Duration(k)*15*time.Second + time.Duration(w.random.Int64N(int64(time.Second))))
-		v.kill(w, order[k])
+		sim.runUntil(warmUp + time.Duration(k)*15*time.Second + time.Duration(sim.random.Int64N(int64(time.Second))))
+		v.kill(sim, order[k])
 	}
-	w.run(settle + time.Duration(count)*15*time.Second)
-	return append(v.detection(), Metric{"false-deaths", float64(len(v.wrongedIDs))})
+	sim.runUntil(warmUp + time.Duration(count)*15*time.Second)
+	return append(v.detection(), Metric{"false-deaths", float64(len(v.falselyDeclared))})
 }
 
-// lossy loses three packets in ten for a minute.
+// lossy runs a fleet for a minute while the network loses three packets in ten.
 func lossy(n int, seed uint64) []Metric {
-	w := newWorld(n, seed, membership.DefaultConfig())
-	w.run(settle)
-	v := watch(w)
-	w.loss = 0.3
-	since := w.traffic()
-	w.run(settle + time.Minute)
-	return append(w.rates(since, false),
-		Metric{"accusations/node/min", float64(v.accused) / float64(n)},
-		Metric{"false-deaths", float64(len(v.wrongedIDs))})
+	sim := newSimulation(n, seed, membership.DefaultConfig())
+	sim.runUntil(warmUp)
+	v := observe(sim)
+	sim.loss = 0.3
+	since := sim.traffic()
+	sim.runUntil(warmUp + time.Minute)
+	return append(sim.rates(since, false),
+		Metric{"accusations/node/min", float64(v.falseAccusations) / float64(n)},
+		Metric{"false-deaths", float64(len(v.falselyDeclared))})
 }
 
-// impaired freezes or overloads a tenth of the members for 1 to 5 s, six
-// times. An overloaded one reads what comes that much later.
+// impaired freezes or overloads a tenth of the members, six times. A frozen
+// member stops for 1 to 5 s; an overloaded one receives packets 1 to 5 s late.
 func impaired(n int, seed uint64, slow bool, config membership.Config) []Metric {
-	w := newWorld(n, seed, config)
-	v := watch(w)
-	w.run(settle)
-	since := w.traffic()
+	sim := newSimulation(n, seed, config)
+	v := observe(sim)
+	sim.runUntil(warmUp)
+	since := sim.traffic()
 	const rounds = 6
 	for round := range rounds {
 		v.impaired = map[protocol.RouterID]bool{}
-		for _, i := range w.random.Perm(n)[:max(1, n/10)] {
-			length := time.Second + time.Duration(w.random.Int64N(int64(4*time.Second)))
-			v.impaired[w.nodes[i].id] = true
+		for _, i := range sim.random.Perm(n)[:max(1, n/10)] {
+			length := time.Second + time.Duration(sim.random.Int64N(int64(4*time.Second)))
+			v.impaired[sim.processes[i].id] = true
 			if slow {
-				w.nodes[i].slowUntil, w.nodes[i].slowBy = w.now+10*time.Second, length
+				sim.processes[i].slowUntil, sim.processes[i].slowBy = sim.now+10*time.Second, length
 			} else {
-				w.nodes[i].frozenUntil = w.now + length
+				sim.processes[i].frozenUntil = sim.now + length
 			}
 		}
-		w.run(settle + time.Duration(round+1)*25*time.Second)
+		sim.runUntil(warmUp + time.Duration(round+1)*25*time.Second)
 	}
-	agreeing, running := w.agree()
-	return append(w.rates(since, false),
-		Metric{"accusations-of-healthy", float64(v.accused)},
-		Metric{"healthy-declared-dead", float64(len(v.wrongedIDs))},
+	agreeing, running := sim.agree()
+	return append(sim.rates(since, false),
+		Metric{"accusations-of-healthy", float64(v.falseAccusations)},
+		Metric{"healthy-declared-dead", float64(len(v.falselyDeclared))},
 		Metric{"impaired-deaths-believed/node", float64(v.impairedDead) / float64(rounds*max(1, n/10)) / float64(n)},
 		Metric{"disagreeing-at-end", float64(running - agreeing)})
 }
 
-// baseline runs heartbeats from all to all: quiet, one kill, then loss.
+// baseline runs heartbeats from all to all: first without failures, then with one
+// killed member, then with packet loss.
 func baseline(n int, seed uint64) []Metric {
-	w := newWorld(0, seed, membership.DefaultConfig())
-	v := watch(w)
+	sim := newSimulation(0, seed, membership.DefaultConfig())
+	v := observe(sim)
 	all := make([]protocol.RouterID, n)
 	for i := range n {
-		all[i] = nodeID(i)
+		all[i] = routerID(i)
 	}
 	for i := range n {
-		w.add(i, newHeartbeats(all[i], all, time.Duration(w.random.Int64N(int64(heartbeatPeriod)))))
+		sim.add(i, newHeartbeats(all[i], all, time.Duration(sim.random.Int64N(int64(heartbeatPeriod)))))
 	}
 	const length = 10 * time.Second
-	w.run(length)
+	sim.runUntil(length)
 	var bytes uint64
-	for _, n := range w.nodes {
-		bytes += n.core.(*heartbeats).bytes
+	for _, p := range sim.processes {
+		bytes += p.core.(*heartbeats).bytes
 	}
-	v.kill(w, n/2)
-	w.run(2 * length)
-	w.loss = 0.3
-	w.run(3 * length)
+	v.kill(sim, n/2)
+	sim.runUntil(2 * length)
+	sim.loss = 0.3
+	sim.runUntil(3 * length)
 	return append(v.detection(),
 		Metric{"B/node/s", float64(bytes) / float64(n) / length.Seconds()},
-		Metric{"false-deaths-believed/node/10s", float64(v.wronged) / float64(n)})
+		Metric{"false-deaths-believed/node/10s", float64(v.falseDeaths) / float64(n)})
 }
 
-// dataCentreLost stops the eight members of a data centre together.
+// dataCentreLost stops the eight members of a data centre at the same time.
 func dataCentreLost(seed uint64) []Metric {
 	const n = 330
-	w := newWorld(n, seed, membership.DefaultConfig())
-	v := watch(w)
-	w.run(settle)
-	since := w.traffic()
+	sim := newSimulation(n, seed, membership.DefaultConfig())
+	v := observe(sim)
+	sim.runUntil(warmUp)
+	since := sim.traffic()
 	for i := range perDataCentre {
-		v.kill(w, 5*perDataCentre+i)
+		v.kill(sim, 5*perDataCentre+i)
 	}
-	w.run(settle + 15*time.Second)
-	metrics := append(v.detection(), w.rates(since, false)...)
-	return append(metrics, Metric{"false-deaths", float64(len(v.wrongedIDs))})
+	sim.runUntil(warmUp + 15*time.Second)
+	metrics := append(v.detection(), sim.rates(since, false)...)
+	return append(metrics, Metric{"false-deaths", float64(len(v.falselyDeclared))})
 }
 
-// partedHour parts three regions for an hour and joins them again.
-func partedHour(n int, seed uint64) []Metric {
-	w := newWorld(n, seed, membership.DefaultConfig())
-	w.run(settle)
-	since := w.traffic()
-	w.parted = true
-	w.run(settle + time.Hour)
+// partitionedHour partitions three regions for an hour and then measures how
+// long their lists take to agree again.
+func partitionedHour(n int, seed uint64) []Metric {
+	sim := newSimulation(n, seed, membership.DefaultConfig())
+	sim.runUntil(warmUp)
+	since := sim.traffic()
+	sim.partitioned = true
+	sim.runUntil(warmUp + time.Hour)
 	known := 0
-	for _, n := range w.nodes {
-		known = max(known, n.core.(*membership.Core).Known())
+	for _, p := range sim.processes {
+		known = max(known, p.core.(*membership.Core).Known())
 	}
-	metrics := w.rates(since, false)
-	v := watch(w)
-	w.parted = false
-	joined := w.now
-	since = w.traffic()
+	metrics := sim.rates(since, false)
+	v := observe(sim)
+	sim.partitioned = false
+	healedAt := sim.now
+	since = sim.traffic()
 	agreeing := 0
-	for agreeing < n && w.now < joined+10*time.Minute {
-		w.run(w.now + time.Second)
-		agreeing, _ = w.agree()
+	for agreeing < n && sim.now < healedAt+10*time.Minute {
+		sim.runUntil(sim.now + time.Second)
+		agreeing, _ = sim.agree()
 	}
-	whole := w.now - joined
-	after := w.rates(since, false)
+	rejoined := sim.now - healedAt
+	after := sim.rates(since, false)
 	return []Metric{
 		{"parted-" + metrics[0].Name, metrics[0].Value}, {"parted-" + metrics[1].Name, metrics[1].Value},
 		{"known-after-hour", float64(known)},
-		{"whole-after-s", whole.Seconds()},
+		{"whole-after-s", rejoined.Seconds()},
 		{"rejoin-" + after[0].Name, after[0].Value}, {"rejoin-" + after[1].Name, after[1].Value},
-		{"false-deaths", float64(len(v.wrongedIDs))},
+		{"false-deaths", float64(len(v.falselyDeclared))},
 		{"disagreeing-at-end", float64(n - agreeing)},
 	}
 }
 
-// restarts replaces 120 processes under their old IDs, one each ten seconds:
-// a day's worth in twenty minutes. Half say goodbye, half are killed and back
-// after three seconds.
+// restarts replaces 120 processes under their old IDs, one every ten seconds, so
+// the restarts of a day in twenty minutes. Half of them announce that they leave,
+// half are killed; all are back after three seconds.
 func restarts(n int, seed uint64) []Metric {
-	w := newWorld(n, seed, membership.DefaultConfig())
-	v := watch(w)
-	w.run(settle)
-	since := w.traffic()
+	sim := newSimulation(n, seed, membership.DefaultConfig())
+	v := observe(sim)
+	sim.runUntil(warmUp)
+	since := sim.traffic()
 	const count, pause = 120, 10 * time.Second
 	var left uint64
 	for k := range count {
-		i := w.random.IntN(n)
-		old := w.nodes[i].core.(*membership.Core)
+		i := sim.random.IntN(n)
+		old := sim.processes[i].core.(*membership.Core)
 		if k%2 == 0 {
-			w.carryOut(i, old.Leave(w.now))
+			sim.handleOutput(i, old.Leave(sim.now))
 		}
-		w.nodes[i].dead = true
-		v.impaired = map[protocol.RouterID]bool{w.nodes[i].id: true}
-		w.run(w.now + 3*time.Second)
+		sim.processes[i].dead = true
+		v.impaired = map[protocol.RouterID]bool{sim.processes[i].id: true}
+		sim.runUntil(sim.now + 3*time.Second)
 		left += sent(old)
 		since.all[i] = 0
-		w.add(i, w.newCore(i, baseStart+uint64(w.now/time.Millisecond), nil))
-		w.run(w.now + pause - 3*time.Second)
+		sim.add(i, sim.newCore(i, baseStart+uint64(sim.now/time.Millisecond), nil))
+		sim.runUntil(sim.now + pause - 3*time.Second)
 	}
-	w.run(w.now + time.Minute)
-	agreeing, running := w.agree()
+	sim.runUntil(sim.now + time.Minute)
+	agreeing, running := sim.agree()
 	mean := 0.0
-	for _, n := range w.nodes {
-		mean += float64(sent(n.core.(*membership.Core)))
+	for _, p := range sim.processes {
+		mean += float64(sent(p.core.(*membership.Core)))
 	}
-	mean = (mean + float64(left)) / float64(n) / w.now.Seconds()
+	mean = (mean + float64(left)) / float64(n) / sim.now.Seconds()
 	return []Metric{
 		{"B/node/s", mean},
-		{"healthy-declared-dead", float64(len(v.wrongedIDs))},
+		{"healthy-declared-dead", float64(len(v.falselyDeclared))},
 		{"disagreeing-at-end", float64(running - agreeing)},
 	}
 }
@@ -405,23 +412,23 @@
 	return sum
 }
 
-// items broadcasts a quarantine notice of 20 bytes each second for a minute.
+// items broadcasts a quarantine notice of 20 bytes every second for a minute.
 func items(n int, seed uint64) []Metric {
-	w := newWorld(n, seed, membership.DefaultConfig())
-	w.run(settle)
-	since := w.traffic()
+	sim := newSimulation(n, seed, membership.DefaultConfig())
+	sim.runUntil(warmUp)
+	since := sim.traffic()
 	started := map[uint64]time.Duration{}
 	var took []time.Duration
-	w.item = func(_ int, item membership.Item) { took = append(took, w.now-started[item.Key]) }
+	sim.item = func(_ int, item membership.Item) { took = append(took, sim.now-started[item.Key]) }
 	const count = 60
 	for k := range count {
-		w.run(settle + time.Duration(k)*time.Second)
-		started[uint64(k)] = w.now
-		w.nodes[w.random.IntN(n)].core.(*membership.Core).Broadcast(1, uint64(k), make([]byte, 20))
+		sim.runUntil(warmUp + time.Duration(k)*time.Second)
+		started[uint64(k)] = sim.now
+		sim.processes[sim.random.IntN(n)].core.(*membership.Core).Broadcast(1, uint64(k), make([]byte, 20))
 	}
-	w.run(w.now + 10*time.Second)
+	sim.runUntil(sim.now + 10*time.Second)
 	missed := count*(n-1) - len(took)
-	return append(w.rates(since, false),
+	return append(sim.rates(since, false),
 		Metric{"arrived-median-ms", median(took)},
 		Metric{"arrived-max-ms", largest(took)},
 		Metric{"missed-ppm", float64(missed) * 1e6 / float64(count*(n-1))})
--- a/coordination/membership/packet.go
+++ b/coordination/membership/packet.go
@@ -7,8 +7,7 @@
 	"endiveplank/protocol"
 )
 
-// PacketKind says what a packet is for. Numbers are never used again for
-// something else.
+// PacketKind is the kind of a packet. Numbers are never reused for another kind.
 type PacketKind uint8
 
 // Kinds of packets.
@@ -19,15 +18,15 @@
 	Ack
 	// PingRequest asks the receiver to ping Target.
 	PingRequest
-	// Nack says that Target did not answer the helper.
+	// Nack tells the receiver that Target did not answer this helper.
 	Nack
 	// Gossip carries rumours only.
 	Gossip
 	// Join asks a seed for its list.
 	Join
-	// ListRequest asks for the list after the member Target.
+	// ListRequest asks for the page of the list after the member Target.
 	ListRequest
-	// List is a piece of the list, in order of IDs after Target.
+	// List is a page of the list, in order of IDs after Target.
 	List
 	packetKinds
 )
@@ -58,8 +57,8 @@
 //	started, refuted  uvarint each, of the sender
 //	digest    4 bytes, big endian: of the sender's membership
 //	target    string
-//	more      1 byte: 1 when the list goes on after the last record
-//	rumours   until the end, see appendRumour
+//	more      1 byte: 1 if the list continues after the last record
+//	rumours   up to the end, see appendRumour
 type message struct {
 	Kind        PacketKind
 	Sequence    uint64
@@ -71,7 +70,7 @@
 	Rumours     []rumour
 }
 
-// rumourKind says what a rumour is about.
+// rumourKind is the kind of update that a rumour carries.
 type rumourKind uint8
 
 const (
@@ -83,13 +82,13 @@
 	rumourKinds
 )
 
-// rumour is one piece of news.
+// rumour is one update about a member, or one broadcast item.
 type rumour struct {
 	Kind rumourKind
-	// Member is whole for rumourAlive; otherwise ID and Incarnation are set.
-	// For an item they name its origin.
+	// Member is complete for rumourAlive; otherwise only ID and Incarnation are
+	// set. For an item they are those of its origin.
 	Member Member
-	// By accuses, for rumourSuspect and rumourDead.
+	// By is the member that reported a rumourSuspect or rumourDead.
 	By protocol.RouterID
 	// ItemKind, Key, Version and Payload belong to rumourItem. A higher
 	// version replaces a lower one of the same origin, kind and key.
@@ -99,8 +98,8 @@
 	Payload  []byte
 }
 
-// maxName is the longest router ID, address, data centre or region.
-const maxName = 64
+// maxNameBytes bounds a router ID, address, data centre or region.
+const maxNameBytes = 64
 
 var errMalformed = errors.New("membership: packet is malformed")
 
@@ -150,7 +149,8 @@
 	return b
 }
 
-// reader takes fields off a packet; after a failure it gives zero values.
+// reader reads the fields of a packet. A malformed field sets bad and reads as
+// the zero value; the packet is then refused.
 type reader struct {
 	rest []byte
 	bad  bool
@@ -188,7 +188,7 @@
 	return taken
 }
 
-func (r *reader) string() string { return string(r.bytes(maxName)) }
+func (r *reader) string() string { return string(r.bytes(maxNameBytes)) }
 
 func (r *reader) id() protocol.RouterID { return protocol.RouterID(r.string()) }
 
@@ -201,9 +201,10 @@
 	return Incarnation{Started: started, Refuted: uint32(refuted)}
 }
 
-// maxRefuted and maxStarted keep a forged incarnation from leaving no room to
-// refute it: a member that refutes once a second takes years to get there, and
-// a clock in milliseconds thousands of years.
+// maxRefuted and maxStarted bound an incarnation, so that a member can always
+// refute a forged one by a higher one. A member that refutes once a second takes
+// years to reach maxRefuted, and a clock in milliseconds thousands of years to
+// reach maxStarted.
 const (
 	maxRefuted = 1 << 30
 	maxStarted = 1 << 50
@@ -219,8 +220,8 @@
 	return value
 }
 
-// decode reads a packet. Packets come from peers: anything but a whole, known
-// packet is an error.
+// decode decodes a packet. Packets come from peers, so anything but a complete
+// packet of a known version and kind is an error.
 func decode(data []byte) (message, error) {
 	r := &reader{rest: data}
 	if len(data) > MaxPacket || r.byte() != formatVersion {
--- a/coordination/membership/packet_test.go
+++ b/coordination/membership/packet_test.go
@@ -46,6 +46,8 @@
 	return data
 }
 
+// A message must decode to what was encoded. A truncated packet must be refused,
+// unless it ends between two rumours.
 func TestPacketsDecodeToWhatWasEncoded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := message{
@@ -62,14 +64,14 @@
 		assert.DeepEqual(t, decoded, m)
 		cut := rapid.IntRange(0, len(data)-1).Draw(t, "cut")
 		if whole, err := decode(data[:cut]); err == nil {
-			assert.Assert(t, len(whole.Rumours) < len(m.Rumours), "a packet that is cut inside a rumour is refused")
+			assert.Assert(t, len(whole.Rumours) < len(m.Rumours), "a packet that is truncated inside a rumour is refused")
 		}
 	})
 }
 
-// A peer of another version, or one with a broken network card, sends bytes
-// that mean nothing. The router must go on, with its list as it was.
-func TestBrokenPacketsChangeNothing(t *testing.T) {
+// A peer of another version, or one with a broken network card, sends malformed
+// packets. The router must refuse them and keep its list unchanged.
+func TestMalformedPacketsChangeNothing(t *testing.T) {
 	forged := encode(message{Kind: Gossip, From: "b", Rumours: []rumour{{Kind: rumourDead, Member: Member{ID: "a", Incarnation: Incarnation{Refuted: maxRefuted + 1}}, By: "b"}}})
 	item := rumour{Kind: rumourItem, Member: Member{ID: "b"}, Payload: make([]byte, MaxItem)}
 	oversized := encode(message{Kind: Gossip, From: "b", Rumours: []rumour{item, item}})
@@ -83,8 +85,8 @@
 	assert.Equal(t, c.Known(), 1)
 }
 
-// A faulty router sends packets in another's name. What it says of that one
-// must not be believed where the connection shows who it is.
+// A faulty router sends packets that name another router as their sender. The
+// receiver must refuse them where the connection verifies the sender.
 func TestPacketInAnothersNameIsRefused(t *testing.T) {
 	c := newTestCore("a", "b", "c")
 	data := from("b", message{Kind: Gossip, Rumours: []rumour{{Kind: rumourLeft, Member: testMember("b")}}})
--- a/coordination/membership/probe.go
+++ b/coordination/membership/probe.go
@@ -8,52 +8,54 @@
 )
 
 const (
-	// probeStages is how often a probe is sent before it failed.
+	// probeStages is the number of pings without an ack after which a probe has
+	// failed.
 	probeStages = 3
-	// urgentPerTick bounds probes out of turn, which come in a burst when
-	// many members are suspected together.
+	// urgentPerTick bounds the probes sent out of turn in one tick. They come in
+	// bursts when many members are suspected together.
 	urgentPerTick = 2
-	// silentFailures is how many probes of one member that nobody answers,
-	// helpers included, make an accusation all the same: a fleet that lost
-	// all others would otherwise never notice.
-	silentFailures = 3
-	// deafPatience is how long a member that hears nobody accuses nobody.
-	// It covers an overload of seconds.
-	deafPatience = 15 * time.Second
-	// maxFailed is how many failed probes are remembered for late answers.
-	maxFailed = 32
-	// maxRelays bounds the probes made for others. Eight monitors with two
-	// repeats each are far below it.
+	// maxUnconfirmedFailures is the number of failed probes of one member after
+	// which it is suspected even though no helper answered: a member that lost
+	// all others would otherwise never detect it.
+	maxUnconfirmedFailures = 3
+	// isolationTimeout is how long a member that receives no acks suspects
+	// nobody. It covers an overload of some seconds.
+	isolationTimeout = 15 * time.Second
+	// maxFailedProbes is the number of failed probes kept to match late acks.
+	maxFailedProbes = 32
+	// maxRelays bounds the probes made for other members. Eight monitors with
+	// two repeats each need far fewer.
 	maxRelays = 64
 )
 
-// probe is a question whether a member lives.
+// probe is a probe of a member in progress.
 type probe struct {
 	sequence    uint64
 	target      protocol.RouterID
 	incarnation Incarnation
-	began       time.Duration
+	startedAt   time.Duration
 	stage       int
 	due         time.Duration
 	helpers     int
 	nacks       int
-	// shed says that the budget did not allow one of its packets.
+	// shed means that the budget did not allow one of the pings.
 	shed bool
 }
 
-// relay is a probe made for another member.
+// relay is a ping sent for another member, the origin.
 type relay struct {
-	sequence uint64
-	origin   protocol.RouterID
-	theirs   uint64
-	target   protocol.RouterID
-	due      time.Duration
+	sequence       uint64
+	origin         protocol.RouterID
+	originSequence uint64
+	target         protocol.RouterID
+	due            time.Duration
 }
 
-// tickProbes begins the probes that are due and moves those under way on.
+// tickProbes starts the probes that are due, and repeats or fails those in
+// progress whose timeout expired.
 func (c *Core) tickProbes(now time.Duration) {
 	c.probes = slices.DeleteFunc(c.probes, func(p *probe) bool {
-		return now >= p.due && c.repeatOrFail(now, p)
+		return now >= p.due && c.advanceProbe(now, p)
 	})
 	for range min(urgentPerTick, len(c.urgent)) {
 		target := c.urgent[0]
@@ -73,9 +75,9 @@
 	c.startProbe(now, target)
 }
 
-// probeSoon asks for a probe out of turn.
+// probeSoon queues a probe out of turn.
 func (c *Core) probeSoon(target protocol.RouterID) {
-	c.urgent = appendOnce(c.urgent, target)
+	c.urgent = appendUnique(c.urgent, target)
 }
 
 func (c *Core) startProbe(now time.Duration, id protocol.RouterID) {
@@ -84,7 +86,7 @@
 		return
 	}
 	c.sequence++
-	p := &probe{sequence: c.sequence, target: id, incarnation: target.Incarnation, began: now}
+	p := &probe{sequence: c.sequence, target: id, incarnation: target.Incarnation, startedAt: now}
 	p.due = now + c.health.stretch(c.config.ProbeTimeout)
 	c.probes = append(c.probes, p)
 	c.ping(now, target, p)
@@ -96,15 +98,16 @@
 	}
 }
 
-// repeatOrFail moves a probe on and says whether it is over.
-func (c *Core) repeatOrFail(now time.Duration, p *probe) bool {
+// advanceProbe repeats or fails a probe whose timeout expired, and reports
+// whether the probe is over.
+func (c *Core) advanceProbe(now time.Duration, p *probe) bool {
 	target := c.members[p.target]
 	if target == nil || !target.State.living() || target.Incarnation != p.incarnation {
 		return true
 	}
 	p.stage++
 	if p.stage >= probeStages {
-		c.probeEnded(now, target, p)
+		c.finishProbe(now, target, p)
 		return true
 	}
 	p.due = now + c.health.stretch(c.config.ProbeTimeout)
@@ -137,9 +140,10 @@
 	return helpers
 }
 
-// probeEnded judges a probe that was not answered. One that the budget kept
-// from being sent in full says nothing, and its suspect gets its time anew.
-func (c *Core) probeEnded(now time.Duration, target *record, p *probe) {
+// finishProbe evaluates a probe that was not answered. If the budget did not
+// allow all of its pings, the failure says nothing about the target, and the
+// timeout of its suspicion starts again.
+func (c *Core) finishProbe(now time.Duration, target *record, p *probe) {
 	if p.shed {
 		target.suspicion.since = now
 		return
@@ -147,54 +151,56 @@
 	c.probeFailed(now, target, p)
 }
 
-// probeFailed accuses the target, or doubts this member. A helper that says it
-// got no answer either shows that this member is heard and hears in time.
-// Without such a word the fault is more likely here.
+// probeFailed suspects the target, or degrades this member's own health. A nack
+// from a helper shows that this member's packets arrive and that it receives
+// replies in time. Without a nack the fault is more likely here.
 func (c *Core) probeFailed(now time.Duration, target *record, p *probe) {
 	c.failed = append(c.failed, p)
-	if len(c.failed) > maxFailed {
+	if len(c.failed) > maxFailedProbes {
 		c.failed = slices.Delete(c.failed, 0, 1)
 	}
 	if p.nacks == 0 {
-		c.health.worse(1)
+		c.health.degrade(1)
 		if target.failures == 0 {
-			target.silentSince = p.began
+			target.unansweredSince = p.startedAt
 		}
 		target.failures++
-		if target.failures < silentFailures || c.deaf(now, target) {
-			c.event(Doubted, c.self, WhyUnanswered, "")
+		if target.failures < maxUnconfirmedFailures || c.isolated(now, target) {
+			c.emit(HealthDegraded, c.self, WhyUnanswered, "")
 			c.probeSoon(p.target)
 			return
 		}
 	}
 	target.failures = 0
-	c.suspect(now, target.Member, c.config.Self, WhyProbeFailed)
+	c.handleSuspicion(now, target.Member, c.config.Self, WhyProbeFailed)
 }
 
-// deaf says that silence says nothing about one member, because no other has
-// answered this one since either. It doesn't hold for ever: a member that lost
-// all others has to notice.
-func (c *Core) deaf(now time.Duration, target *record) bool {
-	return c.lastAnswer <= target.silentSince && now-target.silentSince < deafPatience
+// isolated reports whether this member has received no ack at all since the
+// target stopped answering, so that the failed probes say nothing about the
+// target. It returns false after isolationTimeout, because a member that lost all
+// others has to detect that.
+func (c *Core) isolated(now time.Duration, target *record) bool {
+	return c.lastAck <= target.unansweredSince && now-target.unansweredSince < isolationTimeout
 }
 
-// acknowledged ends a probe, or passes the answer on to whom it is for.
-func (c *Core) acknowledged(now time.Duration, m message) {
+// handleAck ends a probe, or passes the ack on to the member for which this one
+// sent the ping.
+func (c *Core) handleAck(now time.Duration, m message) {
 	at := slices.IndexFunc(c.probes, func(p *probe) bool { return p.sequence == m.Sequence && p.target == m.Target })
 	if at >= 0 {
 		p := c.probes[at]
 		c.probes = slices.Delete(c.probes, at, at+1)
-		c.health.better()
-		c.lastAnswer = now
+		c.health.improve()
+		c.lastAck = now
 		if target := c.members[m.Target]; target != nil {
 			target.failures = 0
-			if p.began >= target.suspicion.since {
-				c.answered(now, target)
+			if p.startedAt >= target.suspicion.since {
+				c.clearSuspicion(now, target)
 			}
 		}
 		return
 	}
-	if c.late(now, m) {
+	if c.handleLateAck(now, m) {
 		return
 	}
 	at = slices.IndexFunc(c.relays, func(r relay) bool { return r.sequence == m.Sequence && r.target == m.Target })
@@ -204,59 +210,59 @@
 	r := c.relays[at]
 	c.relays = slices.Delete(c.relays, at, at+1)
 	if origin := c.members[r.origin]; origin != nil {
-		c.send(now, origin, message{Kind: Ack, Sequence: r.theirs, Target: r.target}, classAnswer)
+		c.send(now, origin, message{Kind: Ack, Sequence: r.originSequence, Target: r.target}, classAck)
 	}
 }
 
-// late takes an answer to a probe that had failed. It is this member that is
-// slow, and what it concluded from the failure doesn't hold.
-func (c *Core) late(now time.Duration, m message) bool {
+// handleLateAck handles the ack of a probe that has failed. This member is the
+// slow one, so it clears the suspicion that it drew from the failure.
+func (c *Core) handleLateAck(now time.Duration, m message) bool {
 	at := slices.IndexFunc(c.failed, func(p *probe) bool { return p.sequence == m.Sequence && p.target == m.Target })
 	if at < 0 {
 		return false
 	}
 	c.failed = slices.Delete(c.failed, at, at+1)
-	c.health.worse(1)
+	c.health.degrade(1)
 	if target := c.members[m.Target]; target != nil {
 		target.failures = 0
-		c.answered(now, target)
+		c.clearSuspicion(now, target)
 	}
 	return true
 }
 
-// relay probes a member for another.
-func (c *Core) relay(now time.Duration, origin *record, m message) {
+// handlePingRequest pings a member for another one.
+func (c *Core) handlePingRequest(now time.Duration, origin *record, m message) {
 	target := c.members[m.Target]
 	if target == nil || len(c.relays) >= maxRelays {
 		return
 	}
 	c.sequence++
 	c.relays = append(c.relays, relay{
-		sequence: c.sequence, origin: origin.ID, theirs: m.Sequence, target: m.Target,
+		sequence: c.sequence, origin: origin.ID, originSequence: m.Sequence, target: m.Target,
 		due: now + c.config.ProbeTimeout/2,
 	})
 	c.send(now, target, message{Kind: Ping, Sequence: c.sequence, Target: m.Target}, classProbe)
 }
 
-// witnessDoubt is the most doubt with which a member bears witness. One that
-// is late itself finds that nobody answers it in time.
-const witnessDoubt = 1
+// maxNackScore is the highest health score with which a member sends nacks. A
+// member that is late itself receives no ack in time, whatever the target does.
+const maxNackScore = 1
 
-// tickRelays tells the askers of probes that were not answered.
+// tickRelays sends nacks to the origins of pings that were not answered.
 func (c *Core) tickRelays(now time.Duration) {
 	c.relays = slices.DeleteFunc(c.relays, func(r relay) bool {
 		if now < r.due {
 			return false
 		}
-		if origin := c.members[r.origin]; origin != nil && c.health.doubt <= witnessDoubt {
-			c.send(now, origin, message{Kind: Nack, Sequence: r.theirs, Target: r.target}, classAnswer)
+		if origin := c.members[r.origin]; origin != nil && c.health.score <= maxNackScore {
+			c.send(now, origin, message{Kind: Nack, Sequence: r.originSequence, Target: r.target}, classAck)
 		}
 		return true
 	})
 }
 
-// refusedBy counts a helper's word that the target did not answer it.
-func (c *Core) refusedBy(m message) {
+// handleNack counts the nack of a helper that the target did not answer.
+func (c *Core) handleNack(m message) {
 	for _, p := range c.probes {
 		if p.sequence == m.Sequence && p.target == m.Target {
 			p.nacks++
--- a/coordination/membership/rumours.go
+++ b/coordination/membership/rumours.go
@@ -8,12 +8,12 @@
 	"endiveplank/protocol"
 )
 
-// BulkKind and the broadcast kinds above it are shed before all other rumours:
-// items that a later one replaces soon, such as load summaries. Kinds below it
-// must arrive, such as quarantine notices.
+// BulkKind and the broadcast kinds above it are shed before all other rumours.
+// They are for items that a later one soon replaces, such as load summaries.
+// Kinds below it are for items that must arrive, such as quarantine notices.
 const BulkKind = 128
 
-// rumourKey says which rumours replace each other.
+// rumourKey identifies the rumours that replace each other.
 type rumourKey struct {
 	member protocol.RouterID
 	item   bool
@@ -28,9 +28,10 @@
 	return rumourKey{member: r.Member.ID, item: true, kind: r.ItemKind, key: r.Key}
 }
 
-// usefulness orders rumours: who is dead and who is not after all; then who is
-// doubted; then items that must arrive; then who is new; then bulk items.
-func (r rumour) usefulness() int {
+// priority orders rumours, the most useful first: deaths, leaves and
+// refutations; then suspicions; then items that must arrive; then new members;
+// then bulk items.
+func (r rumour) priority() int {
 	switch {
 	case r.Kind == rumourDead || r.Kind == rumourLeft:
 		return 0
@@ -46,34 +47,34 @@
 	return 4
 }
 
-// queued is a rumour with how often it was sent.
-type queued struct {
+// queuedRumour is a rumour with the number of times that it was sent.
+type queuedRumour struct {
 	rumour
-	encoded []byte
-	sent    int
-	rank    int
-	order   uint64
+	encoded  []byte
+	sent     int
+	priority int
+	order    uint64
 }
 
-// queue holds the rumours to pass on. Load: a data centre lost or regions
-// joined again, when hundreds of rumours come at once. Harm prevented: memory
-// without bound, and old news that crowds out new. Each rumour is sent a
-// bounded number of times, and the queue keeps the most useful.
+// queue holds the rumours to send. When a data centre is lost, or when a
+// partition between regions ends, hundreds of rumours come at once. To bound
+// memory, and to keep old updates from delaying new ones, each rumour is sent a
+// bounded number of times, and a full queue keeps the most useful rumours.
 type queue struct {
 	limit int
-	items []queued
+	items []queuedRumour
 	next  uint64
 	shed  uint64
-	// sorted says that items are in the order of before.
+	// sorted means that items are in the order of compareQueued.
 	sorted bool
 }
 
-// add puts a rumour in and takes out what it replaces.
+// add queues a rumour and removes the rumour that it replaces.
 func (q *queue) add(r rumour) {
 	key := r.key()
-	q.items = slices.DeleteFunc(q.items, func(old queued) bool { return old.key() == key })
+	q.items = slices.DeleteFunc(q.items, func(old queuedRumour) bool { return old.key() == key })
 	q.next++
-	q.items = append(q.items, queued{rumour: r, encoded: appendRumour(nil, r), rank: r.usefulness(), order: q.next})
+	q.items = append(q.items, queuedRumour{rumour: r, encoded: appendRumour(nil, r), priority: r.priority(), order: q.next})
 	q.sorted = false
 	if len(q.items) > q.limit {
 		q.sort()
@@ -82,9 +83,9 @@
 	}
 }
 
-// before orders by usefulness, then by how seldom it was sent, then newest.
-func before(a, b queued) int {
-	if order := cmp.Compare(a.rank, b.rank); order != 0 {
+// compareQueued orders by priority, then the least often sent, then the newest.
+func compareQueued(a, b queuedRumour) int {
+	if order := cmp.Compare(a.priority, b.priority); order != 0 {
 		return order
 	}
 	if order := cmp.Compare(a.sent, b.sent); order != 0 {
@@ -95,19 +96,19 @@
 
 func (q *queue) sort() {
 	if !q.sorted {
-		slices.SortFunc(q.items, before)
+		slices.SortFunc(q.items, compareQueued)
 		q.sorted = true
 	}
 }
 
-// take appends the most useful rumours that fit within room bytes and counts
-// them as sent; those sent often enough leave.
-func (q *queue) take(b []byte, room, transmissions int) []byte {
+// take appends the most useful rumours that fit into space bytes and counts them
+// as sent. It removes those that were sent often enough.
+func (q *queue) take(b []byte, space, transmissions int) []byte {
 	if len(q.items) == 0 {
 		return b
 	}
 	q.sort()
-	limit := len(b) + room
+	limit := len(b) + space
 	done := false
 	for i := range q.items {
 		item := &q.items[i]
@@ -120,15 +121,15 @@
 		done = done || item.sent >= transmissions
 	}
 	if done {
-		q.items = slices.DeleteFunc(q.items, func(item queued) bool { return item.sent >= transmissions })
+		q.items = slices.DeleteFunc(q.items, func(item queuedRumour) bool { return item.sent >= transmissions })
 	}
 	return b
 }
 
-// transmissions is how often a member of a fleet of that size sends a rumour.
-// A rumour that each knower sends to random partners reaches all but a share
-// that shrinks exponentially with this number. In a fleet of nine, the formula
-// alone would leave one out now and then.
+// transmissions returns the number of times that a member sends a rumour in a
+// fleet of the current size. The share of members that a rumour does not reach
+// shrinks exponentially with this number. In a fleet of nine, the formula alone
+// would miss a member now and then; minTransmissions avoids that.
 func (c *Core) transmissions() int {
 	return max(minTransmissions, int(math.Ceil(c.config.Transmissions*math.Log2(float64(c.living+1)))))
 }
--- a/coordination/membership/types.go
+++ b/coordination/membership/types.go
@@ -7,8 +7,8 @@
 	"endiveplank/protocol"
 )
 
-// Incarnation orders what is said about a member: a later start of its process
-// first, then the times it refuted a suspicion since.
+// Incarnation orders the updates about a member: first by the start time of its
+// process, then by the number of times that process refuted a suspicion.
 type Incarnation struct {
 	// Started is the process's start in Unix milliseconds.
 	Started uint64
@@ -23,7 +23,7 @@
 	return cmp.Compare(i.Refuted, other.Refuted)
 }
 
-// State is what a member is believed to be.
+// State is the state that this process considers a member to be in.
 type State uint8
 
 // States of a member.
@@ -31,11 +31,11 @@
 	Alive State = iota + 1
 	Suspect
 	Dead
-	// Left is a member that said goodbye.
+	// Left is a member that announced that it leaves.
 	Left
 )
 
-// living says whether a state counts as part of the fleet.
+// living reports whether a member in this state counts as part of the fleet.
 func (s State) living() bool { return s == Alive || s == Suspect }
 
 // Member is what is known of a router.
@@ -53,21 +53,22 @@
 
 // Kinds of events.
 const (
-	// Joined is a member that was not known, or known as gone.
+	// Joined is a member that was unknown, or known as dead or left.
 	Joined EventKind = "member-joined"
 	// Suspected is a member that did not answer a probe.
 	Suspected EventKind = "member-suspected"
-	// Refuted is a suspect that showed that it lives.
+	// Refuted is a suspect that proved to be alive.
 	Refuted EventKind = "member-refuted"
 	// Died is a suspect that did not refute in time.
 	Died EventKind = "member-died"
-	// Departed is a member that said goodbye.
+	// Departed is a member that announced that it leaves.
 	Departed EventKind = "member-departed"
-	// Reborn is a new process under the ID of a living member: what the old
-	// process held is lost.
-	Reborn EventKind = "member-reborn"
-	// Doubted is this member finding that its own view is stale or unsound.
-	Doubted EventKind = "member-doubts-itself"
+	// Restarted is a new process under the ID of a living member. The state of
+	// the old process is lost.
+	Restarted EventKind = "member-reborn"
+	// HealthDegraded means that this member found its own view stale or
+	// unreliable, or was suspected itself.
+	HealthDegraded EventKind = "member-doubts-itself"
 )
 
 // Why is the reason of an event.
@@ -78,11 +79,11 @@
 	WhyAnswered     Why = "answered-a-probe"
 	WhyProbeFailed  Why = "probe-failed"
 	WhyNoRefutation Why = "no-refutation"
-	WhyTold         Why = "told-by-a-member"
+	WhyReported     Why = "told-by-a-member"
 	WhyAddressTaken Why = "address-taken"
 	WhyFrozen       Why = "own-process-frozen"
 	WhyUnanswered   Why = "nobody-answers"
-	WhyAccused      Why = "accused-by-a-member"
+	WhySuspected    Why = "accused-by-a-member"
 )
 
 // Event is something that the user of the package may act on or explain.
@@ -90,11 +91,11 @@
 	Kind   EventKind
 	Member Member
 	Why    Why
-	// By is the member that said so, if it was told.
+	// By is the member that reported it, if another member did.
 	By protocol.RouterID
 }
 
-// Packet is something to send. It may be lost.
+// Packet is a packet to send. It may be lost.
 type Packet struct {
 	// To is empty when only the address of a seed is known.
 	To      protocol.RouterID
@@ -103,7 +104,7 @@
 	Data    []byte
 }
 
-// Item is a broadcast that came from another member.
+// Item is a broadcast item received from another member.
 type Item struct {
 	Origin  protocol.RouterID
 	Kind    uint8
@@ -111,7 +112,8 @@
 	Payload []byte
 }
 
-// Output is what to do after a step. It is valid until the next step.
+// Output is what the driver must do after a step. It is valid until the next
+// step.
 type Output struct {
 	Packets []Packet
 	Events  []Event
@@ -120,38 +122,40 @@
 
 // Counts are totals since the start.
 type Counts struct {
-	// Bytes and Packets count what was sent by kind, PacketOverhead included.
+	// Bytes and Packets count sent packets by kind, and their bytes with
+	// PacketOverhead.
 	Bytes   [packetKinds]uint64
 	Packets [packetKinds]uint64
-	// ShedPackets were not sent for want of budget, ShedRumours left the
-	// queue before they were sent often enough.
+	// ShedPackets counts packets that the budget did not allow, and
+	// ShedRumours the rumours dropped from the full queue before they were
+	// sent often enough.
 	ShedPackets uint64
 	ShedRumours uint64
-	// Refused counts packets that did not decode.
+	// Refused counts packets that did not decode or named a wrong sender.
 	Refused uint64
-	// Frozen counts the times this process found that it did not run.
+	// Frozen counts how often this process detected that it was frozen.
 	Frozen uint64
 }
 
-// suspicion is the state of a doubt about a member.
+// suspicion is the state of a suspicion of a member.
 type suspicion struct {
 	since time.Duration
-	// by are the members that accuse, the first ones only.
+	// by holds the first members that reported the suspicion.
 	by []protocol.RouterID
 	// nextProbe is when the suspect is probed again.
 	nextProbe time.Duration
 }
 
-// record is a member with what the detector needs.
+// record is a member with its detector state.
 type record struct {
 	Member
 	hash      uint64
 	changed   time.Duration
 	suspicion suspicion
-	// failures counts probes that failed with no answer from anybody, since
-	// silentSince.
+	// failures counts the failed probes in a row for which no helper answered
+	// either. The first of them started at unansweredSince.
 	failures int
-	// revivals counts how often this life was held for dead, wrongly.
-	revivals    int
-	silentSince time.Duration
+	// falseDeaths counts how often this process was wrongly declared dead.
+	falseDeaths     int
+	unansweredSince time.Duration
 }
--- a/daemon/gossip.go
+++ b/daemon/gossip.go
@@ -120,7 +120,7 @@
 	case membership.Died, membership.Departed:
 		g.log.Warn().Str("peer", string(event.Member.ID)).Str("why", string(event.Why)).Msg("membership: " + string(event.Kind))
 		g.input(node.PeerLost{Peer: event.Member.ID})
-	case membership.Reborn:
+	case membership.Restarted:
 		g.learn(event.Member.ID, event.Member.Address)
 		g.input(node.PeerLost{Peer: event.Member.ID})
 	case membership.Joined:
