--- a/coordination/node/owner.go
+++ b/coordination/node/owner.go
@@ -71,7 +71,7 @@
 type relay struct {
 	place       fleet.Place
 	entryRouter protocol.RouterID
-	placeAsk    placement.Ask
+	placeQuery  placement.Query
 	deadline    time.Duration
 	// cost is the work that the load bound counts, in generated tokens.
 	cost float64
@@ -139,16 +139,16 @@
 		cost:        1,
 	}
 	if target.isEngine() {
-		r.placeAsk = placement.Ask{
+		r.placeQuery = placement.Query{
 			Upstream:     place.Upstream,
 			Stage:        placement.Stage(place.Stage),
-			Home:         place.Home,
+			FirstChoice:  place.FirstChoice,
 			Chain:        decodeChain(place.Chain),
-			Root:         place.Root,
+			RootIndex:    place.RootIndex,
 			OutputTokens: max(1, place.OutputTokens-place.ResumeAt),
-			Seen:         place.SeenLoad,
+			SeenLoad:     place.SeenLoad,
 		}
-		r.cost = n.policy.Cost(place.PromptTokens, 0, r.placeAsk.OutputTokens)
+		r.cost = n.policy.Cost(place.PromptTokens, 0, r.placeQuery.OutputTokens)
 	}
 	return r
 }
@@ -166,7 +166,7 @@
 
 // decidePlace decides whether a request may start now.
 func (n *Node) decidePlace(now time.Duration, target *ownedUpstream, r *relay) {
-	final := placement.Stage(r.place.Stage) == placement.Final
+	final := placement.Stage(r.place.Stage) == placement.StageFinal
 	if target.isEngine() {
 		if hold := n.holdFor(now, target, r); hold != quarantine.HoldNone {
 			n.applyHold(now, target, r, hold, final)
@@ -221,7 +221,7 @@
 // load ratio includes the queued requests, so that the entry router doesn't
 // consider an upstream with a queue the least loaded one.
 func (n *Node) answerBehindQueue(now time.Duration, target *ownedUpstream, r *relay) placement.Answer {
-	answer := placement.Answer{Verdict: placement.NoRoom, Reason: loadbound.QueueAhead}
+	answer := placement.Answer{Verdict: placement.NoCapacity, Reason: loadbound.QueueAhead}
 	if !target.isEngine() {
 		return answer
 	}
@@ -229,12 +229,12 @@
 	for class := range admission.NumClasses {
 		waiting += target.queue.Tokens(admission.Class(class))
 	}
-	return n.placer.Weigh(now, r.placeAsk, float64(waiting))
+	return n.placer.EstimateBehindQueue(now, r.placeQuery, float64(waiting))
 }
 
 // decideEngine decides on a chat by placement and the load bound.
 func (n *Node) decideEngine(now time.Duration, target *ownedUpstream, r *relay, final bool) {
-	answer := n.placer.Ask(now, r.placeAsk)
+	answer := n.placer.HandleQuery(now, r.placeQuery)
 	switch answer.Verdict {
 	case placement.Admitted:
 		r.placeAnswer = answer
@@ -244,7 +244,7 @@
 	case placement.Refused:
 		n.replyPlace(r.entryRouter, r.place, fleet.PlaceReply{Outcome: fleet.PlaceNotOwner, Reason: string(answer.Reason)})
 	default:
-		n.spillOrEnqueue(now, target, r, final && answer.Verdict == placement.NoRoom, answer)
+		n.spillOrEnqueue(now, target, r, final && answer.Verdict == placement.NoCapacity, answer)
 	}
 }
 
@@ -279,7 +279,7 @@
 	switch answer.Verdict {
 	case placement.Forward:
 		return reason.ChatElsewhere
-	case placement.Unknown, placement.Cold:
+	case placement.Unknown, placement.NotCached:
 		return reason.ChatNotHere
 	}
 	if answer.Reason == loadbound.OverBound || answer.Reason == loadbound.OverSoftBound {
@@ -333,7 +333,7 @@
 	if r.place.Model == "" {
 		return 0
 	}
-	return r.placeAsk.OutputTokens
+	return r.placeQuery.OutputTokens
 }
 
 // runTime is how long an engine is expected to generate the answer, 0 for a plain
@@ -342,7 +342,7 @@
 	if !target.isEngine() {
 		return 0
 	}
-	return time.Duration(r.placeAsk.OutputTokens) * target.tokenTime
+	return time.Duration(r.placeQuery.OutputTokens) * target.tokenTime
 }
 
 // queueGate returns the function by which the queue asks whether the upstream
@@ -367,9 +367,9 @@
 			n.applyHold(now, target, r, hold, true)
 			return
 		}
-		r.placeAsk.Stage = placement.Final
-		r.placeAsk.Seen = target.recentLoadBeside(now)
-		r.placeAnswer = n.placer.Ask(now, r.placeAsk)
+		r.placeQuery.Stage = placement.StageFinal
+		r.placeQuery.SeenLoad = target.recentLoadBeside(now)
+		r.placeAnswer = n.placer.HandleQuery(now, r.placeQuery)
 		if r.placeAnswer.Verdict != placement.Admitted {
 			n.replyPlace(r.entryRouter, r.place, fleet.PlaceReply{Outcome: fleet.PlaceNotOwner, Reason: string(reason.LoadBound)})
 			return
--- a/coordination/node/relay.go
+++ b/coordination/node/relay.go
@@ -66,7 +66,7 @@
 	phase := stream.NextToken
 	if r.chunks == 0 {
 		phase = stream.FirstToken
-		n.recordDone(target, r, r.cost-float64(r.placeAsk.OutputTokens))
+		n.recordDone(target, r, r.cost-float64(r.placeQuery.OutputTokens))
 	} else {
 		n.recordDone(target, r, 1)
 		target.tokenTime += time.Duration(tokenTimeWeight * float64(wait-target.tokenTime))
@@ -168,7 +168,7 @@
 	if !complete {
 		cached = -1
 	}
-	n.placer.Finished(now, r.placeAnswer.Ticket, r.placeAnswer.Hit, cached)
+	n.placer.Finish(now, r.placeAnswer.Ticket, r.placeAnswer.Hit, cached)
 	n.quarantine.Ended(now, target.id, quarantine.Digest(r.place.Digest), ending)
 }
 
