--- a/coordination/placement/tracebench/planned.go
+++ b/coordination/placement/tracebench/planned.go
@@ -117,14 +117,14 @@
 			mover.Ended(move.Chat.Deepest, moved)
 		})
 	}
-	if !mover.Over() {
+	if !mover.Done() {
 		sim.schedule(now+moverPeriod, func(now time.Duration) { sim.stepMover(now, from, mover) })
 	}
 }
 
 // hotChats lists the chats in an engine's cache as its owner would list them.
 func (sim *simulation) hotChats(e *engine, set *placement.Set) []kvmove.Chat {
-	hot := kvmove.NewHot(2 * len(e.cache.entries))
+	hot := kvmove.NewRecentChats(2 * len(e.cache.entries))
 	for _, entry := range e.cache.entries {
 		if entry.turn == nil {
 			continue
@@ -134,7 +134,7 @@
 			Group:      entry.turn.chain[0].Hash,
 			GroupShare: set.GroupShare(sim.trace.shares[entry.turn.customer]),
 		}
-		hot.Note(kvmove.Chat{Key: key, Deepest: entry.deepest, Tokens: entry.tokens, UsedAt: entry.usedAt})
+		hot.Record(kvmove.Chat{Key: key, Deepest: entry.deepest, Tokens: entry.tokens, UsedAt: entry.usedAt})
 	}
 	return hot.Chats()
 }
