--- a/coordination/node/dispatch.go
+++ b/coordination/node/dispatch.go
@@ -107,7 +107,7 @@
 	case !in.Sent:
 		return orders.NotConnected{}
 	case !in.Complete || d.overflow:
-		return orders.Broken{}
+		return orders.ConnectionBroken{}
 	}
 	return orders.Answered{Answer: orders.Answer{Status: uint16(d.status), ContentType: d.contentType, Body: d.body}}
 }
--- a/coordination/node/order.go
+++ b/coordination/node/order.go
@@ -73,7 +73,7 @@
 	switch out := out.(type) {
 	case orders.Propose:
 		n.emit(Journal{Caller: JournalCaller{Attempt: fleet.Attempt{Request: e.request.ID}}, Command: out.Command})
-	case orders.Look:
+	case orders.ReadRecord:
 		e.phase = phaseJournal
 		e.order.lookAt = now + max(out.After, leastLookGap)
 	case orders.Dispatch:
@@ -192,7 +192,7 @@
 // caller must not be held back until its deadline.
 func (n *Node) orderRefused(now time.Duration, e *entry) {
 	e.phase = phaseJournal
-	n.stepOrder(now, e, orders.Refused{})
+	n.stepOrder(now, e, orders.OwnersBusy{})
 }
 
 // orderCallerGone lets the order go on without its caller, who may ask for the
@@ -216,7 +216,7 @@
 func (n *Node) journalResult(now time.Duration, in JournalResult) {
 	input := orders.Input(orders.Committed{Op: in.Op, Result: in.Result})
 	if in.Failed {
-		input = orders.ProposalLost{Op: in.Op}
+		input = orders.ProposalUncertain{Op: in.Op}
 	}
 	if in.Caller.Owner {
 		n.stepDispatchOf(now, in.Caller.Attempt, input)
--- a/coordination/orders/dispatcher.go
+++ b/coordination/orders/dispatcher.go
@@ -6,19 +6,20 @@
 type ReportKind uint8
 
 const (
-	// Finished means that the record holds the outcome.
+	// Finished means that the record has the outcome of the order.
 	Finished ReportKind = iota + 1
-	// RefusedDispatch means that another attempt holds the order, or that it
-	// is over; Record says which.
-	RefusedDispatch
-	// NotSent means that the order is reserved again; another attempt may run.
+	// DispatchRefused means that another attempt holds the order, or that the
+	// order is finished; Report.Record says which.
+	DispatchRefused
+	// NotSent means that the order is reserved again and another attempt may
+	// start.
 	NotSent
 )
 
 type dispatchPhase uint8
 
 const (
-	asking dispatchPhase = iota
+	acquiring dispatchPhase = iota
 	calling
 	recording
 	dispatchEnded
@@ -27,38 +28,37 @@
 // Dispatcher runs one attempt of an order in the router that owns the
 // upstream.
 //
-// The harm it prevents: the order runs twice because two routers, or two flows
-// in one router, each believed that it was theirs to send. So it sends only
-// after its own dispatched record is committed, at once and only once, and
-// never sends after the first call, whatever happens. What it learns it
-// records; a record whose proposal was lost is proposed again, because every
+// The failure it guards against: the order runs twice because two routers, or
+// two Dispatchers in one router, each consider it theirs to send. A Dispatcher
+// therefore sends the order immediately after its own dispatched record is
+// committed, and never a second time, whatever happens. It records the outcome
+// and proposes a record again when the proposal may be lost, because every
 // command is idempotent for its holder.
 //
-// It gives the order back only while it knows that it sent no byte.
+// It returns the order to state Reserved only if it knows that it sent no byte.
 type Dispatcher struct {
 	key      Key
 	digest   Digest
 	holder   Holder
 	deadline time.Duration
 	phase    dispatchPhase
-	// last is the command that is being recorded.
-	last Command
-	// mayHaveSent is set before the call goes out and never cleared but by
-	// NotConnected.
+	// lastProposed is the command that was proposed last.
+	lastProposed Command
+	// mayHaveSent is set before the call starts; only NotConnected clears it.
 	mayHaveSent bool
 }
 
-// NewDispatcher returns the flow of one attempt. The holder's token must not
-// be used for any other attempt in the session.
+// NewDispatcher returns the Dispatcher of one attempt. The holder's token must
+// not be used for any other attempt in the session.
 func NewDispatcher(key Key, digest Digest, holder Holder, deadline time.Duration) *Dispatcher {
 	return &Dispatcher{key: key, digest: digest, holder: holder, deadline: deadline}
 }
 
-// Ended reports whether the flow has nothing more to do.
+// Ended reports whether the Dispatcher has nothing more to do.
 func (d *Dispatcher) Ended() bool { return d.phase == dispatchEnded }
 
-// Step takes one input at now and returns what to do. leased says whether the
-// router's lease is valid at now.
+// Step handles one input at now and returns the actions for the driver. leased
+// says whether the router's lease is valid at now.
 func (d *Dispatcher) Step(now time.Duration, leased bool, input Input) []Output {
 	if d.phase == dispatchEnded {
 		return nil
@@ -68,74 +68,75 @@
 		return d.propose(OpDispatch, nil)
 	case Committed:
 		return d.committed(now, leased, in)
-	case ProposalLost:
-		return d.lost(now, in.Op)
+	case ProposalUncertain:
+		return d.proposalUncertain(now, in.Op)
 	case NotConnected:
 		if d.phase != calling {
 			return nil
 		}
 		d.mayHaveSent = false
-		return d.giveUp(now)
+		return d.returnOrSeal(now)
 	case Answered:
 		return d.answered(in.Answer)
-	case Broken:
-		return d.inDoubt()
+	case ConnectionBroken:
+		return d.recordUnknown()
 	case Tick:
 		if now >= d.deadline {
-			return d.inDoubt()
+			return d.recordUnknown()
 		}
 	}
 	return nil
 }
 
 func (d *Dispatcher) propose(op Op, answer *Answer) []Output {
-	d.last = Command{Op: op, Key: d.key, Digest: d.digest, Holder: d.holder, Answer: answer}
-	return []Output{Propose{d.last}}
+	d.lastProposed = Command{Op: op, Key: d.key, Digest: d.digest, Holder: d.holder, Answer: answer}
+	return []Output{Propose{d.lastProposed}}
 }
 
-// lost proposes again what may not be committed. A dispatch is not asked for
-// again past the deadline: it is sealed, which holds whether or not the lost
-// proposal is committed later.
-func (d *Dispatcher) lost(now time.Duration, op Op) []Output {
-	if op != d.last.Op {
+// proposalUncertain repeats a proposal that may not have been committed. After
+// the deadline it seals the order instead of repeating OpDispatch; the seal is
+// valid whether or not the lost proposal is committed later.
+func (d *Dispatcher) proposalUncertain(now time.Duration, op Op) []Output {
+	if op != d.lastProposed.Op {
 		return nil
 	}
 	if op == OpDispatch && now >= d.deadline {
-		return d.giveUp(now)
+		return d.returnOrSeal(now)
 	}
-	return []Output{Propose{d.last}}
+	return []Output{Propose{d.lastProposed}}
 }
 
 func (d *Dispatcher) committed(now time.Duration, leased bool, in Committed) []Output {
-	if in.Op != d.last.Op {
+	if in.Op != d.lastProposed.Op {
 		return nil
 	}
-	if d.phase == asking {
-		return d.dispatched(now, leased, in.Result)
+	if d.phase == acquiring {
+		return d.dispatchCommitted(now, leased, in.Result)
 	}
 	if d.phase != recording {
 		return nil
 	}
-	return d.recorded(in)
+	return d.recordCommitted(in)
 }
 
-// dispatched sends the order if the right to is this attempt's. A router whose
-// lease ran out meanwhile gives it back: it no longer owns the upstream.
-func (d *Dispatcher) dispatched(now time.Duration, leased bool, result Result) []Output {
+// dispatchCommitted sends the order if this attempt got the right to send it. A
+// router whose lease has expired meanwhile returns the right, because it may no
+// longer own the upstream.
+func (d *Dispatcher) dispatchCommitted(now time.Duration, leased bool, result Result) []Output {
 	if result.Outcome != Applied {
-		return d.report(RefusedDispatch, result.Record)
+		return d.report(DispatchRefused, result.Record)
 	}
 	if !leased || now >= d.deadline {
-		return d.giveUp(now)
+		return d.returnOrSeal(now)
 	}
 	d.phase = calling
 	d.mayHaveSent = true
 	return []Output{Call{}}
 }
 
-// giveUp returns the unused right while there is time for another attempt, or
-// else seals the order.
-func (d *Dispatcher) giveUp(now time.Duration) []Output {
+// returnOrSeal returns the unused right to send before the deadline, so that
+// another attempt can start, and seals the order after it.
+func (d *Dispatcher) returnOrSeal(now time.Duration) []Output {
 	d.phase = recording
 	if now >= d.deadline {
 		return d.propose(OpSeal, nil)
@@ -144,18 +145,18 @@
 }
 
 // answered records the answer, also when it comes after the deadline and the
-// order already counts as unknown.
+// order is already Unknown.
 func (d *Dispatcher) answered(answer Answer) []Output {
-	if !d.mayHaveSent || d.last.Op == OpDone {
+	if !d.mayHaveSent || d.lastProposed.Op == OpDone {
 		return nil
 	}
 	d.phase = recording
 	return d.propose(OpDone, &answer)
 }
 
-// inDoubt records that nobody can tell whether the order ran. The flow stays,
-// because the answer may still come.
-func (d *Dispatcher) inDoubt() []Output {
+// recordUnknown records that nobody can tell whether the order ran. The
+// Dispatcher does not end, because the answer may still come.
+func (d *Dispatcher) recordUnknown() []Output {
 	if d.phase != calling {
 		return nil
 	}
@@ -163,11 +164,11 @@
 	return d.propose(OpUnknown, nil)
 }
 
-func (d *Dispatcher) recorded(in Committed) []Output {
+func (d *Dispatcher) recordCommitted(in Committed) []Output {
 	switch {
 	case in.Op == OpReturn && in.Result.Outcome != Applied:
-		// The session was closed between, so the order counts as unknown. No
-		// byte was sent: say so.
+		// The session was closed meanwhile, so the order is Unknown. No byte was
+		// sent, so the holder can seal the order.
 		return d.propose(OpSeal, nil)
 	case in.Op == OpReturn:
 		return d.report(NotSent, in.Result.Record)
--- a/coordination/orders/entry.go
+++ b/coordination/orders/entry.go
@@ -6,107 +6,111 @@
 	"endiveplank/protocol"
 )
 
-// sealMargin is how long before its caller's deadline an entry stops hoping
-// and asks for a forced outcome. It covers a commit over the widest region
-// several times.
+// sealMargin is how long before the caller's deadline an Entry proposes to seal
+// the order, so that it can still tell the caller "not run". It is several times
+// as long as a commit takes in the region with the highest latency.
 const sealMargin = 500 * time.Millisecond
 
-// lookGap is the time between two looks at an order that another flow runs.
-const lookGap = 100 * time.Millisecond
+// pollInterval is the time between two reads of the record of an order that
+// another attempt runs.
+const pollInterval = 100 * time.Millisecond
 
-// Input is something that happened to a flow.
+// Input is an event that a driver passes to Entry.Step or Dispatcher.Step.
 type Input interface{ input() }
 
 // Inputs of Entry and Dispatcher.
 type (
-	// Start begins the flow.
+	// Start is the first input.
 	Start struct{}
 	// Committed is the result of a proposed command.
 	Committed struct {
 		Op     Op
 		Result Result
 	}
-	// ProposalLost means that nobody knows whether a command was committed:
-	// the leader is gone, or its answer.
-	ProposalLost struct{ Op Op }
-	// Tick is the passing of time; the driver gives one at NextTick.
+	// ProposalUncertain means that the router cannot tell whether a command was
+	// committed, because the leader or its reply was lost.
+	ProposalUncertain struct{ Op Op }
+	// Tick tells that time has passed. The driver of an Entry sends one at
+	// NextTick, the driver of a Dispatcher one at the deadline.
 	Tick struct{}
-	// Looked is the record that a look found, zero if there was none.
-	Looked struct{ Record Record }
-	// CallerGone means that the caller's connection is cut.
+	// RecordRead is the result of ReadRecord; Record is zero if there is none.
+	RecordRead struct{ Record Record }
+	// CallerGone means that the caller's connection is closed.
 	CallerGone struct{}
-	// Reported is the dispatcher's report.
+	// Reported is a report from the dispatcher.
 	Reported struct{ Report Report }
 	// DispatcherLost means that the connection to the dispatcher broke.
 	DispatcherLost struct{}
-	// Refused means that every owner is too busy to take the order soon.
-	Refused struct{}
+	// OwnersBusy means that the routers that own upstreams of the service are all
+	// too busy to take the order soon.
+	OwnersBusy struct{}
 	// NotConnected means that the service could not be reached and that no
 	// byte of the order was sent.
 	NotConnected struct{}
 	// Answered is the service's answer.
 	Answered struct{ Answer Answer }
-	// Broken means that the connection broke after bytes were sent.
-	Broken struct{}
+	// ConnectionBroken means that the connection broke after bytes were sent.
+	ConnectionBroken struct{}
 )
 
-func (Start) input()          {}
-func (Committed) input()      {}
-func (ProposalLost) input()   {}
-func (Tick) input()           {}
-func (Looked) input()         {}
-func (CallerGone) input()     {}
-func (Reported) input()       {}
-func (DispatcherLost) input() {}
-func (Refused) input()        {}
-func (NotConnected) input()   {}
-func (Answered) input()       {}
-func (Broken) input()         {}
+func (Start) input()             {}
+func (Committed) input()         {}
+func (ProposalUncertain) input() {}
+func (Tick) input()              {}
+func (RecordRead) input()        {}
+func (CallerGone) input()        {}
+func (Reported) input()          {}
+func (DispatcherLost) input()    {}
+func (OwnersBusy) input()        {}
+func (NotConnected) input()      {}
+func (Answered) input()          {}
+func (ConnectionBroken) input()  {}
 
-// Output is something that a flow wants done.
+// Output is an action that Entry.Step or Dispatcher.Step asks its driver for.
 type Output interface{ output() }
 
 // Outputs of Entry and Dispatcher.
 type (
-	// Propose asks for a command to be committed. The leader sets its stamp.
+	// Propose asks for a command to be committed. The leader sets Command.At.
 	Propose struct{ Command Command }
-	// Dispatch asks the owner of an upstream of the service to run the order
-	// as the given attempt.
+	// Dispatch asks a router that owns an upstream of the service to run the
+	// order as the given attempt.
 	Dispatch struct{ Attempt uint32 }
-	// Look asks for the record after a pause; any voter's will do.
-	Look struct{ After time.Duration }
-	// Reply answers the caller. It comes once.
+	// ReadRecord asks for the order's record from any voter, after a pause.
+	ReadRecord struct{ After time.Duration }
+	// Reply is the reply to the caller. There is at most one.
 	Reply struct {
 		Outcome protocol.RunOutcome
 		Reason  Reason
 		Answer  *Answer
 	}
-	// Call sends the order to the service.
+	// Call asks to send the order to the service.
 	Call struct{}
-	// Report tells the entry how the attempt ended.
+	// Report tells the Entry how the attempt ended.
 	Report struct {
 		Kind   ReportKind
 		Record *Record
 	}
 )
 
-func (Propose) output()  {}
-func (Dispatch) output() {}
-func (Look) output()     {}
-func (Reply) output()    {}
-func (Call) output()     {}
-func (Report) output()   {}
+func (Propose) output()    {}
+func (Dispatch) output()   {}
+func (ReadRecord) output() {}
+func (Reply) output()      {}
+func (Call) output()       {}
+func (Report) output()     {}
 
-// Reason says why a caller got its reply.
+// Reason is the reason for a reply to a caller.
 type Reason string
 
 const (
-	// ReasonAnswered: the service answered, now or to an earlier send.
+	// ReasonAnswered: the service answered this request or an earlier one with
+	// the same key.
 	ReasonAnswered Reason = "answered"
-	// ReasonSealed: the order did not run and this key never will.
+	// ReasonSealed: the order did not run and never will under this key.
 	ReasonSealed Reason = "order-sealed"
-	// ReasonUnsettled: it was sent, or may have been, and nothing settled it.
-	// The same key asks again.
+	// ReasonUnsettled: the order was sent or may have been, and its outcome is
+	// not known. The caller can ask again with the same key.
 	ReasonUnsettled Reason = "order-unsettled"
 	// ReasonDigestConflict: the key was used for another request.
 	ReasonDigestConflict Reason = "idempotency-key-reused"
@@ -127,34 +131,34 @@
 )
 
 // Entry handles one order in the router that the caller is connected to. It
-// reserves the order, has an owner dispatch it, and answers the caller by its
-// deadline with what is known for certain.
+// reserves the order, has the owner of an upstream dispatch it, and replies to
+// the caller by its deadline with what is known for certain.
 //
-// It is made for 1,000 orders a second over the fleet, so it holds no more
-// than a key, a digest and two times. The harm it prevents: a caller who is
-// told "not run" while the order still runs somewhere sends a second truck. So
-// it says not-run only after a sealed record is committed, and when it cannot
-// get one it says unknown.
+// The fleet handles 1,000 orders a second, so an Entry holds little more than a
+// key, a digest and the deadline. The failure it guards against: a caller who is
+// told "not run" while the order still runs somewhere orders again, and a second
+// truck is sent. An Entry therefore says "not run" to a recorded order only
+// after a sealed record is committed, and says "unknown" when it cannot get one.
 //
-// A caller who goes away does not stop the order. The answer is recorded, and
-// the caller gets it with the same key.
+// A caller who disconnects does not stop the order. The answer is recorded, and
+// the caller gets it by sending the same key again.
 type Entry struct {
-	key      Key
-	digest   Digest
-	deadline time.Duration
-	phase    entryPhase
-	gone     bool
+	key        Key
+	digest     Digest
+	deadline   time.Duration
+	phase      entryPhase
+	callerGone bool
 }
 
-// NewEntry returns the flow of one request whose caller waits until deadline.
+// NewEntry returns the Entry of one request whose caller waits until deadline.
 func NewEntry(key Key, digest Digest, deadline time.Duration) *Entry {
 	return &Entry{key: key, digest: digest, deadline: deadline}
 }
 
-// Ended reports whether the flow has nothing more to do.
+// Ended reports whether the Entry has nothing more to do.
 func (e *Entry) Ended() bool { return e.phase == entryEnded }
 
-// NextTick returns when the flow next needs a Tick.
+// NextTick returns when the Entry next needs a Tick.
 func (e *Entry) NextTick() time.Duration {
 	if e.phase == sealing || e.phase == waiting {
 		return e.deadline
@@ -162,7 +166,7 @@
 	return e.deadline - sealMargin
 }
 
-// Step takes one input at now and returns what to do.
+// Step handles one input at now and returns the actions for the driver.
 func (e *Entry) Step(now time.Duration, input Input) []Output {
 	if e.phase == entryEnded {
 		return nil
@@ -173,19 +177,19 @@
 	case Tick:
 		return e.tick(now)
 	case CallerGone:
-		e.gone = true
-	case ProposalLost:
-		return e.lost(in.Op)
+		e.callerGone = true
+	case ProposalUncertain:
+		return e.proposalUncertain(in.Op)
 	case Committed:
 		return e.committed(now, in)
-	case Looked:
-		return e.looked(now, in.Record)
+	case RecordRead:
+		return e.recordRead(now, in.Record)
 	case Reported:
 		return e.reported(now, in.Report)
 	case DispatcherLost:
 		return e.dispatcherLost()
-	case Refused:
-		return e.refused()
+	case OwnersBusy:
+		return e.ownersBusy()
 	}
 	return nil
 }
@@ -194,22 +198,23 @@
 	return []Output{Propose{Command{Op: op, Key: e.key, Digest: e.digest}}}
 }
 
-// tick asks for the forced outcome shortly before the deadline. Without it a
-// caller whose order waits for a dead dispatcher could only be told unknown,
+// tick proposes to seal the order shortly before the deadline. Without that, a
+// caller whose order waits for a dispatcher that has failed would get "unknown"
 // although nothing was sent.
 func (e *Entry) tick(now time.Duration) []Output {
 	if now >= e.deadline {
 		return e.reply(protocol.UnknownRun, ReasonUnsettled, nil)
 	}
-	if now < e.deadline-sealMargin || e.phase == sealing || e.phase == waiting || e.gone {
+	if now < e.deadline-sealMargin || e.phase == sealing || e.phase == waiting || e.callerGone {
 		return nil
 	}
 	e.phase = sealing
 	return e.propose(OpSeal)
 }
 
-// lost repeats a proposal whose fate is unknown; both are idempotent.
-func (e *Entry) lost(op Op) []Output {
+// proposalUncertain repeats a proposal that may not have been committed. Both
+// OpReserve and OpSeal are idempotent.
+func (e *Entry) proposalUncertain(op Op) []Output {
 	if op == OpReserve && e.phase == reserving || op == OpSeal && e.phase == sealing {
 		return e.propose(op)
 	}
@@ -228,14 +233,14 @@
 	if in.Result.Record == nil {
 		return nil
 	}
-	return e.looked(now, *in.Result.Record)
+	return e.recordRead(now, *in.Result.Record)
 }
 
-// looked goes on from a committed record, whoever wrote it. A voter that lags
-// may not have the record yet.
-func (e *Entry) looked(now time.Duration, record Record) []Output {
+// recordRead continues from the state of a committed record, whichever router
+// wrote it. A voter that lags may not have the record yet.
+func (e *Entry) recordRead(now time.Duration, record Record) []Output {
 	if record.State == Absent {
-		return []Output{Look{After: lookGap}}
+		return []Output{ReadRecord{After: pollInterval}}
 	}
 	if record.Digest != e.digest {
 		return e.reply(protocol.NotRun, ReasonDigestConflict, nil)
@@ -252,12 +257,12 @@
 			return nil
 		}
 		e.phase = waiting
-		return []Output{Look{After: lookGap}}
+		return []Output{ReadRecord{After: pollInterval}}
 	}
-	return e.fromReserved(now, record)
+	return e.reservedRead(now, record)
 }
 
-func (e *Entry) fromReserved(now time.Duration, record Record) []Output {
+func (e *Entry) reservedRead(now time.Duration, record Record) []Output {
 	switch {
 	case e.phase == dispatching || e.phase == sealing:
 		return nil
@@ -269,34 +274,35 @@
 	return []Output{Dispatch{Attempt: record.Attempts + 1}}
 }
 
-// reported goes on from the record that an attempt left. An order that is
-// still reserved gets another attempt after a pause, so that a service that
-// nobody reaches is not asked without end.
+// reported continues from the record at the end of an attempt. An order that is
+// still reserved gets another attempt after a pause, so that the routers do not
+// retry in a tight loop while nobody can reach the service.
 func (e *Entry) reported(now time.Duration, report Report) []Output {
 	if e.phase != dispatching {
 		return nil
 	}
 	e.phase = reserving
 	if report.Record == nil || report.Record.State == Reserved {
-		return []Output{Look{After: lookGap}}
+		return []Output{ReadRecord{After: pollInterval}}
 	}
-	return e.looked(now, *report.Record)
+	return e.recordRead(now, *report.Record)
 }
 
-// dispatcherLost reads the record again. If the dispatcher got no dispatched
-// record, another may try, and the journal lets one of them win.
+// dispatcherLost reads the record again. If the lost dispatcher got no
+// dispatched record, another attempt may start; the journal lets only one
+// attempt win.
 func (e *Entry) dispatcherLost() []Output {
 	if e.phase != dispatching {
 		return nil
 	}
 	e.phase = reserving
-	return []Output{Look{After: lookGap}}
+	return []Output{ReadRecord{After: pollInterval}}
 }
 
-// refused asks for the forced outcome at once. An overloaded fleet gives up on
-// the order now; holding the caller until its deadline would only keep it from
-// coming back when there is room.
-func (e *Entry) refused() []Output {
+// ownersBusy proposes to seal the order at once, because the fleet is overloaded.
+// A caller that is told now can try again later; if the Entry held it until the
+// deadline, it would lose that time.
+func (e *Entry) ownersBusy() []Output {
 	if e.phase != dispatching {
 		return nil
 	}
@@ -306,7 +312,7 @@
 
 func (e *Entry) reply(outcome protocol.RunOutcome, reason Reason, answer *Answer) []Output {
 	e.phase = entryEnded
-	if e.gone {
+	if e.callerGone {
 		return nil
 	}
 	return []Output{Reply{Outcome: outcome, Reason: reason, Answer: answer}}
--- a/coordination/orders/flow_test.go
+++ b/coordination/orders/faults_test.go
@@ -13,14 +13,15 @@
 	"endiveplank/protocol"
 )
 
-// steps are the named points of one order, in their order: a fault strikes
-// right before the step happens.
+// steps names the steps of one order, in sequence. A fault is injected right
+// before a step. The number in "propose" and "committed" is the command's Op.
 var steps = []string{
 	"propose 1", "committed 1", "handed over", "propose 2", "committed 2", "send",
 	"run", "answer", "propose 4", "committed 4", "report", "reply",
 }
 
-// faults strike once. The entry is router 0, the dispatcher router 1.
+// faults are the faults to inject, each once. Router 0 runs the Entry, router 1
+// the Dispatcher.
 var faults = map[string]func(w *world){
 	"none":             func(*world) {},
 	"entry killed":     func(w *world) { w.kill(w.routers[0]); w.resend(Digest{1}) },
@@ -35,17 +36,18 @@
 	},
 	"desk down long": func(w *world) {
 		w.deskDown = true
-		w.after(2*deadline, nil, func() { w.deskDown = false })
+		w.after(2*callerTimeout, nil, func() { w.deskDown = false })
 	},
 	"caller cut": func(w *world) { w.resend(Digest{1}); w.resend(Digest{1}) },
 	"other body": func(w *world) { w.resend(Digest{2}) },
 }
 
-// A pilot's fuel order is on its way when one part fails: the router that took
-// it, the one that sends it, the leader, the desk, or the pilot's connection;
-// and the pilot sends it again through another router at that very moment.
-// Whatever the step, the desk runs it at most once, everyone hears the same,
-// and a last question by the key gives the answer if one can be known.
+// While an order is in flight one part fails: the entry router, the dispatching
+// router, a command to the leader or its reply, the order desk, or the caller's
+// connection; with some faults the caller resends the order through another
+// router at the same moment. Whichever step fails, the desk must run the order
+// at most once, all replies must agree, and a last request with the same key
+// must get the answer if it can be known.
 func TestOrderAtEveryStep(t *testing.T) {
 	for name, strike := range faults {
 		for _, step := range steps {
@@ -67,11 +69,11 @@
 				before := len(w.replies)
 				w.resend(Digest{1})
 				w.run(2 * quiet)
-				assert.Equal(t, len(w.replies), before+1, "the last question got no answer")
-				assert.Equal(t, w.broken(), "")
+				assert.Equal(t, len(w.replies), before+1, "the last request got no reply")
+				assert.Equal(t, w.brokenPromise(), "")
 				last := w.replies[before]
 				record, _ := w.journal.Lookup(orderKey)
-				if mayStayUnknown(name, step) {
+				if canStayUnknown(name, step) {
 					assert.Assert(t, last.Outcome != protocol.NotRun || w.runs == 0)
 					return
 				}
@@ -81,10 +83,11 @@
 	}
 }
 
-// mayStayUnknown says which faults destroy the only knowledge of whether the
-// order ran: the dispatching router dies after it asked for the right to send
-// and before the answer was committed, or the desk breaks off after it got the order.
-func mayStayUnknown(fault, step string) bool {
+// canStayUnknown reports whether a fault at a step loses the only information
+// about whether the order ran: the dispatching router dies after it asked for
+// the right to send and before the answer is committed, or the desk fails after
+// it received the order.
+func canStayUnknown(fault, step string) bool {
 	dispatcherHolds := map[string]bool{"propose 2": true, "committed 2": true, "send": true, "run": true, "answer": true, "propose 4": true}
 	switch fault {
 	case "dispatcher dead":
@@ -97,13 +100,14 @@
 
 var orderSeeds = flag.Uint64("orderseeds", 4000, "how many seeds of TestOrderUnderRandomFaults to run")
 
-// Everything fails at random: proposals and their answers are lost, commands
-// are applied twice and late, routers die and freeze, the desk goes down, and
-// the caller keeps asking through any router. No seed may break a promise.
+// Everything fails at random: proposals and their replies are lost, commands are
+// applied twice and late, routers die and freeze, the desk goes down, and the
+// caller keeps asking through any router. No seed may break a promise to the
+// caller (see world.brokenPromise).
 func TestOrderUnderRandomFaults(t *testing.T) {
 	for seed := range *orderSeeds {
 		w := randomWorld(seed, func(*world) {})
-		assert.Equal(t, w.broken(), "", "seed %d", seed)
+		assert.Equal(t, w.brokenPromise(), "", "seed %d", seed)
 	}
 }
 
@@ -139,13 +143,14 @@
 	return w
 }
 
-// Each rule of the journal and of the flows is needed: with any one of them off, some seed
-// breaks a promise to a caller.
+// Guards against tests that miss a broken rule: each case switches off one rule
+// of the Journal, the Entry or the Dispatcher, and at least one seed must then
+// break a promise to a caller.
 func TestOrderRulesAreNeeded(t *testing.T) {
 	mutations := map[string]func(*Journal, *Command){
 		"dispatched is granted again": func(j *Journal, c *Command) {
 			if r := j.records[c.Key]; r != nil && c.Op == OpDispatch && r.State == Dispatched {
-				j.letGo(r)
+				j.removeDispatched(r)
 				r.State, r.Attempts = Reserved, c.Holder.Attempt-1
 			}
 		},
@@ -166,7 +171,7 @@
 		},
 		"anyone may give a dispatched order back": func(j *Journal, c *Command) {
 			if r := j.records[c.Key]; r != nil && c.Op == OpReserve && r.State == Dispatched {
-				j.letGo(r)
+				j.removeDispatched(r)
 				r.State = Reserved
 			}
 		},
@@ -181,17 +186,17 @@
 			}
 		},
 	}
-	flows := map[string]func(*world){
-		"not-run only after the seal":   func(w *world) { w.hasty = true },
-		"sent only after the record is": func(w *world) { w.eager = true },
+	rules := map[string]func(*world){
+		"not-run only after the seal":   func(w *world) { w.replyBeforeSeal = true },
+		"sent only after the record is": func(w *world) { w.sendBeforeRecord = true },
 	}
 	for name, mutate := range mutations {
-		flows[name] = func(w *world) { w.mutate = mutate }
+		rules[name] = func(w *world) { w.mutate = mutate }
 	}
-	for name, prepare := range flows {
+	for name, prepare := range rules {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(4000) {
-				if broken := randomWorld(seed, prepare).broken(); broken != "" {
+				if broken := randomWorld(seed, prepare).brokenPromise(); broken != "" {
 					t.Logf("seed %d: %s", seed, broken)
 					return
 				}
@@ -201,12 +206,13 @@
 	}
 }
 
-// BenchmarkForcedOutcome compares what callers are told with and without the
-// forced outcome, under the same faults and seeds.
+// BenchmarkForcedOutcome compares the replies to callers with and without the
+// seal that an Entry proposes shortly before the deadline, under the same faults
+// and seeds.
 func BenchmarkForcedOutcome(b *testing.B) {
 	for _, noSeal := range []bool{false, true} {
 		b.Run(fmt.Sprintf("seal=%t", !noSeal), func(b *testing.B) {
-			told := map[protocol.RunOutcome]float64{}
+			replies := map[protocol.RunOutcome]float64{}
 			total := 0.0
 			for range b.N {
 				for seed := range uint64(2000) {
@@ -221,13 +227,13 @@
 					w.send(w.routers[0], Digest{1})
 					w.run(quiet)
 					for _, reply := range w.replies {
-						told[reply.Outcome]++
+						replies[reply.Outcome]++
 						total++
 					}
 				}
 			}
 			for _, outcome := range []protocol.RunOutcome{protocol.Ran, protocol.NotRun, protocol.UnknownRun} {
-				b.ReportMetric(100*told[outcome]/total, "told-"+string(outcome)+"-pct")
+				b.ReportMetric(100*replies[outcome]/total, "told-"+string(outcome)+"-pct")
 			}
 		})
 	}
--- a/coordination/orders/journal.go
+++ b/coordination/orders/journal.go
@@ -1,62 +1,67 @@
-// Package orders keeps the journal of requests that may not be repeated, as a
-// part of the replicated state, and the pure step functions of the routers
-// that handle one such order.
+// Package orders implements orders, requests that may run at most once. Journal
+// is their part of the replicated state. Entry and Dispatcher are the state
+// machines of the routers that handle one order: Entry in the router that the
+// caller is connected to, Dispatcher in the router that owns the upstream.
 //
-// An order goes reserved, dispatched(holder), done(answer). Every step is a
-// command that a quorum of disk VMs has synced before it has any effect:
+// An order normally goes through the states Reserved, Dispatched (with the
+// attempt that holds it) and Done (with the answer). Every step is a command
+// that a quorum of disk VMs has synced to disk before it takes effect. The
+// failures that the package guards against:
 //
-//   - A router sends the order to the service only after the dispatched record
-//     that names its own attempt (session and token) is committed. The first
-//     dispatched record wins; every other flow of the key gets NotAllowed.
-//   - A caller is told "not run" only after a sealed record is committed. It
-//     blocks every later dispatch, so the answer stays true for ever. An order
-//     that was only reserved can be sealed by anyone; a dispatched one only by
-//     its holder, which knows that it sent no byte.
-//   - A holder whose session ends leaves the order unknown. It never runs
-//     again. A late answer of the holder, or an operator who asked the
-//     service, settles it.
-//   - Done records the answer, so a resend through any router after any crash
-//     gets the same one.
-//
-// Retention: a record lives for Settings.Retention after its reservation, and
-// the journal refuses new orders when it is full instead of forgetting old
-// ones early, because a forgotten order could run twice. Its clock is taken
-// from commands and moves at most maxClockStep for each, so a leader with a
-// clock far ahead cannot make the fleet forget its orders.
+//   - Two routers send the same order. A router sends it to the service only
+//     after the dispatched record that names its own attempt (session and
+//     token) is committed. The first dispatched record wins; every other
+//     attempt for the key gets NotAllowed.
+//   - A caller is told "not run" and the order runs later. A router says "not
+//     run" only after a sealed record is committed, which blocks every later
+//     dispatch. Anyone can seal an order that is only reserved; a dispatched
+//     one only its holder, which knows that it sent no byte.
+//   - The holder is lost. When its session ends, the order becomes Unknown and
+//     never runs again. A late answer of the holder, or an operator who asked
+//     the service, settles it.
+//   - The answer is lost. The Done record contains it, so a resend through any
+//     router after any crash gets the same answer.
+//   - An order is forgotten and runs twice. A record is kept for
+//     Settings.RetentionMS after its reservation, and a full journal refuses new
+//     orders instead of removing old ones early. The journal's clock is taken
+//     from commands, and each command advances it by at most maxClockStep, so a
+//     leader with a clock far ahead cannot make the fleet forget its orders.
 package orders
 
 import (
 	"endiveplank/coordination/ownership"
 )
 
-// Bounds of one order, and of the journal's clock.
+// Bounds of one command, and of the journal's clock.
 const (
 	maxKey         = 128
 	maxContentType = 128
 	maxWho         = 128
-	// maxClockStep is in milliseconds. One command a minute suffices for the
-	// clock to follow real time.
+	// maxClockStep is in milliseconds. One command a minute is enough for the
+	// clock to keep up with real time.
 	maxClockStep = 60_000
-	// maxClock keeps sums of times far from overflow.
+	// maxClock keeps sums of times from overflowing.
 	maxClock = 1 << 53
-	// maxExpiries bounds the work of one command.
-	maxExpiries = 64
-	// recordOverhead is the memory of a record beside its texts, in bytes:
-	// record, map slot and queue slot, as measured by BenchmarkRecordBytes.
+	// maxExpiredPerCommand bounds how many expired records one command removes,
+	// and with it the time that the command takes.
+	maxExpiredPerCommand = 64
+	// recordOverhead is the memory of a record besides its strings, in bytes:
+	// record, map slot and queue slot. BenchmarkRecordBytes measures it.
 	recordOverhead = 320
 )
 
-// Journal is the state. It is not safe for concurrent use.
+// Journal holds the records of all orders. It is not safe for concurrent use.
 type Journal struct {
 	settings Settings
 	records  map[Key]*Record
-	// queue holds the keys by time of reservation.
+	// queue holds the keys in order of reservation, to find expired records.
 	queue []queued
-	// bySession holds the orders in state Dispatched, to find those that the
-	// end of a session leaves unknown.
-	bySession map[ownership.SessionID]map[Key]struct{}
-	bytes     int
-	clock     int64
+	// dispatched holds the orders in state Dispatched by their holder's session,
+	// to find those that become Unknown when a session ends.
+	dispatched map[ownership.SessionID]map[Key]struct{}
+	bytes      int
+	// clock is in milliseconds of Unix time.
+	clock int64
 }
 
 type queued struct {
@@ -67,17 +72,17 @@
 // NewJournal returns an empty journal.
 func NewJournal(settings Settings) *Journal {
 	return &Journal{
-		settings:  settings,
-		records:   map[Key]*Record{},
-		bySession: map[ownership.SessionID]map[Key]struct{}{},
+		settings:   settings,
+		records:    map[Key]*Record{},
+		dispatched: map[ownership.SessionID]map[Key]struct{}{},
 	}
 }
 
-// Len returns the number of records, Bytes their memory as counted against
-// Settings.MaxBytes.
+// Len returns the number of records.
 func (j *Journal) Len() int { return len(j.records) }
 
-// Bytes returns the memory of all records.
+// Bytes returns the estimated memory of all records, which Settings.MaxBytes
+// limits.
 func (j *Journal) Bytes() int { return j.bytes }
 
 // Lookup returns a copy of an order's record; its answer must not be modified.
@@ -89,12 +94,12 @@
 	return *record, true
 }
 
-// Apply runs one command. open says whether the holder's session is open.
+// Apply applies one command. open reports whether a session is open.
 func (j *Journal) Apply(command Command, open func(ownership.SessionID) bool) Result {
 	if !command.valid() {
 		return Result{Outcome: Malformed}
 	}
-	j.advance(command.At)
+	j.advanceClock(command.At)
 	record := j.records[command.Key]
 	if command.Op == OpReserve {
 		return j.reserve(command, record)
@@ -105,7 +110,7 @@
 	if record == nil {
 		return Result{Outcome: NoRecord}
 	}
-	outcome := j.step(command, record, open)
+	outcome := j.applyTo(command, record, open)
 	return Result{Outcome: outcome, Record: record.clone()}
 }
 
@@ -141,7 +146,7 @@
 	j.queue = append(j.queue, queued{record.Key, record.ReservedAt})
 	j.bytes += record.size()
 	if record.State == Dispatched {
-		j.hold(record)
+		j.addDispatched(record)
 	}
 }
 
@@ -153,7 +158,7 @@
 	return size
 }
 
-func (j *Journal) step(command Command, record *Record, open func(ownership.SessionID) bool) Outcome {
+func (j *Journal) applyTo(command Command, record *Record, open func(ownership.SessionID) bool) Outcome {
 	if command.Op != OpSettle && record.Digest != command.Digest {
 		return DigestConflict
 	}
@@ -161,24 +166,25 @@
 	case OpDispatch:
 		return j.dispatch(command, record, open)
 	case OpReturn:
-		return j.giveBack(command, record)
+		return j.returnDispatch(command, record)
 	case OpDone:
-		return j.done(command, record)
+		return j.recordAnswer(command, record)
 	case OpSeal:
 		return j.seal(command, record)
 	case OpUnknown:
-		return j.unknown(command, record)
+		return j.markUnknown(command, record)
 	case OpSettle:
 		return j.settle(command, record)
 	}
 	return Malformed
 }
 
-// dispatch gives the right to send an order to the first that asks. The same
-// holder asking again (its answer was lost) still has it.
+// dispatch grants the right to send an order to the first holder that asks. A
+// holder that asks again, because the reply to its command was lost, still has
+// the right.
 //
-// It refuses a closed session: its router may be long gone from the fleet's
-// point of view, and nobody would mark the order unknown after it.
+// dispatch refuses a holder whose session is closed: SessionClosed has already
+// run for that session, so the order would stay in state Dispatched for ever.
 func (j *Journal) dispatch(command Command, record *Record, open func(ownership.SessionID) bool) Outcome {
 	if record.State == Dispatched && record.Holder == command.Holder {
 		return Applied
@@ -192,25 +198,26 @@
 	record.State = Dispatched
 	record.Attempts++
 	record.Holder = command.Holder
-	j.hold(record)
+	j.addDispatched(record)
 	return Applied
 }
 
-// giveBack returns a right that was not used: the service could not be
-// reached and no byte was sent, so another attempt may follow.
-func (j *Journal) giveBack(command Command, record *Record) Outcome {
+// returnDispatch makes the order Reserved again: the holder sent no byte, for
+// example because it could not reach the service, so another attempt may follow.
+func (j *Journal) returnDispatch(command Command, record *Record) Outcome {
 	if record.State != Dispatched || record.Holder != command.Holder {
 		return NotAllowed
 	}
-	j.letGo(record)
+	j.removeDispatched(record)
 	record.State = Reserved
 	record.Holder = Holder{}
 	return Applied
 }
 
-// done records the answer. It may come late, when the order already counts as
-// unknown: the answer of the only attempt settles it.
-func (j *Journal) done(command Command, record *Record) Outcome {
+// recordAnswer records the service's answer. The answer may come when the order
+// is already Unknown; it settles the order, because its attempt is the only one
+// that may have sent it.
+func (j *Journal) recordAnswer(command Command, record *Record) Outcome {
 	if command.Answer == nil {
 		return Malformed
 	}
@@ -227,10 +234,9 @@
 	return NotAllowed
 }
 
-// seal makes "not run" true for ever. An order that nobody dispatched can be
-// sealed by anyone. One that was dispatched can be sealed only by its holder,
-// which knows that it sent nothing: anyone else would call an order not run
-// whose bytes may be at the service.
+// seal makes sure that the order never runs. Anyone can seal a reserved order.
+// Only the holder can seal a dispatched one, because only the holder knows that
+// it sent nothing: the service may already have received the order.
 func (j *Journal) seal(command Command, record *Record) Outcome {
 	switch record.State {
 	case Sealed:
@@ -248,8 +254,8 @@
 	return NotAllowed
 }
 
-// sealAbsent seals an order whose reservation is not committed, and may be
-// later: the sealed record blocks that as well.
+// sealAbsent seals an order whose reservation is not committed yet. The sealed
+// record also blocks a reservation that is committed later.
 func (j *Journal) sealAbsent(command Command) Result {
 	if j.bytes >= j.settings.MaxBytes {
 		return Result{Outcome: Full}
@@ -259,7 +265,7 @@
 	return Result{Outcome: Applied, Record: record.clone()}
 }
 
-func (j *Journal) unknown(command Command, record *Record) Outcome {
+func (j *Journal) markUnknown(command Command, record *Record) Outcome {
 	if record.Holder != command.Holder {
 		return NotAllowed
 	}
@@ -273,8 +279,8 @@
 	return NotAllowed
 }
 
-// settle takes the service's own word, brought by an operator, for an order
-// that is unknown. Either way it never runs again.
+// settle records for an Unknown order whether it ran, as an operator learned it
+// from the service. The order never runs again in either case.
 func (j *Journal) settle(command Command, record *Record) Outcome {
 	if record.State != Unknown || command.Who == "" {
 		return NotAllowed
@@ -287,18 +293,18 @@
 	return Applied
 }
 
-// finish moves an order to a state in which nobody holds the right to send.
+// finish moves an order to a state in which nobody has the right to send it.
 func (j *Journal) finish(record *Record, state State, answer *Answer) {
-	j.letGo(record)
+	j.removeDispatched(record)
 	j.bytes -= record.size()
 	record.State = state
 	if answer != nil {
-		record.Answer = answer.bounded(j.settings.MaxAnswer)
+		record.Answer = answer.withinLimit(j.settings.MaxAnswer)
 	}
 	j.bytes += record.size()
 }
 
-func (a *Answer) bounded(limit int) *Answer {
+func (a *Answer) withinLimit(limit int) *Answer {
 	kept := *a
 	if len(kept.Body) > limit {
 		kept.Body = nil
@@ -307,49 +313,49 @@
 	return &kept
 }
 
-// SessionClosed leaves the dispatched orders of a session unknown.
+// SessionClosed makes the dispatched orders of a session Unknown.
 func (j *Journal) SessionClosed(session ownership.SessionID) {
-	for key := range j.bySession[session] {
+	for key := range j.dispatched[session] {
 		j.records[key].State = Unknown
 	}
-	delete(j.bySession, session)
+	delete(j.dispatched, session)
 }
 
-func (j *Journal) hold(record *Record) {
-	held := j.bySession[record.Holder.Session]
+func (j *Journal) addDispatched(record *Record) {
+	held := j.dispatched[record.Holder.Session]
 	if held == nil {
 		held = map[Key]struct{}{}
-		j.bySession[record.Holder.Session] = held
+		j.dispatched[record.Holder.Session] = held
 	}
 	held[record.Key] = struct{}{}
 }
 
-func (j *Journal) letGo(record *Record) {
-	held := j.bySession[record.Holder.Session]
+func (j *Journal) removeDispatched(record *Record) {
+	held := j.dispatched[record.Holder.Session]
 	delete(held, record.Key)
 	if len(held) == 0 {
-		delete(j.bySession, record.Holder.Session)
+		delete(j.dispatched, record.Holder.Session)
 	}
 }
 
-// advance moves the clock and drops what is past its retention.
-func (j *Journal) advance(at int64) {
+// advanceClock advances the clock and removes records whose retention is over.
+func (j *Journal) advanceClock(at int64) {
 	if j.clock == 0 {
 		j.clock = at
 	}
 	j.clock = max(j.clock, min(at, j.clock+maxClockStep))
-	for range maxExpiries {
+	for range maxExpiredPerCommand {
 		if len(j.queue) == 0 || j.queue[0].at+j.settings.RetentionMS > j.clock {
 			return
 		}
-		j.drop(j.queue[0].key)
+		j.remove(j.queue[0].key)
 		j.queue = j.queue[1:]
 	}
 }
 
-func (j *Journal) drop(key Key) {
+func (j *Journal) remove(key Key) {
 	record := j.records[key]
-	j.letGo(record)
+	j.removeDispatched(record)
 	j.bytes -= record.size()
 	delete(j.records, key)
 }
--- a/coordination/orders/journal_test.go
+++ b/coordination/orders/journal_test.go
@@ -14,8 +14,9 @@
 
 func always(ownership.SessionID) bool { return true }
 
-// script runs a line of steps, each "op holder", against one order and returns
-// the outcomes. Holders are s.t.a: session, token, attempt.
+// script applies a comma-separated list of steps, each "op holder", to one order
+// and returns the outcomes and the final state. A holder is written as
+// session.token.attempt; sessions from 9 on are closed.
 func script(j *Journal, steps string) string {
 	ops := map[string]Op{"reserve": OpReserve, "dispatch": OpDispatch, "return": OpReturn, "done": OpDone, "seal": OpSeal, "unknown": OpUnknown, "settle": OpSettle}
 	var outcomes []string
@@ -38,7 +39,9 @@
 	return strings.Join(outcomes, " ") + " -> " + record.State.String()
 }
 
-// Each line is one way through the journal, with late and repeated commands.
+// Guards the transitions between an order's states: each line is a sequence of
+// commands, among them late and repeated ones, with the outcomes and the final
+// state.
 func TestJournalPaths(t *testing.T) {
 	for steps, want := range map[string]string{
 		"reserve, reserve": "applied exists -> reserved",
@@ -62,9 +65,9 @@
 	}
 }
 
-// A leader's clock is years ahead, and orders of a minute ago would be
-// forgotten: a resend would run them again. And with a right clock, orders are
-// forgotten after the retention, not before.
+// A leader's clock is 1,000 hours ahead. If the journal followed it, it would
+// remove recent orders, and a resend would run them again. With a correct clock
+// an order is removed after the retention and not before.
 func TestRetention(t *testing.T) {
 	const hour = 3_600_000
 	j := NewJournal(Settings{RetentionMS: hour, MaxBytes: 1 << 20, MaxAnswer: 10})
@@ -82,8 +85,9 @@
 	assert.Equal(t, reserve("x", -1), Malformed)
 }
 
-// The journal is full. A new order is refused and nothing is recorded; what is
-// there stays, and can be finished.
+// A full journal must refuse a new order and record nothing. Existing records
+// must stay, and their orders can still be finished: an order that was removed
+// early could run twice.
 func TestFullJournalForgetsNothing(t *testing.T) {
 	j := NewJournal(Settings{RetentionMS: 1 << 40, MaxBytes: 4000, MaxAnswer: 10})
 	count := 0
@@ -100,7 +104,8 @@
 	again := FromSnapshot(j.Snapshot())
 	assert.Equal(t, again.Bytes(), before)
 	assert.DeepEqual(t, codec.Marshal(again.Snapshot()), codec.Marshal(j.Snapshot()))
-	// Another request under the key can neither have its answer nor seal it.
+	// A different request with the same key can neither get the order's answer
+	// nor seal the order.
 	for _, op := range []Op{OpReserve, OpSeal} {
 		assert.Equal(t, j.Apply(Command{Op: op, Key: Key{"c", "1"}, Digest: Digest{9}, At: 1}, always).Outcome, DigestConflict)
 	}
--- a/coordination/orders/snapshot.go
+++ b/coordination/orders/snapshot.go
@@ -1,13 +1,14 @@
 package orders
 
-// Snapshot is the journal as a value with one fixed order.
+// Snapshot is the journal as a value, with the records in order of reservation.
 type Snapshot struct {
 	Settings Settings `msgpack:"s"`
 	Clock    int64    `msgpack:"c,omitempty"`
 	Records  []Record `msgpack:"r,omitempty"`
 }
 
-// Snapshot returns the state. Equal journals give equal snapshots.
+// Snapshot returns a snapshot of the journal. Equal journals give equal
+// snapshots.
 func (j *Journal) Snapshot() Snapshot {
 	snapshot := Snapshot{Settings: j.settings, Clock: j.clock, Records: make([]Record, 0, len(j.records))}
 	for _, entry := range j.queue {
@@ -16,7 +17,7 @@
 	return snapshot
 }
 
-// FromSnapshot returns the journal that a snapshot was taken of.
+// FromSnapshot restores a journal from its snapshot.
 func FromSnapshot(snapshot Snapshot) *Journal {
 	j := NewJournal(snapshot.Settings)
 	j.clock = snapshot.Clock
--- a/coordination/orders/world_test.go
+++ b/coordination/orders/world_test.go
@@ -10,49 +10,54 @@
 	"endiveplank/protocol"
 )
 
-// world runs the flows of one order against a journal, a desk and a caller,
-// with latencies and faults from a seed, in simulated time.
+// world simulates one order: its Entries and Dispatchers in three routers, the
+// journal, the order desk and a caller, with latencies and faults from a seed,
+// in simulated time.
 type world struct {
 	rng     *rand.Rand
 	now     time.Duration
 	events  eventHeap
 	serial  int
 	journal *Journal
-	routers []*routerProc
+	routers []*testRouter
 	tokens  uint64
-	// mutate switches a rule of the journal off before a command is applied.
+	// mutate switches off a rule of the journal before a command is applied.
 	mutate func(*Journal, *Command)
-	// fault is asked once before each named step.
+	// fault is called before each of the named steps.
 	fault func(step string)
-	// loss is the chance in percent that a proposal or its answer is lost.
+	// loss is the chance in percent that a proposal or its reply is lost,
+	// duplicates that a command is applied a second time.
 	loss, duplicates int
-	noSeal           bool
-	// hasty callers' routers say not-run before the seal is committed; eager
-	// dispatchers send before their record is.
-	hasty, eager bool
-	// command, answer: the next such message is lost.
+	// noSeal drops every proposal of OpSeal.
+	noSeal bool
+	// replyBeforeSeal makes Entries reply "not run" before the seal is committed.
+	// sendBeforeRecord makes Dispatchers send the order before the dispatched
+	// record is committed.
+	replyBeforeSeal, sendBeforeRecord bool
+	// loseCommand and loseAnswer lose the next command or the reply to it.
 	loseCommand, loseAnswer bool
 	deskDown                bool
 	runs                    int
 	replies                 []Reply
 	keepAsking              bool
-	// mistaken: the key's digest was told apart wrongly.
-	mistaken bool
+	// wrongConflict says that a reply named a digest conflict although there was
+	// none, or named none although there was one.
+	wrongConflict bool
 }
 
-type routerProc struct {
-	id       int
-	session  ownership.SessionID
-	alive    bool
-	frozen   time.Duration
-	open     bool
-	stopping []func()
+type testRouter struct {
+	id      int
+	session ownership.SessionID
+	alive   bool
+	frozen  time.Duration
+	open    bool
+	onKill  []func()
 }
 
 type event struct {
 	at     time.Duration
 	serial int
-	router *routerProc
+	router *testRouter
 	run    func()
 }
 
@@ -71,9 +76,9 @@
 }
 
 const (
-	sessionLoss = 3500 * time.Millisecond
-	deadline    = 5 * time.Second
-	quiet       = 60 * time.Second
+	sessionTimeout = 3500 * time.Millisecond
+	callerTimeout  = 5 * time.Second
+	quiet          = 60 * time.Second
 )
 
 var orderKey = Key{Customer: "acme", Key: "uplift-17"}
@@ -81,13 +86,14 @@
 func newWorld(seed uint64) *world {
 	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), journal: NewJournal(DefaultSettings()), fault: func(string) {}}
 	for i := range 3 {
-		w.routers = append(w.routers, &routerProc{id: i, session: ownership.SessionID(i + 1), alive: true, open: true})
+		w.routers = append(w.routers, &testRouter{id: i, session: ownership.SessionID(i + 1), alive: true, open: true})
 	}
 	return w
 }
 
-// after runs a step on a router, or outside of any if router is nil.
-func (w *world) after(wait time.Duration, router *routerProc, run func()) {
+// after schedules run on a router, or outside of any router if router is nil. A
+// dead router drops it; a frozen one runs it when it resumes.
+func (w *world) after(wait time.Duration, router *testRouter, run func()) {
 	w.serial++
 	heap.Push(&w.events, event{w.now + wait, w.serial, router, run})
 }
@@ -112,22 +118,22 @@
 	w.now = until
 }
 
-func (w *world) kill(r *routerProc) {
+func (w *world) kill(r *testRouter) {
 	r.alive = false
-	for _, tell := range r.stopping {
+	for _, tell := range r.onKill {
 		w.after(w.latency(), nil, tell)
 	}
-	w.after(sessionLoss, nil, func() { w.closeSession(r) })
+	w.after(sessionTimeout, nil, func() { w.closeSession(r) })
 }
 
-func (w *world) freeze(r *routerProc, length time.Duration) {
+func (w *world) freeze(r *testRouter, length time.Duration) {
 	r.frozen = w.now + length
-	if length > sessionLoss {
-		w.after(sessionLoss, nil, func() { w.closeSession(r) })
+	if length > sessionTimeout {
+		w.after(sessionTimeout, nil, func() { w.closeSession(r) })
 	}
 }
 
-func (w *world) closeSession(r *routerProc) {
+func (w *world) closeSession(r *testRouter) {
 	if r.open {
 		r.open = false
 		w.journal.SessionClosed(r.session)
@@ -138,8 +144,8 @@
 	return id > 0 && int(id) <= len(w.routers) && w.routers[id-1].open
 }
 
-// propose applies a command after a latency and tells its result.
-func (w *world) propose(r *routerProc, command Command, tell func(Input)) {
+// propose applies a command after a latency and passes its result to tell.
+func (w *world) propose(r *testRouter, command Command, tell func(Input)) {
 	apply := func() Result {
 		if w.mutate != nil {
 			w.mutate(w.journal, &command)
@@ -151,7 +157,7 @@
 		lost := w.loseCommand || w.rng.IntN(100) < w.loss
 		w.loseCommand = false
 		if lost {
-			w.after(200*time.Millisecond, r, func() { tell(ProposalLost{command.Op}) })
+			w.after(200*time.Millisecond, r, func() { tell(ProposalUncertain{command.Op}) })
 			return
 		}
 		result := apply()
@@ -162,7 +168,7 @@
 		lost = w.loseAnswer || w.rng.IntN(100) < w.loss
 		w.loseAnswer = false
 		if lost {
-			w.after(200*time.Millisecond, r, func() { tell(ProposalLost{command.Op}) })
+			w.after(200*time.Millisecond, r, func() { tell(ProposalUncertain{command.Op}) })
 			return
 		}
 		w.after(w.latency(), r, func() { tell(Committed{command.Op, result}) })
@@ -170,77 +176,78 @@
 }
 
 // send starts a caller's request at a router.
-func (w *world) send(r *routerProc, digest Digest) {
-	flow := NewEntry(orderKey, digest, w.now+deadline)
+func (w *world) send(r *testRouter, digest Digest) {
+	entry := NewEntry(orderKey, digest, w.now+callerTimeout)
 	var step func(Input)
 	tick := func() {}
 	tick = func() {
 		step(Tick{})
-		if !flow.Ended() {
-			w.after(max(flow.NextTick()-w.now, 50*time.Millisecond), r, tick)
+		if !entry.Ended() {
+			w.after(max(entry.NextTick()-w.now, 50*time.Millisecond), r, tick)
 		}
 	}
 	step = func(in Input) {
-		for _, out := range flow.Step(w.now, in) {
+		for _, out := range entry.Step(w.now, in) {
 			switch o := out.(type) {
 			case Propose:
 				if w.noSeal && o.Command.Op == OpSeal {
 					continue
 				}
-				if w.hasty && o.Command.Op == OpSeal {
+				if w.replyBeforeSeal && o.Command.Op == OpSeal {
 					w.reply(Reply{Outcome: protocol.NotRun, Reason: ReasonSealed}, digest)
 				}
 				w.propose(r, o.Command, step)
-			case Look:
+			case ReadRecord:
 				w.after(o.After, r, func() {
 					record, _ := w.journal.Lookup(orderKey)
 					if w.rng.IntN(10) == 0 {
 						record = Record{}
 					}
-					step(Looked{record})
+					step(RecordRead{record})
 				})
 			case Dispatch:
-				w.dispatch(r, digest, o.Attempt, flow.deadline, step)
+				w.dispatch(r, digest, o.Attempt, entry.deadline, step)
 			case Reply:
 				w.after(0, nil, func() { w.reply(o, digest) })
 			}
 		}
 	}
 	w.after(w.latency(), r, func() { step(Start{}) })
-	w.after(deadline-sealMargin, r, tick)
+	w.after(callerTimeout-sealMargin, r, tick)
 }
 
-// dispatch hands the order to another live router.
-func (w *world) dispatch(entry *routerProc, digest Digest, attempt uint32, deadline time.Duration, report func(Input)) {
-	r := w.routers[(entry.id+1)%len(w.routers)]
+// dispatch starts a Dispatcher in the next router if it is alive, or else in the
+// entry router itself.
+func (w *world) dispatch(entryRouter *testRouter, digest Digest, attempt uint32, deadline time.Duration, report func(Input)) {
+	r := w.routers[(entryRouter.id+1)%len(w.routers)]
 	if !r.alive {
-		r = entry
+		r = entryRouter
 	}
 	w.tokens++
-	flow := NewDispatcher(orderKey, digest, Holder{r.session, w.tokens, attempt}, deadline)
-	r.stopping = append(r.stopping, func() {
-		if entry.alive {
+	dispatcher := NewDispatcher(orderKey, digest, Holder{r.session, w.tokens, attempt}, deadline)
+	r.onKill = append(r.onKill, func() {
+		if entryRouter.alive {
 			report(DispatcherLost{})
 		}
 	})
 	var step func(Input)
 	step = func(in Input) {
-		for _, out := range flow.Step(w.now, w.now >= r.frozen && r.open, in) {
+		for _, out := range dispatcher.Step(w.now, w.now >= r.frozen && r.open, in) {
 			switch o := out.(type) {
 			case Propose:
 				if w.noSeal && o.Command.Op == OpSeal {
 					continue
 				}
-				if w.eager && o.Command.Op == OpDispatch {
+				if w.sendBeforeRecord && o.Command.Op == OpDispatch {
 					w.call(r, func(Input) {})
 				}
 				w.propose(r, o.Command, step)
 			case Call:
 				w.call(r, step)
 			case Report:
-				w.after(w.latency(), entry, func() {
+				w.after(w.latency(), entryRouter, func() {
 					w.fault("report")
-					w.after(0, entry, func() { report(Reported{o}) })
+					w.after(0, entryRouter, func() { report(Reported{o}) })
 				})
 			}
 		}
@@ -252,15 +259,15 @@
 	w.after(deadline-w.now, r, func() { step(Tick{}) })
 }
 
-// call is the desk: it runs whatever reaches it.
-func (w *world) call(r *routerProc, tell func(Input)) {
+// call sends the order to the desk, which runs whatever it receives.
+func (w *world) call(r *testRouter, tell func(Input)) {
 	w.after(0, r, func() {
 		w.fault("send")
 		w.after(0, r, func() { w.connect(r, tell) })
 	})
 }
 
-func (w *world) connect(r *routerProc, tell func(Input)) {
+func (w *world) connect(r *testRouter, tell func(Input)) {
 	if w.deskDown {
 		w.after(w.latency(), r, func() { tell(NotConnected{}) })
 		return
@@ -268,27 +275,27 @@
 	w.after(w.latency(), nil, func() {
 		w.fault("run")
 		if w.deskDown {
-			w.after(w.latency(), r, func() { tell(Broken{}) })
+			w.after(w.latency(), r, func() { tell(ConnectionBroken{}) })
 			return
 		}
 		w.runs++
 		answer := Answer{Status: 200, Body: fmt.Appendf(nil, "ticket %d", w.runs)}
 		w.fault("answer")
 		if w.deskDown {
-			w.after(w.latency(), r, func() { tell(Broken{}) })
+			w.after(w.latency(), r, func() { tell(ConnectionBroken{}) })
 			return
 		}
 		w.after(w.latency(), r, func() { tell(Answered{answer}) })
 	})
 }
 
-// reply notes what a caller is told. A caller who keeps asking sends again
-// after an unknown outcome.
+// reply records a reply to the caller. With keepAsking the caller resends the
+// order after an unknown outcome.
 func (w *world) reply(reply Reply, digest Digest) {
 	w.fault("reply")
 	record, _ := w.journal.Lookup(orderKey)
 	if reply.Outcome != protocol.UnknownRun && (reply.Reason == ReasonDigestConflict) != (record.Digest != digest) {
-		w.mistaken = true
+		w.wrongConflict = true
 	}
 	w.replies = append(w.replies, reply)
 	if w.keepAsking && reply.Outcome == protocol.UnknownRun && w.now < quiet/2 {
@@ -296,7 +303,8 @@
 	}
 }
 
-// resend goes through any router that is alive and not frozen.
+// resend sends the order again through a random router that is alive and not
+// frozen.
 func (w *world) resend(digest Digest) {
 	for _, i := range w.rng.Perm(len(w.routers)) {
 		if r := w.routers[i]; r.alive && w.now >= r.frozen {
@@ -306,9 +314,9 @@
 	}
 }
 
-// broken returns which promise to callers was not kept, empty if none.
-func (w *world) broken() string {
-	if w.mistaken {
+// brokenPromise returns the promise to callers that was broken, or "".
+func (w *world) brokenPromise() string {
+	if w.wrongConflict {
 		return "a caller was told wrongly whether its key was used for another request"
 	}
 	if w.runs > 1 {
