--- a/coordination/engineorders/doc.go
+++ b/coordination/engineorders/doc.go
@@ -1,32 +1,34 @@
-// Package engineorders decides which models engines load and unload, and
-// sees each such order through. Everything in it is a value or a step of one:
-// no goroutine, socket or clock.
+// Package engineorders decides which models engines load and unload, and tracks
+// each such order until its outcome is known. It has no goroutines, sockets or
+// clocks; a driver calls it.
 //
-// The mechanism. The consensus leader is the issuer. On taking office it
-// commits a Take; the log index is its office. Each order is an Issue command,
-// refused unless it names the office in force; its log index is the order's
-// fencing number, so numbers grow with every order and every issuer. The
-// Issuer sends an open order to the router that owns the engine, and that
-// router's Gate decides whether the engine gets it. The owner reads the
-// engine's state back; only what was read settles an order, by a Confirm or an
-// Abandon. A later issuer finds every open order in the state (State) and
-// carries on with the same number. Scaler turns demand into replicas, and
-// MakePlan turns replicas into the next orders.
+// The consensus leader is the issuer. At the start of its term it commits a
+// StartTerm command; the command's log index identifies the term, which is not
+// the consensus term. Each order is opened by an Issue command, which is refused
+// unless it names the current term. Its log index is the order's fencing number,
+// so the numbers grow from order to order and from issuer to issuer. The Issuer
+// sends an open order to the router that owns the engine, and that router's Gate
+// decides whether to pass it to the engine. The owner then reads the engine's
+// state. Only a state that was read, or a refusal or timeout, settles an order, by
+// a Confirm or Abandon command. The next issuer finds the open orders in the
+// replicated State and continues with the same fencing numbers. Scaler computes
+// the number of replicas from the demand, and MakePlan computes the next orders
+// from the replicas.
 //
-// Failures guarded here:
+// Failures that the package guards against:
 //
-//   - Two processes hold themselves for the issuer: Issue, Confirm and Abandon
-//     of an office that is not the latest change nothing.
-//   - A frozen issuer thaws with a message in its hands: Gate refuses an older
-//     office, an older number, and an order meant for an earlier tenure of
-//     ownership. An engine that checks numbers refuses them once more.
-//   - An engine ignores numbers: nobody behind the Gate protects it. Its
-//     orders wait until the leases of the former issuer and of an owner it
-//     knew have run out, and what it then holds is read before and after.
-//   - An answer is lost: the order is sent again with the same number. All
-//     actions set a state, so a repetition changes nothing.
-//   - The weight store is slow: State refuses a load above the bound on open
-//     loads, whatever an issuer thinks.
-//   - An engine refuses: the order is abandoned with the reason, and the engine
-//     gets no other for a time that doubles.
+//   - Two processes each consider themselves the issuer. Issue, Confirm and
+//     Abandon commands of any term but the latest change nothing.
+//   - A frozen issuer resumes and its message is still sent. Gate refuses an older
+//     term, an older fencing number, and an order meant for an earlier ownership
+//     of the engine. An engine that checks fencing numbers refuses them again.
+//   - An engine ignores fencing numbers, so nothing behind the Gate protects it.
+//     Its orders wait until the leases of the former issuer and of a former owner
+//     have expired, and the engine's state is read before and after an order.
+//   - An answer is lost. The order is sent again with the same fencing number.
+//     Every action sets a state, so repeating it changes nothing.
+//   - The weight store is slow. State refuses a load when MaxOpenLoads are open,
+//     whatever an issuer decides.
+//   - An engine refuses an order. The order is abandoned with the reason, and the
+//     engine gets no other order for a backoff that doubles each time.
 package engineorders
--- a/coordination/engineorders/gate.go
+++ b/coordination/engineorders/gate.go
@@ -5,99 +5,107 @@
 	"endiveplank/protocol/upstreamapi"
 )
 
-// Ask is what the issuer sends to an engine's owner.
-type Ask struct {
+// Request is what the issuer sends to the router that owns an engine: to pass an
+// order to the engine or to read its state.
+type Request struct {
 	Upstream protocol.UpstreamID `msgpack:"u"`
-	// Tenure is the fencing number of the ownership that the issuer knows.
-	Tenure protocol.Fence `msgpack:"t"`
-	Office Office         `msgpack:"o"`
-	Fence  protocol.Fence `msgpack:"f"`
-	Intent Intent         `msgpack:"i"`
-	// ReadOnly asks for the engine's state alone. It still raises the office
-	// that the owner knows, so a former issuer's order can't pass after it.
+	// OwnershipFence is the fencing number of the ownership that the issuer knows.
+	OwnershipFence protocol.Fence `msgpack:"t"`
+	Term           Term           `msgpack:"o"`
+	Fence          protocol.Fence `msgpack:"f"`
+	Intent         Intent         `msgpack:"i"`
+	// ReadOnly asks only for the engine's state. The Gate still records the
+	// term, so that a former issuer's order can't pass later.
 	ReadOnly bool `msgpack:"r,omitempty"`
 }
 
-// Verdict says what an owner did with an Ask.
-type Verdict string
+// Admission says what an owner did with a Request.
+type Admission string
 
 const (
-	// Passed means that the engine was called; Reply has what came of it.
-	Passed Verdict = "passed"
-	// NotOwner means that this router doesn't own the engine, or can't be sure.
-	NotOwner Verdict = "not-owner"
-	// OldTenure means that the ask was meant for another tenure of ownership.
-	OldTenure Verdict = "old-tenure"
-	// FormerIssuer means that a later issuer was heard.
-	FormerIssuer Verdict = "former-issuer"
-	// OldFence means that an order with a higher number was passed.
-	OldFence Verdict = "old-fence"
-	// CallBusy means that a call to the engine is under way.
-	CallBusy Verdict = "call-busy"
+	// Admitted means that the owner called the engine; Reply has the result.
+	Admitted Admission = "passed"
+	// NotOwner means that this router doesn't own the engine, or can't be sure
+	// that it does.
+	NotOwner Admission = "not-owner"
+	// OldOwnership means that the request was meant for another ownership of the
+	// engine.
+	OldOwnership Admission = "old-tenure"
+	// FormerIssuer means that the owner has received a request of a later issuer.
+	FormerIssuer Admission = "former-issuer"
+	// OldFence means that the owner has already passed on an order with a higher
+	// fencing number.
+	OldFence Admission = "old-fence"
+	// CallBusy means that another call to the engine is in flight.
+	CallBusy Admission = "call-busy"
 )
 
-// Reply is an owner's answer to an Ask.
+// Reply is an owner's reply to a Request.
 type Reply struct {
-	Upstream protocol.UpstreamID `msgpack:"u"`
-	Office   Office              `msgpack:"o"`
-	Fence    protocol.Fence      `msgpack:"f"`
-	ReadOnly bool                `msgpack:"r,omitempty"`
-	Verdict  Verdict             `msgpack:"v"`
+	Upstream  protocol.UpstreamID `msgpack:"u"`
+	Term      Term                `msgpack:"o"`
+	Fence     protocol.Fence      `msgpack:"f"`
+	ReadOnly  bool                `msgpack:"r,omitempty"`
+	Admission Admission           `msgpack:"v"`
 	// Status is the engine's HTTP status for the order; 0 when no answer came
 	// or none was sent.
 	Status int `msgpack:"s,omitempty"`
-	// State is what the engine then held; nil when it couldn't be read.
+	// State is the engine's state after the order; nil when it couldn't be read.
 	State *upstreamapi.EngineState `msgpack:"e,omitempty"`
-	// Done is the work that the engine has completed for each model, as this
-	// owner counted it in its tenure, in tokens as the load bound counts.
-	Tenure protocol.Fence             `msgpack:"t,omitempty"`
-	Done   map[protocol.Model]float64 `msgpack:"d,omitempty"`
+	// Completed is the work that the engine has completed for each model in the
+	// ownership that OwnershipFence names, as its owner counted it, in tokens as
+	// the load bound counts them.
+	OwnershipFence protocol.Fence             `msgpack:"t,omitempty"`
+	Completed      map[protocol.Model]float64 `msgpack:"d,omitempty"`
 }
 
-// Gate is the owner's side: it stands in for the check that some engines
-// don't make.
+// Gate decides in the router that owns an engine which orders reach the engine. It
+// replaces the check of fencing numbers that some engines don't make.
 //
-// Failure: an issuer was frozen or cut off and its order arrives after its
-// successor's; the engine would go back to an older version. It shows as an
-// engine that loads what nobody wants. The guard holds because each engine has
-// one owner with a valid lease, all orders pass through it, and its memory of
-// offices and numbers lasts as long as its tenure; an order that was meant for
-// an earlier tenure is refused, so what the memory lacks can't matter.
+// The failure it guards against: an issuer was frozen or cut off, its order
+// arrives after its successor's, and the engine goes back to an older version. The
+// symptom is an engine that loads a model or version that nobody wants. The guard
+// is safe because each engine has one owner with a valid lease, all orders pass
+// through the owner's Gate, and the Gate remembers terms and fencing numbers as
+// long as the ownership lasts. An order that was meant for an earlier ownership is
+// refused, so it does no harm that the Gate doesn't know that ownership's numbers.
 type Gate struct {
-	office  Office
-	engines map[protocol.UpstreamID]passed
+	term    Term
+	engines map[protocol.UpstreamID]engineFences
 }
 
-type passed struct {
-	tenure protocol.Fence
-	fence  protocol.Fence
+// engineFences are the highest fencing numbers known for an engine: that of its
+// ownership and that of an order.
+type engineFences struct {
+	ownership protocol.Fence
+	order     protocol.Fence
 }
 
-// NewGate returns the gate of a router that has passed nothing.
-func NewGate() *Gate { return &Gate{engines: map[protocol.UpstreamID]passed{}} }
+// NewGate returns a Gate that has admitted nothing yet.
+func NewGate() *Gate { return &Gate{engines: map[protocol.UpstreamID]engineFences{}} }
 
-// Admit decides on an ask. tenure is the fencing number of this router's
-// ownership, 0 when it owns the engine not or has no valid lease at this
-// moment.
-func (g *Gate) Admit(ask Ask, tenure protocol.Fence) Verdict {
-	if tenure == 0 {
+// Admit decides on a request. ownership is the fencing number of this router's
+// ownership of the engine, 0 when it doesn't own the engine or has no valid lease
+// now.
+func (g *Gate) Admit(request Request, ownership protocol.Fence) Admission {
+	if ownership == 0 {
 		return NotOwner
 	}
-	if ask.Tenure != tenure {
-		return OldTenure
+	if request.OwnershipFence != ownership {
+		return OldOwnership
 	}
-	if ask.Office < g.office {
+	if request.Term < g.term {
 		return FormerIssuer
 	}
-	g.office = ask.Office
-	known := g.engines[ask.Upstream]
-	if known.tenure != tenure {
-		known = passed{tenure: tenure}
+	g.term = request.Term
+	known := g.engines[request.Upstream]
+	if known.ownership != ownership {
+		known = engineFences{ownership: ownership}
 	}
-	if !ask.ReadOnly && ask.Fence < known.fence {
+	if !request.ReadOnly && request.Fence < known.order {
 		return OldFence
 	}
-	known.fence = max(known.fence, ask.Fence)
-	g.engines[ask.Upstream] = known
-	return Passed
+	known.order = max(known.order, request.Fence)
+	g.engines[request.Upstream] = known
+	return Admitted
 }
--- a/coordination/engineorders/issuer.go
+++ b/coordination/engineorders/issuer.go
@@ -8,239 +8,244 @@
 	"endiveplank/protocol/upstreamapi"
 )
 
-// Timing holds the issuer's times.
+// Timing holds the issuer's intervals and timeouts.
 type Timing struct {
-	// Resend is after how long without an answer an ask is repeated.
-	Resend time.Duration
-	// ReadEvery is how often a load under way is read.
+	// ResendAfter is how long the issuer waits for a reply before it repeats a
+	// request.
+	ResendAfter time.Duration
+	// ReadEvery is how often the issuer reads the state of an engine that is
+	// loading.
 	ReadEvery time.Duration
-	// Patience is how long an order may take after its first ask.
-	Patience time.Duration
-	// WaitOut is how long engines that ignore fencing numbers get no order
-	// after the taking of office, and after the issuer first saw their
-	// present tenure: the longest lease of an issuer or owner, and the
-	// longest call to an engine.
-	WaitOut time.Duration
-	// BackOff is how long an engine that missed one order gets no other. It
-	// doubles with each miss up to MaxBackOff.
-	BackOff    time.Duration
-	MaxBackOff time.Duration
+	// OrderTimeout is how long an order may stay open in one issuer's term.
+	OrderTimeout time.Duration
+	// UnfencedDelay is how long engines that ignore fencing numbers get no order
+	// after the issuer's term starts, and after the issuer first saw their
+	// present ownership. It covers the longest lease of an issuer or owner
+	// followed by the longest call to an engine.
+	UnfencedDelay time.Duration
+	// Backoff is how long an engine gets no other order after one that failed.
+	// It doubles with each failure up to MaxBackoff.
+	Backoff    time.Duration
+	MaxBackoff time.Duration
 }
 
 // DefaultTiming returns the times for leases of 3 s and calls of 5 s.
 func DefaultTiming() Timing {
 	return Timing{
-		Resend:     6 * time.Second,
-		ReadEvery:  2 * time.Second,
-		Patience:   10 * time.Minute,
-		WaitOut:    9 * time.Second,
-		BackOff:    10 * time.Second,
-		MaxBackOff: 10 * time.Minute,
+		ResendAfter:   6 * time.Second,
+		ReadEvery:     2 * time.Second,
+		OrderTimeout:  10 * time.Minute,
+		UnfencedDelay: 9 * time.Second,
+		Backoff:       10 * time.Second,
+		MaxBackoff:    10 * time.Minute,
 	}
 }
 
-// Owner is who owns an engine now, from the replicated state.
+// Owner is the router that owns an engine now, from the replicated state.
 type Owner struct {
-	Router protocol.RouterID
-	Tenure protocol.Fence
-	// ChecksFence is as the engine announced.
+	Router         protocol.RouterID
+	OwnershipFence protocol.Fence
+	// ChecksFence says that the engine announced that it checks fencing numbers.
 	ChecksFence bool
 }
 
-// Send is an ask to send to an owner.
-type Send struct {
-	To  protocol.RouterID
-	Ask Ask
+// OutgoingRequest is a request to send to an owner.
+type OutgoingRequest struct {
+	To      protocol.RouterID
+	Request Request
 }
 
-// Issuer sees open orders through while its process holds an office. Its
-// driver steps it only while the consensus leader lease is valid, and commits
-// the commands that it returns. What it forgets with its process is only how
-// far an order got; its successor reads that from the engine.
+// Issuer carries out the open orders during one issuer's term. Its driver calls
+// Step only while the consensus leader lease is valid, and commits the commands
+// that Step returns. When the process ends, only the progress of the orders is
+// lost; the next issuer reads it from the engines.
 type Issuer struct {
-	timing  Timing
-	office  Office
-	tookAt  time.Duration
-	flights map[protocol.UpstreamID]*flight
-	misses  map[protocol.UpstreamID]time.Duration
-	tenures map[protocol.UpstreamID]tenure
+	timing     Timing
+	term       Term
+	termStart  time.Duration
+	inProgress map[protocol.UpstreamID]*progress
+	failedAt   map[protocol.UpstreamID]time.Duration
+	ownerships map[protocol.UpstreamID]ownership
 }
 
-// tenure is an engine's ownership, and since when this issuer knows it.
-type tenure struct {
+// ownership is an engine's ownership, and since when this issuer knows it.
+type ownership struct {
 	fence protocol.Fence
 	since time.Duration
 }
 
-// flight is how far an open order got.
-type flight struct {
+// progress is how far an open order has got.
+type progress struct {
 	fence   protocol.Fence
 	since   time.Duration
 	askedAt time.Duration
 	asked   bool
-	// read says that the engine's state was read in this office before the
-	// order is sent. An order issued in this office needs no such reading.
+	// read says that the engine's state was read in this term before the order is
+	// sent. An order that was issued in this term needs no such read.
 	read  bool
 	state *upstreamapi.EngineState
-	// ending is set once the order is to be settled.
-	ending Ending
+	// resolution is set once the order is to be settled.
+	resolution Resolution
 }
 
-// NewIssuer returns the issuer of an office that was taken at now.
-func NewIssuer(timing Timing, office Office, now time.Duration) *Issuer {
+// NewIssuer returns the issuer of a term that started at now.
+func NewIssuer(timing Timing, term Term, now time.Duration) *Issuer {
 	return &Issuer{
-		timing: timing, office: office, tookAt: now,
-		flights: map[protocol.UpstreamID]*flight{},
-		misses:  map[protocol.UpstreamID]time.Duration{},
-		tenures: map[protocol.UpstreamID]tenure{},
+		timing: timing, term: term, termStart: now,
+		inProgress: map[protocol.UpstreamID]*progress{},
+		failedAt:   map[protocol.UpstreamID]time.Duration{},
+		ownerships: map[protocol.UpstreamID]ownership{},
 	}
 }
 
-// Step returns the asks to send and the commands to commit for the open
-// orders. Nothing comes of a state that names another office.
-func (i *Issuer) Step(now time.Duration, state *State, owner func(protocol.UpstreamID) (Owner, bool)) ([]Send, []Command) {
-	if office, _ := state.Office(); office != i.office {
+// Step returns the requests to send and the commands to commit for the open
+// orders. It returns none if the state is in another term.
+func (i *Issuer) Step(now time.Duration, state *State, owner func(protocol.UpstreamID) (Owner, bool)) ([]OutgoingRequest, []Command) {
+	if term, _ := state.Term(); term != i.term {
 		return nil, nil
 	}
-	var sends []Send
+	var requests []OutgoingRequest
 	var commands []Command
 	open := state.Open()
 	i.forgetSettled(state)
 	for _, order := range open {
-		f := i.flight(now, order)
-		if f.ending == "" && now-f.since >= i.timing.Patience {
-			f.ending = Overdue
+		p := i.progressOf(now, order)
+		if p.resolution == "" && now-p.since >= i.timing.OrderTimeout {
+			p.resolution = TimedOut
 		}
-		if f.ending != "" {
-			commands = append(commands, i.settling(order, f.ending))
+		if p.resolution != "" {
+			commands = append(commands, i.settleCommand(order, p.resolution))
 			continue
 		}
-		if holder, known := owner(order.Upstream); known && i.due(now, order.Upstream, f, holder) {
-			sends = append(sends, i.ask(now, order, f, holder))
+		if holder, known := owner(order.Upstream); known && i.due(now, order.Upstream, p, holder) {
+			requests = append(requests, i.request(now, order, p, holder))
 		}
 	}
-	return sends, commands
+	return requests, commands
 }
 
-func (i *Issuer) flight(now time.Duration, order Order) *flight {
-	f := i.flights[order.Upstream]
-	if f == nil || f.fence != order.Fence {
-		f = &flight{fence: order.Fence, since: now, read: order.Office == i.office}
-		i.flights[order.Upstream] = f
+func (i *Issuer) progressOf(now time.Duration, order Order) *progress {
+	p := i.inProgress[order.Upstream]
+	if p == nil || p.fence != order.Fence {
+		p = &progress{fence: order.Fence, since: now, read: order.Term == i.term}
+		i.inProgress[order.Upstream] = p
 	}
-	return f
+	return p
 }
 
 func (i *Issuer) forgetSettled(state *State) {
-	for upstream, f := range i.flights {
-		if order, open := state.OpenOf(upstream); !open || order.Fence != f.fence {
-			delete(i.flights, upstream)
+	for upstream, p := range i.inProgress {
+		if order, open := state.OpenOf(upstream); !open || order.Fence != p.fence {
+			delete(i.inProgress, upstream)
 		}
 	}
 }
 
-// due says whether an ask should go out.
-func (i *Issuer) due(now time.Duration, upstream protocol.UpstreamID, f *flight, holder Owner) bool {
-	if !holder.ChecksFence && now-i.since(now, upstream, holder) < i.timing.WaitOut {
-		// An order of a former issuer, or by way of a former owner, may still
-		// be under way. The engine would carry out whichever comes last.
+// due reports whether a request should be sent now.
+func (i *Issuer) due(now time.Duration, upstream protocol.UpstreamID, p *progress, holder Owner) bool {
+	if !holder.ChecksFence && now-i.ownedSince(now, upstream, holder) < i.timing.UnfencedDelay {
+		// An order that a former issuer or a former owner sent may still be in
+		// flight. The engine would execute whichever order comes last.
 		return false
 	}
-	if !f.asked {
+	if !p.asked {
 		return true
 	}
-	wait := i.timing.Resend
-	if f.state != nil {
+	wait := i.timing.ResendAfter
+	if p.state != nil {
 		wait = i.timing.ReadEvery
 	}
-	return now-f.askedAt >= wait
+	return now-p.askedAt >= wait
 }
 
-// since returns from when on only the present issuer and owner could begin a
-// call to an engine.
-func (i *Issuer) since(now time.Duration, upstream protocol.UpstreamID, holder Owner) time.Duration {
-	known, seen := i.tenures[upstream]
-	if !seen || known.fence != holder.Tenure {
-		known = tenure{fence: holder.Tenure, since: now}
-		i.tenures[upstream] = known
+// ownedSince returns since when only the present issuer and owner can have started
+// a call to an engine.
+func (i *Issuer) ownedSince(now time.Duration, upstream protocol.UpstreamID, holder Owner) time.Duration {
+	known, seen := i.ownerships[upstream]
+	if !seen || known.fence != holder.OwnershipFence {
+		known = ownership{fence: holder.OwnershipFence, since: now}
+		i.ownerships[upstream] = known
 	}
 	return known.since
 }
 
-func (i *Issuer) ask(now time.Duration, order Order, f *flight, holder Owner) Send {
-	readOnly := !f.read || underWay(order.Intent, f.state)
-	f.asked = true
-	f.askedAt = now
-	return Send{To: holder.Router, Ask: Ask{
-		Upstream: order.Upstream, Tenure: holder.Tenure, Office: i.office,
+func (i *Issuer) request(now time.Duration, order Order, p *progress, holder Owner) OutgoingRequest {
+	readOnly := !p.read || isLoading(order.Intent, p.state)
+	p.asked = true
+	p.askedAt = now
+	return OutgoingRequest{To: holder.Router, Request: Request{
+		Upstream: order.Upstream, OwnershipFence: holder.OwnershipFence, Term: i.term,
 		Fence: order.Fence, Intent: order.Intent, ReadOnly: readOnly,
 	}}
 }
 
-func (i *Issuer) settling(order Order, ending Ending) Command {
-	settle := &Settle{Office: i.office, Upstream: order.Upstream, Fence: order.Fence, Ending: ending}
-	if ending == Carried {
+func (i *Issuer) settleCommand(order Order, resolution Resolution) Command {
+	settle := &Settle{Term: i.term, Upstream: order.Upstream, Fence: order.Fence, Resolution: resolution}
+	if resolution == Executed {
 		return Command{Confirm: settle}
 	}
 	return Command{Abandon: settle}
 }
 
-// Reply takes an owner's answer.
-func (i *Issuer) Reply(now time.Duration, order Order, reply Reply) {
-	f := i.flights[reply.Upstream]
-	if f == nil || reply.Office != i.office || reply.Fence != f.fence || order.Fence != f.fence {
+// HandleReply handles an owner's reply.
+func (i *Issuer) HandleReply(now time.Duration, order Order, reply Reply) {
+	p := i.inProgress[reply.Upstream]
+	if p == nil || reply.Term != i.term || reply.Fence != p.fence || order.Fence != p.fence {
 		return
 	}
 	switch {
-	case reply.Verdict == CallBusy:
-		// The call under way is short; the order needn't wait as for a lost
-		// answer.
-		f.askedAt = now - i.timing.Resend + i.timing.ReadEvery
-	case reply.Verdict != Passed:
-		// Asked again after Resend, of whoever is the owner then.
+	case reply.Admission == CallBusy:
+		// The call in flight is short, so the order needn't wait as long as
+		// after a lost reply.
+		p.askedAt = now - i.timing.ResendAfter + i.timing.ReadEvery
+	case reply.Admission != Admitted:
+		// Step repeats the request after ResendAfter, to whichever router is
+		// the owner then.
 	case !reply.ReadOnly && upstreamapi.IsRefusal(reply.Status):
-		f.ending = EngineRefused
-		i.misses[reply.Upstream] = now
+		p.resolution = EngineRefused
+		i.failedAt[reply.Upstream] = now
 	case reply.State != nil:
-		i.readBack(now, order, f, reply)
+		i.checkState(now, order, p, reply)
 	}
 }
 
-// readBack judges an order by what its engine holds. An answer of "taken" is
-// not believed: an engine that ignores numbers may since have taken another.
-// An order that the state neither shows nor has under way is sent again.
-func (i *Issuer) readBack(now time.Duration, order Order, f *flight, reply Reply) {
-	f.read = true
-	f.state = reply.State
+// checkState decides by an engine's state whether its order is settled. The
+// engine's answer that it accepted the order isn't enough, because an engine that
+// ignores fencing numbers may have accepted another order since. An order that the
+// state neither shows as executed nor as loading is sent again.
+func (i *Issuer) checkState(now time.Duration, order Order, p *progress, reply Reply) {
+	p.read = true
+	p.state = reply.State
 	switch {
 	case reply.State.Fence > order.Fence || !reply.ReadOnly && upstreamapi.IsConflict(reply.Status):
-		f.ending = Overtaken
-		i.misses[reply.Upstream] = now
-	case reply.State.Fence == order.Fence && shows(order.Intent, reply.State):
-		f.ending = Carried
+		p.resolution = Superseded
+		i.failedAt[reply.Upstream] = now
+	case reply.State.Fence == order.Fence && fulfils(order.Intent, reply.State):
+		p.resolution = Executed
 	}
 }
 
-// Rested says whether an engine may get a new order: the back-off after
-// missed ones is over. A new issuer counts it from its own taking of office.
-func (i *Issuer) Rested(now time.Duration, state *State, upstream protocol.UpstreamID) bool {
+// BackoffExpired reports whether an engine may get a new order, because the backoff
+// after failed orders is over. A new issuer counts the backoff from the start of
+// its own term.
+func (i *Issuer) BackoffExpired(now time.Duration, state *State, upstream protocol.UpstreamID) bool {
 	settled, known := state.SettledOf(upstream)
-	if !known || settled.Misses == 0 {
+	if !known || settled.Failures == 0 {
 		return true
 	}
-	since, seen := i.misses[upstream]
+	since, seen := i.failedAt[upstream]
 	if !seen {
-		since = i.tookAt
+		since = i.termStart
 	}
-	wait := i.timing.BackOff
-	for n := uint32(1); n < settled.Misses && wait < i.timing.MaxBackOff; n++ {
+	wait := i.timing.Backoff
+	for n := uint32(1); n < settled.Failures && wait < i.timing.MaxBackoff; n++ {
 		wait *= 2
 	}
-	return now-since >= min(wait, i.timing.MaxBackOff)
+	return now-since >= min(wait, i.timing.MaxBackoff)
 }
 
-// shows says whether a state is what an intent asks for.
-func shows(intent Intent, state *upstreamapi.EngineState) bool {
+// fulfils reports whether a state is what an intent asks for.
+func fulfils(intent Intent, state *upstreamapi.EngineState) bool {
 	held := slices.IndexFunc(state.Models, func(m upstreamapi.LoadedModel) bool { return m.Model == intent.Model })
 	switch intent.Action {
 	case upstreamapi.ActionRole:
@@ -248,17 +253,17 @@
 	case upstreamapi.ActionUnload:
 		return held < 0
 	}
-	return held >= 0 && state.Models[held].Ready && intent.means(state.Models[held].Version)
+	return held >= 0 && state.Models[held].Ready && intent.allowsVersion(state.Models[held].Version)
 }
 
-// means says whether a version is one that the intent asks for.
-func (i Intent) means(version string) bool { return i.Version == "" || i.Version == version }
+// allowsVersion reports whether the intent asks for this version or for any.
+func (i Intent) allowsVersion(version string) bool { return i.Version == "" || i.Version == version }
 
-// underWay says whether a load has begun, so that sending it again is of no
-// use.
-func underWay(intent Intent, state *upstreamapi.EngineState) bool {
+// isLoading reports whether a load has started, so that there is no need to send
+// the order again.
+func isLoading(intent Intent, state *upstreamapi.EngineState) bool {
 	return state != nil && intent.Action == upstreamapi.ActionLoad &&
 		slices.ContainsFunc(state.Models, func(m upstreamapi.LoadedModel) bool {
-			return m.Model == intent.Model && intent.means(m.Version) && !m.Ready
+			return m.Model == intent.Model && intent.allowsVersion(m.Version) && !m.Ready
 		})
 }
--- a/coordination/engineorders/meter.go
+++ b/coordination/engineorders/meter.go
@@ -6,64 +6,64 @@
 	"endiveplank/protocol"
 )
 
-// staleAfter is after how long without a report an engine's rate counts as
-// not known: four surveys.
-const staleAfter = 4 * surveyEvery
+// staleAfter is how long after its last report an engine's rate counts as unknown:
+// four polls.
+const staleAfter = 4 * pollInterval
 
-// Meter turns the work that owners count into models' demand.
+// Meter computes the demand of models from the work that owners count.
 //
-// An owner reports the work that an engine has done for each model since its
-// tenure began. A count and not a rate, so that a lost report loses nothing;
-// the difference of two reports of one tenure is the rate between them.
+// An owner reports the work that an engine has completed for each model since the
+// ownership began. It reports a count and not a rate, so that a lost report loses
+// no work; the rate is computed from two reports of the same ownership.
 type Meter struct {
 	engines map[protocol.UpstreamID]*engineWork
 }
 
 type engineWork struct {
-	tenure protocol.Fence
-	at     time.Duration
-	done   map[protocol.Model]float64
-	rates  map[protocol.Model]float64
-	// rated says that two reports of one tenure were had.
-	rated bool
+	ownershipFence protocol.Fence
+	at             time.Duration
+	done           map[protocol.Model]float64
+	rates          map[protocol.Model]float64
+	// hasRates says that rates were computed from two reports of one ownership.
+	hasRates bool
 }
 
-// NewMeter returns a meter that knows no demand.
+// NewMeter returns a meter without reports.
 func NewMeter() *Meter { return &Meter{engines: map[protocol.UpstreamID]*engineWork{}} }
 
-// Reply takes an owner's report. It must come no more often than a survey, or
-// the rates are of few requests; answers to orders are therefore left out.
-func (m *Meter) Reply(now time.Duration, reply Reply) {
-	if reply.Fence != 0 || reply.Verdict != Passed {
+// HandleReply handles an owner's report. It ignores replies to orders: reports that
+// come more often than polls would give rates over only a few requests.
+func (m *Meter) HandleReply(now time.Duration, reply Reply) {
+	if reply.Fence != 0 || reply.Admission != Admitted {
 		return
 	}
 	known := m.engines[reply.Upstream]
-	if known == nil || known.tenure != reply.Tenure {
-		m.engines[reply.Upstream] = &engineWork{tenure: reply.Tenure, at: now, done: reply.Done}
+	if known == nil || known.ownershipFence != reply.OwnershipFence {
+		m.engines[reply.Upstream] = &engineWork{ownershipFence: reply.OwnershipFence, at: now, done: reply.Completed}
 		return
 	}
 	if now <= known.at {
 		return
 	}
 	known.rates = map[protocol.Model]float64{}
-	for model, done := range reply.Done {
+	for model, done := range reply.Completed {
 		known.rates[model] = max(0, done-known.done[model]) / (now - known.at).Seconds()
 	}
-	known.rated = true
+	known.hasRates = true
 	known.at = now
-	known.done = reply.Done
+	known.done = reply.Completed
 }
 
-// Demand returns a model's demand, from the engines that serve it with their
-// capacities. An engine whose rate isn't known is taken to do as the others:
-// taken for idle, a few lost reports would look like a fall in demand. ok is
-// false while no engine's rate is known.
+// Demand returns a model's demand; serving has the engines that serve it with their
+// capacities. An engine whose rate is unknown is assumed to be as loaded as the
+// others: if it counted as idle, a few lost reports would look like a fall in
+// demand. ok is false while no engine's rate is known.
 func (m *Meter) Demand(now time.Duration, model protocol.Model, serving map[protocol.UpstreamID]float64) (demand Demand, ok bool) {
 	all, known, tokens := 0.0, 0.0, 0.0
 	for id, capacity := range serving {
 		all += capacity
 		work := m.engines[id]
-		if work == nil || !work.rated || now-work.at > staleAfter {
+		if work == nil || !work.hasRates || now-work.at > staleAfter {
 			continue
 		}
 		known += capacity
--- a/coordination/engineorders/plan.go
+++ b/coordination/engineorders/plan.go
@@ -8,70 +8,71 @@
 	"endiveplank/protocol/upstreamapi"
 )
 
-// Engine is one engine as a plan sees it.
+// Engine is one engine as MakePlan sees it.
 type Engine struct {
 	ID protocol.UpstreamID
-	// Models are what it holds, as read in this office.
+	// Models are the models that the engine holds, as read in this term.
 	Models []upstreamapi.LoadedModel
-	// Room is how many models it can hold at once.
-	Room int
-	// Busy engines have an open order, or rest after a missed one, or are
-	// leaving. They count with what they serve and get no order.
+	// MaxModels is how many models the engine can hold at once.
+	MaxModels int
+	// Busy says that the engine has an open order, is in backoff after a failed
+	// one, or is leaving. A busy engine gets no order, but the models that it
+	// serves count.
 	Busy bool
-	// Open is what its open order asks, if it has one.
+	// Open is the intent of the engine's open order, if it has one.
 	Open Intent
 }
 
-// Model is what a model should have.
+// Model is the wanted version and number of replicas of a model.
 type Model struct {
 	Name protocol.Model
-	// Version is empty when any will do.
+	// Version is empty if any version will do.
 	Version  string
 	Replicas int
 }
 
-// RollShare is the share of a model's engines that may be without it at a
-// time while its version is changed. Load: engines at up to 80% of their
-// capacity, where a tenth fewer still carry it. Harm prevented: a new version
-// that takes the fleet's capacity and its caches at a stroke.
+// RollShare is the share of a model's engines that may be without the model at the
+// same time during a rolling change of its version. Engines run at up to 80% of
+// their capacity, so a tenth fewer can still carry the load. It guards against a
+// new version that takes away the fleet's capacity and its caches all at once.
 const RollShare = 0.1
 
-// Limits bound one plan.
+// Limits are the limits of one plan.
 type Limits struct {
-	// Loads is how many loads may be begun now.
+	// Loads is how many loads may start now.
 	Loads int
-	// RollShare is the share of a model's engines in change at a time, see
-	// the constant of the name. At least one engine may change.
+	// RollShare is the share of a model's engines that may change at the same
+	// time, see the constant RollShare. At least one engine may change.
 	RollShare float64
 }
 
-// Planned is one order to issue.
-type Planned struct {
+// PlannedOrder is one order to issue.
+type PlannedOrder struct {
 	Upstream protocol.UpstreamID
 	Intent   Intent
-	// Why is roll, grow or shrink.
+	// Why is "roll", "grow" or "shrink".
 	Why string
 }
 
-// plan is the work on one plan.
+// plan is the state of one MakePlan call.
 type plan struct {
-	engines []Engine
-	taken   map[protocol.UpstreamID]bool
-	loads   int
-	share   float64
-	out     []Planned
-}
-
-// MakePlan returns the orders to issue now: first replicas that lack, then
-// for each model either a replica beyond what is wanted or old versions, never
-// both at once. It never plans
-// two orders for an engine, and the same input gives the same plan.
-func MakePlan(engines []Engine, models []Model, limits Limits) []Planned {
+	engines   []Engine
+	ordered   map[protocol.UpstreamID]bool
+	loadsLeft int
+	rollShare float64
+	out       []PlannedOrder
+}
+
+// MakePlan returns the orders to issue now. First it loads missing replicas. Then,
+// for each model, it either unloads a replica beyond the wanted number or replaces
+// old versions, never both at once. It never plans two orders for an engine, and
+// the same input gives the same plan.
+func MakePlan(engines []Engine, models []Model, limits Limits) []PlannedOrder {
 	p := &plan{
-		engines: slices.SortedFunc(slices.Values(engines), func(a, b Engine) int { return cmp.Compare(a.ID, b.ID) }),
-		taken:   map[protocol.UpstreamID]bool{},
-		loads:   limits.Loads,
-		share:   limits.RollShare,
+		engines:   slices.SortedFunc(slices.Values(engines), func(a, b Engine) int { return cmp.Compare(a.ID, b.ID) }),
+		ordered:   map[protocol.UpstreamID]bool{},
+		loadsLeft: limits.Loads,
+		rollShare: limits.RollShare,
 	}
 	for _, model := range models {
 		p.grow(model)
@@ -84,7 +85,7 @@
 	return p.out
 }
 
-// held returns a model as an engine holds it.
+// held returns the model as the engine holds it.
 func (e Engine) held(model protocol.Model) (upstreamapi.LoadedModel, bool) {
 	for _, held := range e.Models {
 		if held.Model == model {
@@ -94,9 +95,9 @@
 	return upstreamapi.LoadedModel{}, false
 }
 
-// counts are the engines of a model: those that serve it, those of them with
-// the wanted version, and those that will.
-type counts struct{ serving, wanted, coming int }
+// counts are numbers of a model's engines: those that serve it, those of them that
+// serve the wanted version, and those that are going to serve it.
+type counts struct{ serving, current, pending int }
 
 func (p *plan) count(model Model) counts {
 	var c counts
@@ -108,31 +109,31 @@
 		case unloading:
 		case engine.Serves(model.Name):
 			c.serving++
-			if model.current(held) {
-				c.wanted++
+			if model.hasVersion(held) {
+				c.current++
 			}
 		case holds || loading:
-			c.coming++
+			c.pending++
 		}
 	}
 	return c
 }
 
-// Serves says whether the engine serves a model and goes on to do so.
+// Serves reports whether the engine serves a model and has no open order for it.
 func (e Engine) Serves(model protocol.Model) bool {
 	held, holds := e.held(model)
 	return holds && held.Ready && e.Open.Model != model
 }
 
-func (m Model) current(held upstreamapi.LoadedModel) bool {
+func (m Model) hasVersion(held upstreamapi.LoadedModel) bool {
 	return m.Version == "" || held.Version == m.Version
 }
 
-// grow loads a model on more engines, those with the fewest models first.
+// grow loads a model on more engines, on those with the fewest models first.
 func (p *plan) grow(model Model) {
 	c := p.count(model)
-	for lacking := model.Replicas - c.serving - c.coming; lacking > 0 && p.loads > 0; lacking-- {
-		engine, found := p.emptiest(model.Name)
+	for lacking := model.Replicas - c.serving - c.pending; lacking > 0 && p.loadsLeft > 0; lacking-- {
+		engine, found := p.leastFilled(model.Name)
 		if !found {
 			return
 		}
@@ -140,13 +141,13 @@
 	}
 }
 
-// emptiest returns the free engine with the fewest models and room for one
-// more.
-func (p *plan) emptiest(model protocol.Model) (Engine, bool) {
+// leastFilled returns the available engine that holds the fewest models and has
+// capacity for another.
+func (p *plan) leastFilled(model protocol.Model) (Engine, bool) {
 	best := Engine{}
 	found := false
 	for _, engine := range p.engines {
-		if _, holds := engine.held(model); holds || !p.free(engine) || len(engine.Models) >= engine.Room {
+		if _, holds := engine.held(model); holds || !p.available(engine) || len(engine.Models) >= engine.MaxModels {
 			continue
 		}
 		if !found || len(engine.Models) < len(best.Models) {
@@ -157,31 +158,32 @@
 	return best, found
 }
 
-func (p *plan) free(engine Engine) bool { return !engine.Busy && !p.taken[engine.ID] }
+func (p *plan) available(engine Engine) bool { return !engine.Busy && !p.ordered[engine.ID] }
 
-// roll brings engines to the wanted version, a share of them at a time. A
-// model that only one engine serves first comes up on another, so that it
-// never falls to none; where no engine has room, it isn't rolled.
+// roll replaces old versions of a model by the wanted one, on a share of its
+// engines at a time. A model that only one engine serves is first loaded on another
+// engine, so that it is always served; if no engine has capacity, its version is
+// not changed.
 func (p *plan) roll(model Model) {
 	c := p.count(model)
-	old := c.serving - c.wanted
+	old := c.serving - c.current
 	if old == 0 || model.Version == "" {
 		return
 	}
-	changing := c.coming
+	changing := c.pending
 	if c.serving == 1 && changing == 0 {
-		if engine, found := p.emptiest(model.Name); found && p.loads > 0 {
+		if engine, found := p.leastFilled(model.Name); found && p.loadsLeft > 0 {
 			p.load(engine, model, "roll")
 		}
 		return
 	}
-	may := min(max(1, int(p.share*float64(c.serving+changing))), c.serving-1)
+	may := min(max(1, int(p.rollShare*float64(c.serving+changing))), c.serving-1)
 	for _, engine := range p.engines {
-		if changing >= may || p.loads == 0 {
+		if changing >= may || p.loadsLeft == 0 {
 			return
 		}
 		held, holds := engine.held(model.Name)
-		if !holds || !held.Ready || model.current(held) || !p.free(engine) {
+		if !holds || !held.Ready || model.hasVersion(held) || !p.available(engine) {
 			continue
 		}
 		p.load(engine, model, "roll")
@@ -190,22 +192,22 @@
 }
 
 func (p *plan) load(engine Engine, model Model, why string) {
-	p.loads--
+	p.loadsLeft--
 	p.add(engine, Intent{Action: upstreamapi.ActionLoad, Model: model.Name, Version: model.Version}, why)
 }
 
-// shrink unloads one replica beyond what is wanted, one of an old version
-// first, and says whether it did. It waits while others change, because those
-// don't serve yet.
+// shrink unloads one replica beyond the wanted number, preferably one of an old
+// version, and reports whether it did. It waits while other engines are loading the
+// model, because those don't serve it yet.
 func (p *plan) shrink(model Model) bool {
 	c := p.count(model)
-	if c.coming > 0 || c.serving <= model.Replicas {
+	if c.pending > 0 || c.serving <= model.Replicas {
 		return false
 	}
 	for _, onlyOld := range []bool{true, false} {
 		for _, engine := range slices.Backward(p.engines) {
 			held, holds := engine.held(model.Name)
-			if !holds || !held.Ready || !p.free(engine) || onlyOld && model.current(held) {
+			if !holds || !held.Ready || !p.available(engine) || onlyOld && model.hasVersion(held) {
 				continue
 			}
 			p.add(engine, Intent{Action: upstreamapi.ActionUnload, Model: model.Name}, "shrink")
@@ -216,6 +218,6 @@
 }
 
 func (p *plan) add(engine Engine, intent Intent, why string) {
-	p.taken[engine.ID] = true
-	p.out = append(p.out, Planned{Upstream: engine.ID, Intent: intent, Why: why})
+	p.ordered[engine.ID] = true
+	p.out = append(p.out, PlannedOrder{Upstream: engine.ID, Intent: intent, Why: why})
 }
--- a/coordination/engineorders/plan_test.go
+++ b/coordination/engineorders/plan_test.go
@@ -12,11 +12,11 @@
 	"endiveplank/protocol/upstreamapi"
 )
 
-// drawEngines draws a fleet that holds models in some versions.
+// drawEngines draws a fleet of engines that hold models in some versions.
 func drawEngines(t *rapid.T) []Engine {
 	engines := make([]Engine, rapid.IntRange(1, 12).Draw(t, "engines"))
 	for i := range engines {
-		engines[i] = Engine{ID: protocol.UpstreamID(fmt.Sprintf("e%02d", i)), Room: 2, Busy: rapid.IntRange(0, 9).Draw(t, "busy") == 0}
+		engines[i] = Engine{ID: protocol.UpstreamID(fmt.Sprintf("e%02d", i)), MaxModels: 2, Busy: rapid.IntRange(0, 9).Draw(t, "busy") == 0}
 		for _, model := range []protocol.Model{"m", "n"} {
 			if rapid.Bool().Draw(t, "holds") {
 				version := fmt.Sprint("v", rapid.IntRange(1, 2).Draw(t, "version"))
@@ -27,9 +27,9 @@
 	return engines
 }
 
-// begin carries an order out as far as engines do at once, and says whether
-// it must be finished later.
-func begin(engines []Engine, planned Planned) {
+// begin applies the immediate effect of an order to its engine: an unload is
+// complete, a load stays open until finish.
+func begin(engines []Engine, planned PlannedOrder) {
 	for i := range engines {
 		if engines[i].ID != planned.Upstream {
 			continue
@@ -66,10 +66,10 @@
 	return p.count(Model{Name: model}).serving
 }
 
-// Operators change versions and replicas while loads end in any order. A model
-// that several engines serve must never fall to none, no more than the share
-// may change at a time, no engine may get two orders in one plan, and loads
-// must stay within their bound.
+// Operators change versions and replicas while loads end in any order. A model that
+// engines serve must always be served, at most rollShare of its engines may change
+// at the same time, no engine may get two orders in one plan, and loads must stay
+// within their limit.
 func TestPlanKeepsItsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engines := drawEngines(t)
@@ -92,7 +92,7 @@
 }
 
 func checkPlan(t *rapid.T, engines []Engine, models []Model, share float64, rolling map[protocol.UpstreamID]protocol.Model) {
-	limits := Limits{Loads: MaxLoads, RollShare: share}
+	limits := Limits{Loads: MaxOpenLoads, RollShare: share}
 	for _, engine := range engines {
 		if engine.Open.Action == upstreamapi.ActionLoad {
 			limits.Loads--
@@ -113,7 +113,7 @@
 		if planned.Why == "roll" {
 			rolling[planned.Upstream] = planned.Intent.Model
 		}
-		assert.Assert(t, planned.Why != "shrink" || before[planned.Intent.Model].coming == 0)
+		assert.Assert(t, planned.Why != "shrink" || before[planned.Intent.Model].pending == 0)
 		begin(engines, planned)
 	}
 	assert.Assert(t, limits.Loads >= 0)
@@ -134,17 +134,17 @@
 		}
 	}
 	if now < was.serving {
-		assert.Assert(t, changing <= max(1, int(share*float64(was.serving+was.coming))), "%d of model %s change at a time", changing, model)
+		assert.Assert(t, changing <= max(1, int(share*float64(was.serving+was.pending))), "%d of model %s change at a time", changing, model)
 	}
 }
 
-// One engine alone serves a model that is in use, and its version is changed.
-// Loading in place would leave callers without it for the whole load. It must
-// come up on another engine first.
-func TestLastReplicaIsRolledByWayOfAnother(t *testing.T) {
+// Only one engine serves a model in use, and the wanted version changes. Loading the
+// new version on that engine would leave callers without the model during the load.
+// It must first be loaded on another engine.
+func TestLastReplicaIsReplacedOnAnotherEngineFirst(t *testing.T) {
 	engines := []Engine{
-		{ID: "a", Room: 2, Models: []upstreamapi.LoadedModel{{Model: "m", Version: "v1", Ready: true}}},
-		{ID: "b", Room: 2},
+		{ID: "a", MaxModels: 2, Models: []upstreamapi.LoadedModel{{Model: "m", Version: "v1", Ready: true}}},
+		{ID: "b", MaxModels: 2},
 	}
 	models := []Model{{Name: "m", Version: "v2", Replicas: 1}}
 	var steps []string
@@ -160,9 +160,9 @@
 	assert.DeepEqual(t, steps, []string{"b load", "a unload"})
 }
 
-// Demand swings about what the replicas carry. A replica that comes and goes
-// with each swing costs a load and all its chats each time.
-func TestReplicasDontFollowEachSwing(t *testing.T) {
+// Demand swings around the capacity of the replicas. The number of replicas must not
+// follow each swing, because every change costs a load and moves the replica's chats.
+func TestReplicasDontFollowShortSwings(t *testing.T) {
 	s := NewScaler(DefaultScalerConfig(), 0, 4)
 	changes := 0
 	last := 4
@@ -171,7 +171,7 @@
 		if now/time.Minute%6 < 3 {
 			tokens = 1400
 		}
-		wanted := s.Wanted(now, Demand{Tokens: tokens, PerReplica: 1000}, Floor{Min: 1})
+		wanted := s.Replicas(now, Demand{Tokens: tokens, PerReplica: 1000}, ReplicaLimits{Min: 1})
 		if wanted != last {
 			changes++
 		}
@@ -180,30 +180,32 @@
 	assert.Equal(t, changes, 0)
 }
 
+// Demand that lasts must change the replicas, within the operators' limits; a model
+// in use must keep one replica, and a model that nobody uses must lose its last.
 func TestReplicasFollowLastingDemandWithinBounds(t *testing.T) {
 	for name, tc := range map[string]struct {
 		from   int
 		tokens float64
-		floor  Floor
+		floor  ReplicaLimits
 		after  time.Duration
 		want   int
 	}{
-		"grows to the target":        {2, 3250, Floor{Min: 1}, time.Minute, 5},
-		"not at once":                {2, 3250, Floor{Min: 1}, 5 * time.Second, 2},
-		"at most max":                {2, 9000, Floor{Min: 1, Max: 4}, time.Minute, 4},
-		"shrinks one by one":         {5, 100, Floor{Min: 1}, 11 * time.Minute, 4},
-		"never under min":            {5, 0, Floor{Min: 3}, 5 * time.Hour, 3},
-		"the first request counts":   {0, 1, Floor{}, time.Second, 1},
-		"a model in use keeps one":   {1, 1, Floor{}, 5 * time.Hour, 1},
-		"one that nobody uses goes":  {1, 0, Floor{}, 2 * time.Hour, 0},
-		"but not within the hour":    {1, 0, Floor{}, 59 * time.Minute, 1},
-		"min counts for a new model": {0, 0, Floor{Min: 2}, time.Second, 2},
+		"grows to the target":        {2, 3250, ReplicaLimits{Min: 1}, time.Minute, 5},
+		"not at once":                {2, 3250, ReplicaLimits{Min: 1}, 5 * time.Second, 2},
+		"at most max":                {2, 9000, ReplicaLimits{Min: 1, Max: 4}, time.Minute, 4},
+		"shrinks one by one":         {5, 100, ReplicaLimits{Min: 1}, 11 * time.Minute, 4},
+		"never under min":            {5, 0, ReplicaLimits{Min: 3}, 5 * time.Hour, 3},
+		"the first request counts":   {0, 1, ReplicaLimits{}, time.Second, 1},
+		"a model in use keeps one":   {1, 1, ReplicaLimits{}, 5 * time.Hour, 1},
+		"one that nobody uses goes":  {1, 0, ReplicaLimits{}, 2 * time.Hour, 0},
+		"but not within the hour":    {1, 0, ReplicaLimits{}, 59 * time.Minute, 1},
+		"min counts for a new model": {0, 0, ReplicaLimits{Min: 2}, time.Second, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := NewScaler(DefaultScalerConfig(), 0, tc.from)
 			got := 0
 			for now := time.Duration(0); now <= tc.after; now += time.Second {
-				got = s.Wanted(now, Demand{Tokens: tc.tokens, PerReplica: 1000}, tc.floor)
+				got = s.Replicas(now, Demand{Tokens: tc.tokens, PerReplica: 1000}, tc.floor)
 			}
 			assert.Equal(t, got, tc.want)
 		})
--- a/coordination/engineorders/bench_test.go
+++ b/coordination/engineorders/roll_test.go
@@ -14,11 +14,11 @@
 	"endiveplank/protocol/upstreamapi"
 )
 
-// The roll bench: 40 engines serve one model at version v1, and the table then
-// asks for v2. A load takes loadTime alone on the store; the store serves
-// storeWidth at a time. 4,000 chats return, each after 120 s on average, to
-// the first engine in placement order that serves; a turn is warm when that
-// engine ran the chat before and hasn't loaded since.
+// The simulated rolling change: 40 engines serve one model at version v1, and the
+// table then asks for v2. A load takes loadTime if the weight store serves no more
+// than storeWidth loads at once, and longer if it does. 4,000 chats return, each
+// after 120 s on average, to the first engine in placement order that serves the
+// model. A turn is warm if that engine ran the chat before and hasn't loaded since.
 const (
 	benchEngines = 40
 	benchChats   = 4000
@@ -29,53 +29,53 @@
 	benchEnd     = 40 * time.Minute
 )
 
-// rollResult is what a roll did.
+// rollResult is the result of a simulated rolling change.
 type rollResult struct {
 	leastServing int
 	took         time.Duration
-	// colds are the cold turns from the roll's start on, for each chat, and
-	// worst is the smallest share of warm turns in a minute.
-	colds, worst float64
-	unserved     int
+	// coldTurnsPerChat counts the cold turns of a chat from the start of the rolling
+	// change; worstWarmShare is the smallest share of warm turns in a minute.
+	coldTurnsPerChat, worstWarmShare float64
+	unserved                         int
 }
 
 type rollBench struct {
-	rng     *rand.Rand
-	engines []Engine
-	caches  []map[int]bool
-	loading []time.Duration
-	numbers map[protocol.UpstreamID]int
-	set     *placement.Set
-	version uint64
-	next    []time.Duration
-	result  rollResult
-	// minute counts the turns of a minute, all and warm ones.
+	rng      *rand.Rand
+	engines  []Engine
+	caches   []map[int]bool
+	loadLeft []time.Duration
+	indexOf  map[protocol.UpstreamID]int
+	set      *placement.Set
+	version  uint64
+	next     []time.Duration
+	result   rollResult
+	// minute is the current minute, turns counts its turns and warm the warm ones.
 	minute, turns, warm int
-	cold                int
+	coldTurns           int
 }
 
-// runRoll steps the plan through one roll.
+// runRoll simulates one rolling change.
 func runRoll(seed uint64, limits Limits) rollResult {
-	b := &rollBench{rng: rand.New(rand.NewPCG(seed, 1)), numbers: map[protocol.UpstreamID]int{}}
+	b := &rollBench{rng: rand.New(rand.NewPCG(seed, 1)), indexOf: map[protocol.UpstreamID]int{}}
 	for i := range benchEngines {
 		id := protocol.UpstreamID(fmt.Sprintf("e%02d", i))
-		b.engines = append(b.engines, Engine{ID: id, Room: 1, Models: []upstreamapi.LoadedModel{{Model: "m", Version: "v1", Ready: true}}})
+		b.engines = append(b.engines, Engine{ID: id, MaxModels: 1, Models: []upstreamapi.LoadedModel{{Model: "m", Version: "v1", Ready: true}}})
 		b.caches = append(b.caches, map[int]bool{})
-		b.numbers[id] = i
+		b.indexOf[id] = i
 	}
-	b.loading = make([]time.Duration, benchEngines)
+	b.loadLeft = make([]time.Duration, benchEngines)
 	b.next = make([]time.Duration, benchChats)
 	b.result.leastServing = benchEngines
-	b.result.worst = 1
+	b.result.worstWarmShare = 1
 	b.rebuild()
 	for now := time.Duration(0); now < benchEnd; now += time.Second {
-		b.load(now)
+		b.advanceLoads(now)
 		if now >= rollAt {
 			b.plan(now, limits)
 		}
-		b.turn(now)
+		b.runTurns(now)
 	}
-	b.result.colds = float64(b.cold) / benchChats
+	b.result.coldTurnsPerChat = float64(b.coldTurns) / benchChats
 	return b.result
 }
 
@@ -111,30 +111,30 @@
 	planned := MakePlan(b.engines, []Model{wanted}, limits)
 	for _, order := range planned {
 		begin(b.engines, order)
-		i := b.numbers[order.Upstream]
+		i := b.indexOf[order.Upstream]
 		b.caches[i] = map[int]bool{}
-		b.loading[i] = loadTime
+		b.loadLeft[i] = loadTime
 	}
 	if len(planned) > 0 {
 		b.rebuild()
 	}
 }
 
-// load lets the store work for a second.
-func (b *rollBench) load(time.Duration) {
+// advanceLoads advances the weight store's loads by a second.
+func (b *rollBench) advanceLoads(time.Duration) {
 	open := 0
-	for _, left := range b.loading {
+	for _, left := range b.loadLeft {
 		if left > 0 {
 			open++
 		}
 	}
 	done := false
-	for i, left := range b.loading {
+	for i, left := range b.loadLeft {
 		if left <= 0 {
 			continue
 		}
-		b.loading[i] -= time.Second * storeWidth / time.Duration(max(storeWidth, open))
-		if b.loading[i] <= 0 {
+		b.loadLeft[i] -= time.Second * storeWidth / time.Duration(max(storeWidth, open))
+		if b.loadLeft[i] <= 0 {
 			finish(&b.engines[i])
 			done = true
 		}
@@ -144,8 +144,8 @@
 	}
 }
 
-// turn runs the turns of a second.
-func (b *rollBench) turn(now time.Duration) {
+// runTurns runs the chat turns of a second.
+func (b *rollBench) runTurns(now time.Duration) {
 	for id, due := range b.next {
 		if due > now {
 			continue
@@ -156,7 +156,7 @@
 			b.result.unserved++
 			continue
 		}
-		b.count(now, id, b.numbers[b.set.Member(order[0]).ID])
+		b.count(now, id, b.indexOf[b.set.Member(order[0]).ID])
 	}
 }
 
@@ -174,22 +174,23 @@
 	if warm {
 		b.warm++
 	} else {
-		b.cold++
+		b.coldTurns++
 	}
 }
 
 func (b *rollBench) closeMinute() {
 	if b.turns > 0 {
-		b.result.worst = min(b.result.worst, float64(b.warm)/float64(b.turns))
+		b.result.worstWarmShare = min(b.result.worstWarmShare, float64(b.warm)/float64(b.turns))
 	}
 	b.turns = 0
 	b.warm = 0
 }
 
-// A new version goes over 40 engines under returning chats. All at once, no
-// engine serves for minutes and every chat starts cold at the same time. The
-// roll must keep nine engines of ten, few cold turns beyond the one a chat that
-// a new version costs anyhow, and most turns of each minute warm.
+// A new version is rolled out to 40 engines while chats return. Changing all engines
+// at once leaves no engine serving for minutes and makes every chat start cold at
+// the same time. The rolling change must keep nine engines of ten serving, cause few
+// cold turns beyond the one that a new version costs each chat in any case, and keep
+// at least half of the turns of each minute warm.
 func TestRollKeepsCapacityAndReuse(t *testing.T) {
 	seeds := 3
 	for _, tc := range []struct {
@@ -198,25 +199,25 @@
 	}{
 		{"all at once", Limits{Loads: benchEngines, RollShare: 1}},
 		{"quarter, store unbounded", Limits{Loads: benchEngines, RollShare: 0.25}},
-		{"tenth", Limits{Loads: MaxLoads, RollShare: RollShare}},
-		{"twentieth", Limits{Loads: MaxLoads, RollShare: 0.05}},
+		{"tenth", Limits{Loads: MaxOpenLoads, RollShare: RollShare}},
+		{"twentieth", Limits{Loads: MaxOpenLoads, RollShare: 0.05}},
 		{"one at a time", Limits{Loads: 1, RollShare: 0}},
 	} {
-		sum := rollResult{leastServing: benchEngines, worst: 1}
+		sum := rollResult{leastServing: benchEngines, worstWarmShare: 1}
 		for seed := range seeds {
 			r := runRoll(uint64(seed+1), tc.limits)
 			sum.leastServing = min(sum.leastServing, r.leastServing)
 			sum.took = max(sum.took, r.took)
-			sum.colds += r.colds / float64(seeds)
-			sum.worst = min(sum.worst, r.worst)
+			sum.coldTurnsPerChat += r.coldTurnsPerChat / float64(seeds)
+			sum.worstWarmShare = min(sum.worstWarmShare, r.worstWarmShare)
 			sum.unserved += r.unserved
 		}
 		t.Logf("%-25s least serving %2d/%d, took %v, %.2f cold turns a chat, worst minute %.0f%% warm, unserved %d",
-			tc.name, sum.leastServing, benchEngines, sum.took, sum.colds, 100*sum.worst, sum.unserved)
+			tc.name, sum.leastServing, benchEngines, sum.took, sum.coldTurnsPerChat, 100*sum.worstWarmShare, sum.unserved)
 		if tc.limits.RollShare == RollShare {
 			assert.Assert(t, sum.leastServing >= benchEngines*9/10)
-			assert.Assert(t, sum.colds <= 1.5)
-			assert.Assert(t, sum.worst >= 0.5)
+			assert.Assert(t, sum.coldTurnsPerChat <= 1.5)
+			assert.Assert(t, sum.worstWarmShare >= 0.5)
 			assert.Equal(t, sum.unserved, 0)
 		}
 	}
--- a/coordination/engineorders/state.go
+++ b/coordination/engineorders/state.go
@@ -11,21 +11,22 @@
 
 // Limits of the replicated state.
 const (
-	// MaxLoads is how many loads may be open in the whole fleet. Load: a
-	// weight store that serves a few transfers at a time. Harm prevented: a
-	// stampede, in which every load is as late as the last one. Four keep the
-	// store busy while one of them is being confirmed.
-	MaxLoads = 4
-	// maxEngines bounds the state against a faulty issuer; it is far above
-	// 790 engines.
+	// MaxOpenLoads is how many loads may be open in the whole fleet. The weight
+	// store serves a few transfers at a time; with more loads at once, every load
+	// would finish as late as the last one. Four keep the store busy while one of
+	// them is being confirmed.
+	MaxOpenLoads = 4
+	// maxEngines bounds the state if an issuer is faulty. It is far above the
+	// 790 engines of a fleet.
 	maxEngines = 20_000
 	maxText    = 256
 )
 
-// Office is the log index of the Take that made a process the issuer.
-type Office uint64
+// Term identifies the period in which one process is the issuer. It is the log
+// index of the StartTerm command, not the consensus term.
+type Term uint64
 
-// Intent is what an order asks of an engine.
+// Intent is what an order asks an engine to do.
 type Intent struct {
 	Action  upstreamapi.EngineAction `msgpack:"a"`
 	Model   protocol.Model           `msgpack:"m,omitempty"`
@@ -36,105 +37,110 @@
 // Order is one open order.
 type Order struct {
 	Upstream protocol.UpstreamID `msgpack:"u"`
-	// Fence is the log index of the Issue.
+	// Fence is the order's fencing number, the log index of the Issue command.
 	Fence  protocol.Fence `msgpack:"f"`
-	Office Office         `msgpack:"o"`
+	Term   Term           `msgpack:"o"`
 	Intent Intent         `msgpack:"i"`
 }
 
-// Ending says how an order was settled.
-type Ending string
+// Resolution says how an order was settled.
+type Resolution string
 
 const (
-	// Carried means that the engine's state was read and shows the order.
-	Carried Ending = "carried"
-	// EngineRefused means that the engine answered that it won't.
-	EngineRefused Ending = "engine-refused"
-	// Overdue means that the engine didn't get there in time.
-	Overdue Ending = "overdue"
-	// Overtaken means that the engine has seen a higher number.
-	Overtaken Ending = "overtaken"
+	// Executed means that the engine's state was read and shows that the order
+	// took effect.
+	Executed Resolution = "carried"
+	// EngineRefused means that the engine answered with a refusal.
+	EngineRefused Resolution = "engine-refused"
+	// TimedOut means that the order didn't take effect within
+	// Timing.OrderTimeout.
+	TimedOut Resolution = "overdue"
+	// Superseded means that the engine has received a higher fencing number.
+	Superseded Resolution = "overtaken"
 )
 
 // Settled is the last settled order of an engine.
 type Settled struct {
-	Order  Order  `msgpack:"o"`
-	Ending Ending `msgpack:"e"`
-	// Misses counts the orders in a row that ended otherwise than Carried.
-	Misses uint32 `msgpack:"m,omitempty"`
+	Order      Order      `msgpack:"o"`
+	Resolution Resolution `msgpack:"e"`
+	// Failures counts the engine's latest orders in a row that were settled
+	// otherwise than Executed.
+	Failures uint32 `msgpack:"m,omitempty"`
 }
 
-// Take makes a router the issuer, under a new office each time.
-type Take struct {
+// StartTerm makes a router the issuer in a new term.
+type StartTerm struct {
 	Router protocol.RouterID `msgpack:"r"`
 }
 
 // Issue opens an order.
 type Issue struct {
-	Office   Office              `msgpack:"o"`
+	Term     Term                `msgpack:"o"`
 	Upstream protocol.UpstreamID `msgpack:"u"`
 	Intent   Intent              `msgpack:"i"`
 }
 
-// Settle ends an order. Confirm and Abandon carry one.
+// Settle is the content of Confirm and Abandon: it settles an open order. Apply
+// sets Resolution to Executed for Confirm.
 type Settle struct {
-	Office   Office              `msgpack:"o"`
-	Upstream protocol.UpstreamID `msgpack:"u"`
-	Fence    protocol.Fence      `msgpack:"f"`
-	Ending   Ending              `msgpack:"e,omitempty"`
+	Term       Term                `msgpack:"o"`
+	Upstream   protocol.UpstreamID `msgpack:"u"`
+	Fence      protocol.Fence      `msgpack:"f"`
+	Resolution Resolution          `msgpack:"e,omitempty"`
 }
 
 // Command is one change of the state. Exactly one field is set.
 type Command struct {
-	Take    *Take   `msgpack:"t,omitempty"`
-	Issue   *Issue  `msgpack:"i,omitempty"`
-	Confirm *Settle `msgpack:"c,omitempty"`
-	Abandon *Settle `msgpack:"a,omitempty"`
+	StartTerm *StartTerm `msgpack:"t,omitempty"`
+	Issue     *Issue     `msgpack:"i,omitempty"`
+	Confirm   *Settle    `msgpack:"c,omitempty"`
+	Abandon   *Settle    `msgpack:"a,omitempty"`
 }
 
-// Outcome says what became of a command.
+// Outcome is the outcome of a command.
 type Outcome string
 
 const (
-	// Done means that it took effect.
+	// Done means that the command took effect.
 	Done Outcome = "done"
-	// OldOffice means that another issuer has taken office since.
-	OldOffice Outcome = "old-office"
+	// OldTerm means that another issuer has started a term since.
+	OldTerm Outcome = "old-office"
 	// EngineBusy means that the engine has an open order.
 	EngineBusy Outcome = "engine-busy"
-	// StoreBusy means that MaxLoads loads are open.
-	StoreBusy Outcome = "store-busy"
+	// WeightStoreBusy means that MaxOpenLoads loads are open.
+	WeightStoreBusy Outcome = "store-busy"
 	// NoSuchOrder means that the order to settle is not open.
 	NoSuchOrder Outcome = "no-such-order"
-	// Malformed means that the command can't be right. It changed nothing.
+	// Malformed means that the command is invalid. It changed nothing.
 	Malformed Outcome = "malformed"
 )
 
 // Answer is the result of a command.
 type Answer struct {
 	Outcome Outcome `msgpack:"o"`
-	Office  Office  `msgpack:"f,omitempty"`
+	Term    Term    `msgpack:"f,omitempty"`
 	Order   *Order  `msgpack:"r,omitempty"`
 }
 
-// State is the replicated part: the office in force and, for each engine, the
-// open order and the last settled one. It isn't safe for concurrent use.
+// State is the replicated part: the current term with its issuer and, for each
+// engine, the open order and the last settled one. It isn't safe for concurrent
+// use.
 type State struct {
-	office  Office
-	holder  protocol.RouterID
+	term    Term
+	issuer  protocol.RouterID
 	open    map[protocol.UpstreamID]Order
 	settled map[protocol.UpstreamID]Settled
 }
 
-// NewState returns a state without issuer and orders.
+// NewState returns a state with no issuer and no orders.
 func NewState() *State {
 	return &State{open: map[protocol.UpstreamID]Order{}, settled: map[protocol.UpstreamID]Settled{}}
 }
 
-// Office returns the office in force and its holder.
-func (s *State) Office() (Office, protocol.RouterID) { return s.office, s.holder }
+// Term returns the current term and its issuer.
+func (s *State) Term() (Term, protocol.RouterID) { return s.term, s.issuer }
 
-// Open returns the open orders by fencing number.
+// Open returns the open orders, sorted by fencing number.
 func (s *State) Open() []Order {
 	return slices.SortedFunc(maps.Values(s.open), func(a, b Order) int { return cmp.Compare(a.Fence, b.Fence) })
 }
@@ -151,8 +157,8 @@
 	return settled, ok
 }
 
-// Loads is the number of open loads.
-func (s *State) Loads() int {
+// OpenLoads returns the number of open loads.
+func (s *State) OpenLoads() int {
 	count := 0
 	for _, order := range s.open {
 		if order.Intent.Action == upstreamapi.ActionLoad {
@@ -162,19 +168,19 @@
 	return count
 }
 
-// Apply runs the command at a log index.
+// Apply applies a command at its log index.
 func (s *State) Apply(index uint64, command Command) Answer {
 	switch {
-	case command.Take != nil:
-		return s.take(index, *command.Take)
+	case command.StartTerm != nil:
+		return s.startTerm(index, *command.StartTerm)
 	case command.Issue != nil:
 		return s.issue(index, *command.Issue)
 	case command.Confirm != nil:
 		confirm := *command.Confirm
-		confirm.Ending = Carried
+		confirm.Resolution = Executed
 		return s.settle(confirm)
 	case command.Abandon != nil:
-		if command.Abandon.Ending == Carried || command.Abandon.Ending == "" {
+		if command.Abandon.Resolution == Executed || command.Abandon.Resolution == "" {
 			return Answer{Outcome: Malformed}
 		}
 		return s.settle(*command.Abandon)
@@ -182,34 +188,34 @@
 	return Answer{Outcome: Malformed}
 }
 
-func (s *State) take(index uint64, take Take) Answer {
+func (s *State) startTerm(index uint64, take StartTerm) Answer {
 	if take.Router == "" || len(take.Router) > maxText {
 		return Answer{Outcome: Malformed}
 	}
-	s.office = Office(index)
-	s.holder = take.Router
-	return Answer{Outcome: Done, Office: s.office}
+	s.term = Term(index)
+	s.issuer = take.Router
+	return Answer{Outcome: Done, Term: s.term}
 }
 
 func (s *State) issue(index uint64, issue Issue) Answer {
 	if !issue.valid() {
 		return Answer{Outcome: Malformed}
 	}
-	if issue.Office != s.office {
-		// A proposal of a former issuer that the log took in late. In force,
-		// it would undo what its successor decided.
-		return Answer{Outcome: OldOffice, Office: s.office}
+	if issue.Term != s.term {
+		// A proposal of a former issuer was committed late. If it took
+		// effect, it would undo what the next issuer decided.
+		return Answer{Outcome: OldTerm, Term: s.term}
 	}
 	if _, busy := s.open[issue.Upstream]; busy {
 		return Answer{Outcome: EngineBusy}
 	}
-	if issue.Intent.Action == upstreamapi.ActionLoad && s.Loads() >= MaxLoads {
-		return Answer{Outcome: StoreBusy}
+	if issue.Intent.Action == upstreamapi.ActionLoad && s.OpenLoads() >= MaxOpenLoads {
+		return Answer{Outcome: WeightStoreBusy}
 	}
 	if len(s.open)+len(s.settled) >= maxEngines {
 		return Answer{Outcome: Malformed}
 	}
-	order := Order{Upstream: issue.Upstream, Fence: protocol.Fence(index), Office: issue.Office, Intent: issue.Intent}
+	order := Order{Upstream: issue.Upstream, Fence: protocol.Fence(index), Term: issue.Term, Intent: issue.Intent}
 	s.open[issue.Upstream] = order
 	return Answer{Outcome: Done, Order: &order}
 }
@@ -229,48 +235,49 @@
 }
 
 func (s *State) settle(settle Settle) Answer {
-	if settle.Office != s.office {
-		return Answer{Outcome: OldOffice, Office: s.office}
+	if settle.Term != s.term {
+		return Answer{Outcome: OldTerm, Term: s.term}
 	}
 	order, open := s.open[settle.Upstream]
 	if !open || order.Fence != settle.Fence {
 		return Answer{Outcome: NoSuchOrder}
 	}
 	delete(s.open, settle.Upstream)
-	settled := Settled{Order: order, Ending: settle.Ending}
-	if settle.Ending != Carried {
-		settled.Misses = s.settled[settle.Upstream].Misses + 1
+	settled := Settled{Order: order, Resolution: settle.Resolution}
+	if settle.Resolution != Executed {
+		settled.Failures = s.settled[settle.Upstream].Failures + 1
 	}
 	s.settled[settle.Upstream] = settled
 	return Answer{Outcome: Done, Order: &order}
 }
 
-// Removed forgets an engine that is gone from the fleet. It frees the load
-// that the engine will never finish.
-func (s *State) Removed(upstream protocol.UpstreamID) {
+// Remove removes the orders of an engine that has left the fleet. Its open load no
+// longer counts towards MaxOpenLoads, because the engine will never finish it.
+func (s *State) Remove(upstream protocol.UpstreamID) {
 	delete(s.open, upstream)
 	delete(s.settled, upstream)
 }
 
-// Snapshot is the whole state, for storing.
+// Snapshot is a State as a value, for storage.
 type Snapshot struct {
-	Office  Office            `msgpack:"o"`
-	Holder  protocol.RouterID `msgpack:"h"`
+	Term    Term              `msgpack:"o"`
+	Issuer  protocol.RouterID `msgpack:"h"`
 	Open    []Order           `msgpack:"p,omitempty"`
 	Settled []Settled         `msgpack:"s,omitempty"`
 }
 
-// Snapshot returns the whole state in a fixed order.
+// Snapshot returns a snapshot of the state, with the orders sorted by fencing
+// number.
 func (s *State) Snapshot() Snapshot {
 	settled := slices.SortedFunc(maps.Values(s.settled), func(a, b Settled) int { return cmp.Compare(a.Order.Fence, b.Order.Fence) })
-	return Snapshot{Office: s.office, Holder: s.holder, Open: s.Open(), Settled: settled}
+	return Snapshot{Term: s.term, Issuer: s.issuer, Open: s.Open(), Settled: settled}
 }
 
-// FromSnapshot returns the state that a snapshot was taken of.
+// FromSnapshot restores a state from its snapshot.
 func FromSnapshot(snapshot Snapshot) *State {
 	s := NewState()
-	s.office = snapshot.Office
-	s.holder = snapshot.Holder
+	s.term = snapshot.Term
+	s.issuer = snapshot.Issuer
 	for _, order := range snapshot.Open {
 		s.open[order.Upstream] = order
 	}
--- a/coordination/fleetstate/machine.go
+++ b/coordination/fleetstate/machine.go
@@ -137,7 +137,7 @@
 		answer, changed := m.registry.Remove(*command.Remove)
 		m.recordDescriptor(index, command.Remove.ID, changed, true)
 		if changed {
-			m.engines.Removed(command.Remove.ID)
+			m.engines.Remove(command.Remove.ID)
 		}
 		return Result{Registry: &answer}
 	case command.Engine != nil:
--- a/coordination/fleetstate/machine_test.go
+++ b/coordination/fleetstate/machine_test.go
@@ -68,19 +68,19 @@
 
 // drawEngineCommand draws a command about orders to engines.
 func drawEngineCommand(t *rapid.T, m *Machine, upstream protocol.UpstreamID) *engineorders.Command {
-	office, _ := m.engines.Office()
+	office, _ := m.engines.Term()
 	open, _ := m.engines.OpenOf(upstream)
-	settle := &engineorders.Settle{Office: office, Upstream: upstream, Fence: open.Fence, Ending: engineorders.Overdue}
+	settle := &engineorders.Settle{Term: office, Upstream: upstream, Fence: open.Fence, Resolution: engineorders.TimedOut}
 	switch rapid.IntRange(0, 4).Draw(t, "engine") {
 	case 0:
-		return &engineorders.Command{Take: &engineorders.Take{Router: "r"}}
+		return &engineorders.Command{StartTerm: &engineorders.StartTerm{Router: "r"}}
 	case 1:
 		return &engineorders.Command{Confirm: settle}
 	case 2:
 		return &engineorders.Command{Abandon: settle}
 	}
 	intent := engineorders.Intent{Action: "load", Model: "m", Version: "v"}
-	return &engineorders.Command{Issue: &engineorders.Issue{Office: office, Upstream: upstream, Intent: intent}}
+	return &engineorders.Command{Issue: &engineorders.Issue{Term: office, Upstream: upstream, Intent: intent}}
 }
 
 // assertSame checks that a view holds exactly what the machine holds.
--- a/coordination/node/engineorder.go
+++ b/coordination/node/engineorder.go
@@ -20,20 +20,20 @@
 // moment, the Gate refuses what is older, and one call to an engine is under
 // way at a time, because an engine that ignores fencing numbers keeps what
 // comes last.
-func (n *Node) engineAsked(now time.Duration, in PeerEngineAsk) {
-	verdict := n.orderGate.Admit(in.Ask, n.tenureOf(now, in.Ask.Upstream))
-	if verdict == engineorders.Passed && n.engineCalls[in.Ask.Upstream] {
+func (n *Node) engineAsked(now time.Duration, in PeerEngineRequest) {
+	verdict := n.orderGate.Admit(in.Request, n.tenureOf(now, in.Request.Upstream))
+	if verdict == engineorders.Admitted && n.engineCalls[in.Request.Upstream] {
 		verdict = engineorders.CallBusy
 	}
-	if verdict != engineorders.Passed {
-		n.replyIssuer(in.From, in.Ask, engineorders.Reply{Verdict: verdict})
+	if verdict != engineorders.Admitted {
+		n.replyIssuer(in.From, in.Request, engineorders.Reply{Admission: verdict})
 		return
 	}
-	n.engineCalls[in.Ask.Upstream] = true
+	n.engineCalls[in.Request.Upstream] = true
 	n.emit(OrderEngine{
 		From:     in.From,
-		Ask:      in.Ask,
-		Address:  n.owned[in.Ask.Upstream].config.Address,
+		Request:  in.Request,
+		Address:  n.owned[in.Request.Upstream].config.Address,
 		NotAfter: min(n.leaseUntil, now+engineCallTime),
 	})
 }
@@ -50,22 +50,22 @@
 
 // engineAnswered takes the end of a call to an engine.
 func (n *Node) engineAnswered(in EngineAnswered) {
-	delete(n.engineCalls, in.Ask.Upstream)
+	delete(n.engineCalls, in.Request.Upstream)
 	reply := engineorders.Reply{
-		Verdict: engineorders.Passed,
-		Status:  in.Status,
-		State:   in.State,
-		Tenure:  in.Ask.Tenure,
+		Admission:      engineorders.Admitted,
+		Status:         in.Status,
+		State:          in.State,
+		OwnershipFence: in.Request.OwnershipFence,
 	}
-	if known := n.heats[in.Ask.Upstream]; known != nil {
-		reply.Done = maps.Clone(known.done)
+	if known := n.heats[in.Request.Upstream]; known != nil {
+		reply.Completed = maps.Clone(known.done)
 	}
-	n.replyIssuer(in.From, in.Ask, reply)
+	n.replyIssuer(in.From, in.Request, reply)
 }
 
-func (n *Node) replyIssuer(to protocol.RouterID, ask engineorders.Ask, reply engineorders.Reply) {
+func (n *Node) replyIssuer(to protocol.RouterID, ask engineorders.Request, reply engineorders.Reply) {
 	reply.Upstream = ask.Upstream
-	reply.Office = ask.Office
+	reply.Term = ask.Term
 	reply.Fence = ask.Fence
 	reply.ReadOnly = ask.ReadOnly
 	n.emit(ReplyIssuer{To: to, Reply: reply})
--- a/coordination/node/engineorder_test.go
+++ b/coordination/node/engineorder_test.go
@@ -12,9 +12,9 @@
 	"endiveplank/protocol/upstreamapi"
 )
 
-func loadAsk(f *nodetest.Fleet, office engineorders.Office, version string) engineorders.Ask {
-	return engineorders.Ask{
-		Upstream: "e1", Tenure: f.Tenure("e1"), Office: office, Fence: protocol.Fence(office) + 1,
+func loadAsk(f *nodetest.Fleet, office engineorders.Term, version string) engineorders.Request {
+	return engineorders.Request{
+		Upstream: "e1", OwnershipFence: f.Tenure("e1"), Term: office, Fence: protocol.Fence(office) + 1,
 		Intent: engineorders.Intent{Action: upstreamapi.ActionLoad, Model: "m", Version: version},
 	}
 }
@@ -55,7 +55,7 @@
 		assert.Equal(t, version(f), "v1")
 		f.Ask("r2", loadAsk(f, 10, "v2"))
 		f.Run(time.Second)
-		assert.Equal(t, lastReply(t, f).Verdict, engineorders.NotOwner)
+		assert.Equal(t, lastReply(t, f).Admission, engineorders.NotOwner)
 		assert.Equal(t, version(f), "v1")
 	})
 }
@@ -72,7 +72,7 @@
 		ask.Fence, ask.ReadOnly = 0, true
 		f.Ask("r1", ask)
 		f.Run(time.Second)
-		return lastReply(t, f).Done["m"]
+		return lastReply(t, f).Completed["m"]
 	}
 	f.Submit("r2", "q1", "key", "fuel?", 100)
 	f.Submit("r2", "q2", "key", "tyres?", 100)
@@ -96,7 +96,7 @@
 		f.Run(time.Second)
 		f.Ask("r1", late)
 		f.Run(time.Second)
-		assert.Equal(t, lastReply(t, f).Verdict, engineorders.FormerIssuer)
+		assert.Equal(t, lastReply(t, f).Admission, engineorders.FormerIssuer)
 		assert.Equal(t, version(f), "v2")
 	})
 }
@@ -117,7 +117,7 @@
 		f.Thaw("r1")
 		f.Run(5 * time.Second)
 		assert.Equal(t, version(f), "v2")
-		assert.Equal(t, lastReply(t, f).Verdict, engineorders.NotOwner)
+		assert.Equal(t, lastReply(t, f).Admission, engineorders.NotOwner)
 	})
 }
 
@@ -135,10 +135,10 @@
 	f.Run(time.Second)
 	ask := loadAsk(f, 10, "v1")
 	ask.Upstream = engine
-	ask.Tenure = f.Tenure(engine)
+	ask.OwnershipFence = f.Tenure(engine)
 	f.Ask(former, ask)
 	f.Run(time.Second)
-	assert.Equal(t, lastReply(t, f).Verdict, engineorders.NotOwner)
+	assert.Equal(t, lastReply(t, f).Admission, engineorders.NotOwner)
 }
 
 // The network or the process holds an order up between the owner's decision
@@ -161,11 +161,11 @@
 		f.Ask("r1", loadAsk(f, 10, "v1"))
 		f.Ask("r1", loadAsk(f, 10, "v1"))
 		f.Run(500 * time.Millisecond)
-		assert.Equal(t, lastReply(t, f).Verdict, engineorders.CallBusy)
+		assert.Equal(t, lastReply(t, f).Admission, engineorders.CallBusy)
 		f.Run(time.Second)
-		assert.Equal(t, lastReply(t, f).Verdict, engineorders.Passed)
+		assert.Equal(t, lastReply(t, f).Admission, engineorders.Admitted)
 		f.Ask("r1", loadAsk(f, 10, "v1"))
 		f.Run(2 * time.Second)
-		assert.Equal(t, lastReply(t, f).Verdict, engineorders.Passed)
+		assert.Equal(t, lastReply(t, f).Admission, engineorders.Admitted)
 	})
 }
--- a/coordination/node/inputs.go
+++ b/coordination/node/inputs.go
@@ -177,20 +177,20 @@
 	Result orders.Result
 }
 
-// PeerEngineAsk asks this router, as the owner of an engine, to pass an order
+// PeerEngineRequest asks this router, as the owner of an engine, to pass an order
 // to it or to read its state.
-type PeerEngineAsk struct {
-	From protocol.RouterID
-	Ask  engineorders.Ask
+type PeerEngineRequest struct {
+	From    protocol.RouterID
+	Request engineorders.Request
 }
 
 // EngineAnswered is the end of an OrderEngine. Status is that of the order, 0
 // when none was sent or no answer came; State is nil when it wasn't read.
 type EngineAnswered struct {
-	From   protocol.RouterID
-	Ask    engineorders.Ask
-	Status int
-	State  *upstreamapi.EngineState
+	From    protocol.RouterID
+	Request engineorders.Request
+	Status  int
+	State   *upstreamapi.EngineState
 }
 
 // Tick passes time. The driver sends one each TickInterval.
@@ -203,33 +203,33 @@
 // also refuses new requests and takes no more work for its upstreams.
 type Drain struct{ Refuse bool }
 
-func (CallerRequest) input()   {}
-func (CallerGone) input()      {}
-func (PeerPlace) input()       {}
-func (PeerPlaceReply) input()  {}
-func (PeerChunk) input()       {}
-func (PeerEnd) input()         {}
-func (PeerCancel) input()      {}
-func (PeerMoved) input()       {}
-func (PeerTotals) input()      {}
-func (PeerNotice) input()      {}
-func (PeerOrderReport) input() {}
-func (PeerLost) input()        {}
-func (UpstreamChunk) input()   {}
-func (UpstreamEnd) input()     {}
-func (UpstreamProbed) input()  {}
-func (Announced) input()       {}
-func (Leaving) input()         {}
-func (ViewChanged) input()     {}
-func (LeaseChanged) input()    {}
-func (JournalResult) input()   {}
-func (PeerEngineAsk) input()   {}
-func (EngineAnswered) input()  {}
-func (Tick) input()            {}
-func (Drain) input()           {}
-func (PeerLimitAsk) input()    {}
-func (PeerLimitAnswer) input() {}
-func (PeerCheck) input()       {}
-func (PeerAlive) input()       {}
+func (CallerRequest) input()     {}
+func (CallerGone) input()        {}
+func (PeerPlace) input()         {}
+func (PeerPlaceReply) input()    {}
+func (PeerChunk) input()         {}
+func (PeerEnd) input()           {}
+func (PeerCancel) input()        {}
+func (PeerMoved) input()         {}
+func (PeerTotals) input()        {}
+func (PeerNotice) input()        {}
+func (PeerOrderReport) input()   {}
+func (PeerLost) input()          {}
+func (UpstreamChunk) input()     {}
+func (UpstreamEnd) input()       {}
+func (UpstreamProbed) input()    {}
+func (Announced) input()         {}
+func (Leaving) input()           {}
+func (ViewChanged) input()       {}
+func (LeaseChanged) input()      {}
+func (JournalResult) input()     {}
+func (PeerEngineRequest) input() {}
+func (EngineAnswered) input()    {}
+func (Tick) input()              {}
+func (Drain) input()             {}
+func (PeerLimitAsk) input()      {}
+func (PeerLimitAnswer) input()   {}
+func (PeerCheck) input()         {}
+func (PeerAlive) input()         {}
 
 func (LiftQuarantine) input() {}
--- a/coordination/node/node.go
+++ b/coordination/node/node.go
@@ -224,7 +224,7 @@
 		n.journalResult(now, in)
 	case PeerOrderReport:
 		n.orderReport(now, in)
-	case PeerEngineAsk:
+	case PeerEngineRequest:
 		n.engineAsked(now, in)
 	case CacheMoved:
 		n.cacheMoved(in)
--- a/coordination/node/nodetest/engineorder.go
+++ b/coordination/node/nodetest/engineorder.go
@@ -13,21 +13,21 @@
 }
 
 // Ask sends an ask about an engine to a router.
-func (f *Fleet) Ask(to protocol.RouterID, ask engineorders.Ask) {
+func (f *Fleet) Ask(to protocol.RouterID, ask engineorders.Request) {
 	r := f.Routers[to]
 	f.after(latency, func() {
-		f.toRouter(r, func() { f.step(r, node.PeerEngineAsk{From: "issuer", Ask: ask}) })
+		f.toRouter(r, func() { f.step(r, node.PeerEngineRequest{From: "issuer", Request: ask}) })
 	})
 }
 
 // orderEngine carries an order to an engine and its state back. Like the
 // real client it sends nothing from NotAfter on.
 func (f *Fleet) orderEngine(r *Router, out node.OrderEngine) {
-	engine := f.Engines[out.Ask.Upstream]
+	engine := f.Engines[out.Request.Upstream]
 	f.after(latency+engine.OrderTime, func() {
-		answered := node.EngineAnswered{From: out.From, Ask: out.Ask}
+		answered := node.EngineAnswered{From: out.From, Request: out.Request}
 		if f.Now < out.NotAfter {
-			answered.Status = engine.order(out.Ask)
+			answered.Status = engine.order(out.Request)
 			state := engine.Held
 			answered.State = &state
 		}
@@ -36,7 +36,7 @@
 }
 
 // order carries an order out at once and returns its HTTP status.
-func (e *Engine) order(ask engineorders.Ask) int {
+func (e *Engine) order(ask engineorders.Request) int {
 	if ask.ReadOnly {
 		return 0
 	}
--- a/coordination/node/outputs.go
+++ b/coordination/node/outputs.go
@@ -109,7 +109,7 @@
 // NotAfter or later nothing may be sent: the ownership may have ended.
 type OrderEngine struct {
 	From     protocol.RouterID
-	Ask      engineorders.Ask
+	Request  engineorders.Request
 	Address  string
 	NotAfter time.Duration
 }
--- a/daemon/engineorders.go
+++ b/daemon/engineorders.go
@@ -29,8 +29,8 @@
 // orderOffice is the issuer of orders to engines on the consensus leader.
 type orderOffice struct {
 	issuer *engineorders.Issuer
-	survey *engineorders.Survey
-	office engineorders.Office
+	poller *engineorders.StatePoller
+	term   engineorders.Term
 	tookAt time.Duration
 	// scalers follow the demand that meter counts, from the replicas that
 	// each model had when it was first planned.
@@ -50,7 +50,7 @@
 	}
 	if h.orders == nil {
 		h.orders = &orderOffice{scalers: map[protocol.Model]*engineorders.Scaler{}, meter: engineorders.NewMeter(), committing: true}
-		h.commitOrders(h.orders, []engineorders.Command{{Take: &engineorders.Take{Router: h.self}}})
+		h.commitOrders(h.orders, []engineorders.Command{{StartTerm: &engineorders.StartTerm{Router: h.self}}})
 	}
 	o := h.orders
 	if o.issuer == nil || now-o.stepped < ordersEvery {
@@ -58,9 +58,9 @@
 	}
 	o.stepped = now
 	sends, commands := o.issuer.Step(now, h.machine.Engines(), h.engineOwner)
-	sends = append(sends, o.survey.Step(now, h.restingEngines(), h.engineOwner)...)
+	sends = append(sends, o.poller.Step(now, h.restingEngines(), h.engineOwner)...)
 	for _, send := range sends {
-		h.sendAsk(send.To, send.Ask)
+		h.sendAsk(send.To, send.Request)
 	}
 	if o.committing {
 		return
@@ -105,17 +105,17 @@
 	defer h.mu.Unlock()
 	now := h.now()
 	switch {
-	case command.Take != nil:
-		o.office = result.Engine.Office
+	case command.StartTerm != nil:
+		o.term = result.Engine.Term
 		o.tookAt = now
-		o.issuer = engineorders.NewIssuer(engineorders.DefaultTiming(), o.office, now)
-		o.survey = engineorders.NewSurvey(o.office)
+		o.issuer = engineorders.NewIssuer(engineorders.DefaultTiming(), o.term, now)
+		o.poller = engineorders.NewStatePoller(o.term)
 	case command.Confirm != nil:
-		o.survey.Settled(command.Confirm.Upstream)
+		o.poller.Invalidate(command.Confirm.Upstream)
 	case command.Abandon != nil:
-		o.survey.Settled(command.Abandon.Upstream)
+		o.poller.Invalidate(command.Abandon.Upstream)
 		h.zlog.Warn().Str("upstream", string(command.Abandon.Upstream)).
-			Str("reason", string(command.Abandon.Ending)).Msg("state: order to engine given up")
+			Str("reason", string(command.Abandon.Resolution)).Msg("state: order to engine given up")
 	}
 }
 
@@ -130,14 +130,14 @@
 		models = append(models, h.wanted(now, o, engines, table.ModelOf(row)))
 	}
 	limits := engineorders.Limits{
-		Loads:     engineorders.MaxLoads - h.machine.Engines().Loads(),
+		Loads:     engineorders.MaxOpenLoads - h.machine.Engines().OpenLoads(),
 		RollShare: engineorders.RollShare,
 	}
 	var commands []engineorders.Command
 	for _, planned := range engineorders.MakePlan(engines, models, limits) {
 		h.zlog.Info().Str("upstream", string(planned.Upstream)).Str("reason", planned.Why).Msg("state: order to engine")
 		commands = append(commands, engineorders.Command{Issue: &engineorders.Issue{
-			Office: o.office, Upstream: planned.Upstream, Intent: planned.Intent,
+			Term: o.term, Upstream: planned.Upstream, Intent: planned.Intent,
 		}})
 	}
 	return commands
@@ -152,12 +152,12 @@
 		scaler = engineorders.NewScaler(engineorders.DefaultScalerConfig(), now, len(serving))
 		o.scalers[row.Name] = scaler
 	}
-	floor := engineorders.Floor{Min: row.MinReplicas, Max: row.MaxReplicas}
+	limits := engineorders.ReplicaLimits{Min: row.MinReplicas, Max: row.MaxReplicas}
 	demand, known := o.meter.Demand(now, row.Name, serving)
 	if !known {
-		return engineorders.Model{Name: row.Name, Version: row.Version, Replicas: scaler.Held(floor)}
+		return engineorders.Model{Name: row.Name, Version: row.Version, Replicas: scaler.ReplicasWithoutDemand(limits)}
 	}
-	return engineorders.Model{Name: row.Name, Version: row.Version, Replicas: scaler.Wanted(now, demand, floor)}
+	return engineorders.Model{Name: row.Name, Version: row.Version, Replicas: scaler.Replicas(now, demand, limits)}
 }
 
 // servingCapacities gives the capacity of each engine that serves a model.
@@ -192,15 +192,15 @@
 func (h *stateHost) plannedEngine(now time.Duration, o *orderOffice, descriptor registry.Descriptor) (engineorders.Engine, bool) {
 	state := h.machine.Engines()
 	order, open := state.OpenOf(descriptor.ID)
-	engine := engineorders.Engine{ID: descriptor.ID, Room: engineRoom, Open: order.Intent}
-	held, read := o.survey.Read(descriptor.ID)
+	engine := engineorders.Engine{ID: descriptor.ID, MaxModels: engineRoom, Open: order.Intent}
+	held, read := o.poller.LastState(descriptor.ID)
 	engine.Models = held.Models
 	if !read {
 		for _, model := range descriptor.Models {
 			engine.Models = append(engine.Models, upstreamapi.LoadedModel{Model: model, Ready: true})
 		}
 	}
-	engine.Busy = open || !read || h.drained(descriptor.ID) || !o.issuer.Rested(now, state, descriptor.ID)
+	engine.Busy = open || !read || h.drained(descriptor.ID) || !o.issuer.BackoffExpired(now, state, descriptor.ID)
 	return engine, read
 }
 
@@ -233,7 +233,7 @@
 	if !open {
 		return engineorders.Owner{}, false
 	}
-	return engineorders.Owner{Router: session.Router, Tenure: assignment.Fence, ChecksFence: descriptor.ChecksFence}, true
+	return engineorders.Owner{Router: session.Router, OwnershipFence: assignment.Fence, ChecksFence: descriptor.ChecksFence}, true
 }
 
 // engineReply takes an owner's answer to an ask.
@@ -243,21 +243,21 @@
 	if h.orders == nil || h.orders.issuer == nil {
 		return
 	}
-	h.orders.survey.Reply(reply)
-	h.orders.meter.Reply(h.now(), reply)
+	h.orders.poller.HandleReply(reply)
+	h.orders.meter.HandleReply(h.now(), reply)
 	if order, open := h.machine.Engines().OpenOf(reply.Upstream); open {
-		h.orders.issuer.Reply(h.now(), order, reply)
+		h.orders.issuer.HandleReply(h.now(), order, reply)
 	}
 }
 
 // sendEngineAsk sends an ask to an owner, which may be this router. It is
 // called under the state host's lock, which the answer needs too.
-func (d *Daemon) sendEngineAsk(to protocol.RouterID, ask engineorders.Ask) {
+func (d *Daemon) sendEngineAsk(to protocol.RouterID, ask engineorders.Request) {
 	if to == d.settings.RouterID {
-		go d.runner.Input(node.PeerEngineAsk{From: to, Ask: ask})
+		go d.runner.Input(node.PeerEngineRequest{From: to, Request: ask})
 		return
 	}
-	d.mesh.Send(to, wire.KindEngineAsk, wire.Encode(ask), false)
+	d.mesh.Send(to, wire.KindEngineRequest, wire.Encode(ask), false)
 }
 
 // sendEngineReply sends an owner's answer to the issuer, which may be here. It
@@ -275,12 +275,12 @@
 // handleEngineOrder takes an ask as an owner, or an owner's answer as the
 // issuer.
 func (d *Daemon) handleEngineOrder(from protocol.RouterID, frame wire.Frame) error {
-	if frame.Kind == wire.KindEngineAsk {
-		var ask engineorders.Ask
+	if frame.Kind == wire.KindEngineRequest {
+		var ask engineorders.Request
 		if err := wire.Decode(frame.Payload, &ask); err != nil {
 			return err
 		}
-		d.runner.Input(node.PeerEngineAsk{From: from, Ask: ask})
+		d.runner.Input(node.PeerEngineRequest{From: from, Request: ask})
 		return nil
 	}
 	var reply engineorders.Reply
--- a/daemon/frames.go
+++ b/daemon/frames.go
@@ -49,7 +49,7 @@
 	case wire.KindGossip:
 		d.gossip.receive(from, frame.Payload)
 		return nil
-	case wire.KindEngineAsk, wire.KindEngineReply:
+	case wire.KindEngineRequest, wire.KindEngineReply:
 		return d.handleEngineOrder(from, frame)
 	case wire.KindQuery, wire.KindQueryReply:
 		return d.handleQuery(from, frame)
--- a/daemon/statehost.go
+++ b/daemon/statehost.go
@@ -65,7 +65,7 @@
 	// carries its asks to owners without blocking.
 	orders  *orderOffice
 	self    protocol.RouterID
-	sendAsk func(to protocol.RouterID, ask engineorders.Ask)
+	sendAsk func(to protocol.RouterID, ask engineorders.Request)
 }
 
 func newStateHost(now func() time.Duration, zlog zerolog.Logger, push func(protocol.RouterID, lease.Push)) *stateHost {
--- a/protocol/wire/wire.go
+++ b/protocol/wire/wire.go
@@ -92,10 +92,10 @@
 	// KindProbe carries nothing; its acknowledgement shows that a connection
 	// works.
 	KindProbe Kind = 27
-	// KindEngineAsk and KindEngineReply carry orders to engines, from the
+	// KindEngineRequest and KindEngineReply carry orders to engines, from the
 	// issuer to an engine's owner and back.
-	KindEngineAsk   Kind = 40
-	KindEngineReply Kind = 41
+	KindEngineRequest Kind = 40
+	KindEngineReply   Kind = 41
 	// KindWatch to KindReadReply are the messages of coordination/control, between
 	// disk VMs and the routers that send to upstreams themselves.
 	KindWatch      Kind = 50
@@ -133,8 +133,8 @@
 	KindQuarantine: "quarantine", KindOrderReport: "order-report", KindMoved: "moved",
 	KindLimitAsk: "limit-ask", KindLimitAnswer: "limit-answer",
 	KindCheck: "check", KindAlive: "alive",
-	KindProbe:     "probe",
-	KindEngineAsk: "engine-ask", KindEngineReply: "engine-reply",
+	KindProbe:         "probe",
+	KindEngineRequest: "engine-ask", KindEngineReply: "engine-reply",
 	KindWatch: "watch", KindStatus: "news", KindChanges: "roster", KindChangesAck: "roster-ack", KindList: "list", KindDocument: "document",
 	KindHeartbeats: "heard", KindAnnouncements: "announced", KindAnnouncementsAck: "announced-ack", KindPut: "put", KindPutReply: "put-reply", KindRead: "read", KindReadReply: "read-reply",
 	KindLoads: "loads", KindHome: "home", KindHomeReply: "home-reply", KindBlame: "blame", KindKeepers: "keepers",
--- a/transport/upstream/engineorder.go
+++ b/transport/upstream/engineorder.go
@@ -29,8 +29,8 @@
 	go func() {
 		defer c.running.Done()
 		defer cancel()
-		answered := node.EngineAnswered{From: order.From, Ask: order.Ask}
-		if !order.Ask.ReadOnly {
+		answered := node.EngineAnswered{From: order.From, Request: order.Request}
+		if !order.Request.ReadOnly {
 			answered.Status = c.postOrder(ctx, order)
 		}
 		answered.State = c.readState(ctx, order.Address)
@@ -41,11 +41,11 @@
 // postOrder sends an order and returns the status of the answer, 0 if none came.
 func (c *Client) postOrder(ctx context.Context, order node.OrderEngine) int {
 	body, err := json.Marshal(upstreamapi.EngineOrder{
-		Fence:   order.Ask.Fence,
-		Action:  order.Ask.Intent.Action,
-		Model:   order.Ask.Intent.Model,
-		Version: order.Ask.Intent.Version,
-		Role:    order.Ask.Intent.Role,
+		Fence:   order.Request.Fence,
+		Action:  order.Request.Intent.Action,
+		Model:   order.Request.Intent.Model,
+		Version: order.Request.Intent.Version,
+		Role:    order.Request.Intent.Role,
 	})
 	if err != nil {
 		return 0
--- a/transport/upstream/engines_test.go
+++ b/transport/upstream/engines_test.go
@@ -74,7 +74,7 @@
 	address := startEngine(t, "e1")
 	sink := make(channelSink, 1)
 	client := New(sink, nil)
-	order := node.OrderEngine{Address: address, Ask: engineorders.Ask{
+	order := node.OrderEngine{Address: address, Request: engineorders.Request{
 		Upstream: "e1", Fence: 7, Intent: engineorders.Intent{Action: upstreamapi.ActionRole, Role: "prefill"},
 	}}
 	client.Order(order, -time.Second)
