--- a/coordination/engineorders/meter_test.go
+++ b/coordination/engineorders/meter_test.go
@@ -9,8 +9,8 @@
 	"endiveplank/protocol"
 )
 
-func completed(engine protocol.UpstreamID, tenure protocol.Fence, done float64) Reply {
-	return Reply{Upstream: engine, Admission: Admitted, ReadOnly: true, OwnershipFence: tenure, Completed: map[protocol.Model]float64{"m": done}}
+func completed(engine protocol.UpstreamID, ownership protocol.Fence, done float64) Reply {
+	return Reply{Upstream: engine, Admission: Admitted, ReadOnly: true, OwnershipFence: ownership, Completed: map[protocol.Model]float64{"m": done}}
 }
 
 // Two engines run at 500 and 300 tokens a second. One report is lost, one engine
--- a/coordination/fleetstate/machine.go
+++ b/coordination/fleetstate/machine.go
@@ -182,10 +182,10 @@
 	m.changeLog.Record([]revlog.Entry[Item]{{Revision: index, Item: descriptorItem(id), Gone: gone}})
 }
 
-func (m *Machine) recordRows(index uint64, touched []table.Touched) {
+func (m *Machine) recordRows(index uint64, touched []table.ChangedRow) {
 	changes := make([]revlog.Entry[Item], 0, len(touched))
 	for _, row := range touched {
-		changes = append(changes, revlog.Entry[Item]{Revision: index, Item: rowItem(row.Ref), Gone: row.Gone})
+		changes = append(changes, revlog.Entry[Item]{Revision: index, Item: rowItem(row.Ref), Gone: row.Deleted})
 	}
 	m.changeLog.Record(changes)
 }
@@ -202,7 +202,7 @@
 	m.changeLog.Record(changes)
 }
 
-func rowItem(ref table.Ref) Item {
+func rowItem(ref table.RowRef) Item {
 	return Item{Kind: KindRow, Sheet: ref.Sheet, Key: ref.Key}
 }
 
--- a/coordination/fleetstate/view.go
+++ b/coordination/fleetstate/view.go
@@ -22,7 +22,7 @@
 }
 
 type viewContent struct {
-	rows               map[table.Ref]table.Row
+	rows               map[table.RowRef]table.Row
 	customersByKeyHash map[string]protocol.CustomerID
 	sessions           map[ownership.SessionID]ownership.Session
 	assignments        map[protocol.UpstreamID]ownership.Assignment
@@ -31,7 +31,7 @@
 
 func newViewContent() viewContent {
 	return viewContent{
-		rows:               map[table.Ref]table.Row{},
+		rows:               map[table.RowRef]table.Row{},
 		customersByKeyHash: map[string]protocol.CustomerID{},
 		sessions:           map[ownership.SessionID]ownership.Session{},
 		assignments:        map[protocol.UpstreamID]ownership.Assignment{},
@@ -132,7 +132,7 @@
 }
 
 func (c *viewContent) putRow(row table.Row) {
-	ref := table.Ref{Sheet: row.Sheet, Key: row.Key}
+	ref := table.RowRef{Sheet: row.Sheet, Key: row.Key}
 	c.dropKeyHashes(ref)
 	c.rows[ref] = row
 	if row.Sheet != table.Customers {
@@ -143,7 +143,7 @@
 	}
 }
 
-func (c *viewContent) dropKeyHashes(ref table.Ref) {
+func (c *viewContent) dropKeyHashes(ref table.RowRef) {
 	old, ok := c.rows[ref]
 	if !ok || ref.Sheet != table.Customers {
 		return
@@ -158,7 +158,7 @@
 func (c *viewContent) remove(item Item) {
 	switch item.Kind {
 	case KindRow:
-		ref := table.Ref{Sheet: item.Sheet, Key: item.Key}
+		ref := table.RowRef{Sheet: item.Sheet, Key: item.Key}
 		c.dropKeyHashes(ref)
 		delete(c.rows, ref)
 	case KindSession:
@@ -172,7 +172,7 @@
 
 // Row returns a row.
 func (v *View) Row(sheet table.Sheet, key string) (table.Row, bool) {
-	row, ok := v.current.rows[table.Ref{Sheet: sheet, Key: key}]
+	row, ok := v.current.rows[table.RowRef{Sheet: sheet, Key: key}]
 	return row, ok
 }
 
--- a/coordination/table/csv.go
+++ b/coordination/table/csv.go
@@ -9,19 +9,20 @@
 	"github.com/rotisserie/eris"
 )
 
-// Columns that every CSV file has beside those of its sheet.
+// Columns that every CSV file has besides those of its sheet.
 const (
 	csvKey      = "key"
 	csvRevision = "revision"
 )
 
-// maxCSV bounds an imported file in bytes.
+// maxCSV bounds an imported file, in bytes.
 const maxCSV = MaxChangeBytes
 
-// MaxChangeBytes bounds one change: 2,400 customer rows with room to spare.
+// MaxChangeBytes bounds one change, in bytes. It is more than 2,400 customer rows
+// need.
 const MaxChangeBytes = 3 << 20
 
-// ErrNoSheet means that there is no sheet of that name.
+// ErrNoSheet means that there is no sheet with the given name.
 var ErrNoSheet = eris.New("table: there is no such sheet")
 
 // ExportCSV returns rows of one sheet as a CSV file, in the given order.
@@ -48,13 +49,14 @@
 	return out.Bytes(), eris.Wrap(writer.Error(), "table: write CSV")
 }
 
-// ImportCSV turns a CSV file into edits. Columns may stand in any order, and
-// those left out keep their cells. The revision column carries what the
-// operator saw; empty or 0 is for a new row. Rows that the file does not name
-// stay as they are. All problems of the file's form come at once; cells are
-// checked when the change is applied or by Table.Check.
+// ImportCSV converts a CSV file into edits. Columns may be in any order, and cells
+// of columns that are left out stay as they are. The revision column has the
+// revision that the operator saw; it is empty or 0 for a new row. Rows that the file
+// does not name stay as they are. All problems with the form of the file are
+// returned at once; the cells are checked by Table.Check or when the change is
+// applied.
 func ImportCSV(sheet Sheet, file []byte) ([]Edit, []Problem) {
-	reading := importing{sheet: sheet}
+	reading := csvImport{sheet: sheet}
 	if columns[sheet] == nil {
 		reading.problem("", "", string(sheet), "there is no such sheet")
 		return nil, reading.problems
@@ -84,21 +86,21 @@
 	return reading.edits, nil
 }
 
-// importing is a CSV file while it is read.
-type importing struct {
+// csvImport is the state of one ImportCSV call.
+type csvImport struct {
 	sheet    Sheet
 	names    []string
 	edits    []Edit
 	problems []Problem
 }
 
-func (r *importing) problem(key, column, value, text string) {
+func (r *csvImport) problem(key, column, value, text string) {
 	r.problems = append(r.problems, Problem{
-		Sheet: r.sheet, Key: cut(key), Column: cut(column), Value: cut(value), Text: text,
+		Sheet: r.sheet, Key: truncate(key), Column: truncate(column), Value: truncate(value), Text: text,
 	})
 }
 
-func (r *importing) header(names []string) {
+func (r *csvImport) header(names []string) {
 	seen := map[string]bool{}
 	for _, name := range names {
 		name = strings.TrimSpace(strings.TrimPrefix(name, "\ufeff"))
@@ -117,7 +119,7 @@
 	}
 }
 
-func (r *importing) row(line int, record []string) {
+func (r *csvImport) row(line int, record []string) {
 	if len(record) != len(r.names) {
 		r.problem("line "+strconv.Itoa(line), "", "", "has "+strconv.Itoa(len(record))+" cells, the header has "+strconv.Itoa(len(r.names)))
 		return
@@ -136,7 +138,7 @@
 	r.edits = append(r.edits, edit)
 }
 
-func (r *importing) revision(line int, text string) uint64 {
+func (r *csvImport) revision(line int, text string) uint64 {
 	text = strings.TrimSpace(text)
 	if text == "" {
 		return 0
--- a/coordination/table/memory.go
+++ b/coordination/table/history.go
@@ -7,27 +7,27 @@
 	"endiveplank/protocol/codec"
 )
 
-// Digest tells a resend from a reused change ID.
+// Digest distinguishes a resend of a change from another change with the same ID.
 type Digest [16]byte
 
-// digest covers what the operator asked for. The leader's stamp is left out,
-// because a resend through another leader carries another stamp.
+// digest covers what the operator asked for. It leaves out At, because a resend
+// through another leader has another At.
 func (c Change) digest() Digest {
 	c.At = 0
 	sum := sha256.Sum256(codec.Marshal(&c))
 	return Digest(sum[:len(Digest{})])
 }
 
-// remembered is one answer kept for resends.
-type remembered struct {
+// storedAnswer is an answer that is kept for resends.
+type storedAnswer struct {
 	ID     string `msgpack:"i"`
 	Digest Digest `msgpack:"d"`
 	Answer Answer `msgpack:"a"`
 }
 
-// size estimates the bytes held; only the bound depends on it, and it is the
-// same on every replica.
-func (r remembered) size() int {
+// size estimates the answer's memory in bytes. Only the limit depends on it, and the
+// estimate is the same on every replica.
+func (r storedAnswer) size() int {
 	size := len(r.ID) + 64
 	for _, problem := range r.Answer.Problems {
 		size += 64 + len(problem.Key) + len(problem.Column) + len(problem.Value) + len(problem.Text)
@@ -49,36 +49,36 @@
 	return size
 }
 
-// memory holds the answers of the newest changes, oldest dropped first.
-type memory struct {
-	byID  map[string]remembered
+// answerStore holds the answers of the newest changes and drops the oldest first.
+type answerStore struct {
+	byID  map[string]storedAnswer
 	order []string
 	bytes int
 }
 
-func newMemory() memory { return memory{byID: map[string]remembered{}} }
+func newAnswerStore() answerStore { return answerStore{byID: map[string]storedAnswer{}} }
 
-func (m *memory) get(id string) (remembered, bool) {
+func (m *answerStore) get(id string) (storedAnswer, bool) {
 	found, ok := m.byID[id]
 	return found, ok
 }
 
-func (m *memory) put(id string, digest Digest, answer Answer) {
-	kept := remembered{ID: id, Digest: digest, Answer: answer}
+func (m *answerStore) put(id string, digest Digest, answer Answer) {
+	kept := storedAnswer{ID: id, Digest: digest, Answer: answer}
 	m.byID[id] = kept
 	m.order = append(m.order, id)
 	m.bytes += kept.size()
-	for len(m.order) > maxRemembered || m.bytes > maxRememberedBytes && len(m.order) > 1 {
+	for len(m.order) > maxAnswers || m.bytes > maxAnswerBytes && len(m.order) > 1 {
 		m.bytes -= m.byID[m.order[0]].size()
 		delete(m.byID, m.order[0])
 		m.order = m.order[1:]
 	}
 }
 
-// deletions remembers at which revision rows were deleted, so that a late
+// deletions remembers the revisions at which rows were deleted, so that a late
 // resend of the change that created a row cannot bring it back.
 type deletions struct {
-	at    map[Ref]uint64
+	at    map[RowRef]uint64
 	order []deletion
 }
 
@@ -89,24 +89,24 @@
 	Revision uint64 `msgpack:"r"`
 }
 
-func newDeletions() deletions { return deletions{at: map[Ref]uint64{}} }
+func newDeletions() deletions { return deletions{at: map[RowRef]uint64{}} }
 
-func (d *deletions) put(ref Ref, revision uint64) {
+func (d *deletions) put(ref RowRef, revision uint64) {
 	d.at[ref] = revision
 	d.order = append(d.order, deletion{ref.Sheet, ref.Key, revision})
-	if len(d.at) > maxDeleted {
+	if len(d.at) > maxDeletions {
 		d.dropOldest()
 	}
-	if len(d.order) > 2*maxDeleted {
-		d.order = d.live()
+	if len(d.order) > 2*maxDeletions {
+		d.order = d.remembered()
 	}
 }
 
-func (d *deletions) remove(ref Ref) { delete(d.at, ref) }
+func (d *deletions) remove(ref RowRef) { delete(d.at, ref) }
 
 func (d *deletions) dropOldest() {
 	for i, old := range d.order {
-		ref := Ref{old.Sheet, old.Key}
+		ref := RowRef{old.Sheet, old.Key}
 		if d.at[ref] == old.Revision {
 			delete(d.at, ref)
 			d.order = d.order[i+1:]
@@ -115,10 +115,10 @@
 	}
 }
 
-// live returns the remembered deletions, oldest first.
-func (d *deletions) live() []deletion {
+// remembered returns the deletions that are still remembered, oldest first.
+func (d *deletions) remembered() []deletion {
 	return slices.DeleteFunc(slices.Clone(d.order), func(old deletion) bool {
-		return d.at[Ref{old.Sheet, old.Key}] != old.Revision
+		return d.at[RowRef{old.Sheet, old.Key}] != old.Revision
 	})
 }
 
--- a/coordination/table/sheets.go
+++ b/coordination/table/sheets.go
@@ -18,11 +18,11 @@
 	Upstreams Sheet = "upstreams"
 )
 
-// Sheets lists every sheet.
+// Sheets lists all sheets.
 var Sheets = []Sheet{Customers, Models, Routes, Upstreams}
 
-// Limits of cells. They keep one row below about 1 KB, so that 2,400
-// customers stay within a few megabytes on each node.
+// Limits of cells. They keep one row below about 1 KB, so that 2,400 customers
+// take only a few megabytes in each process.
 const (
 	maxKeyLength  = 128
 	maxNameLength = 64
@@ -41,18 +41,19 @@
 // Column describes one column of a sheet.
 type Column struct {
 	Name string
-	// Default is the cell of a new row that does not give this column. With
-	// Required set there is none.
+	// Default is the cell's text in a new row that does not give this column. A
+	// required column has no default.
 	Default  string
 	Required bool
 	// Help says what the cell holds and in which unit.
 	Help string
-	// parse returns the canonical text of a cell, or the problem with it.
+	// parse returns the canonical text of a cell, or the problem with the text.
 	parse func(text string) (canonical, problem string)
 }
 
-// Columns of the sheets. The order is the order of Row.Cells and of CSV files;
-// new columns go to the end, so that snapshots with fewer cells stay readable.
+// columns has the columns of each sheet, in the order of Row.Cells and of CSV
+// files. New columns are added at the end, so that snapshots with fewer cells stay
+// readable.
 var columns = map[Sheet][]Column{
 	Customers: {
 		{Name: "key_hashes", Required: true, parse: parseHashes, Help: "SHA-256 of each bearer key in hexadecimal, separated by spaces"},
--- a/coordination/table/snapshot.go
+++ b/coordination/table/snapshot.go
@@ -2,18 +2,18 @@
 
 import "slices"
 
-// Snapshot is the whole table as a value with one fixed order. Empty lists are
-// left out, because a nil and an empty list would encode differently.
+// Snapshot is the whole table as a value, in a fixed order. Empty lists are left
+// out, because a nil and an empty list would be encoded differently.
 type Snapshot struct {
 	Rows    []Row          `msgpack:"r,omitempty"`
 	Deleted []deletion     `msgpack:"d,omitempty"`
-	Answers []remembered   `msgpack:"a,omitempty"`
+	Answers []storedAnswer `msgpack:"a,omitempty"`
 	History []HistoryEntry `msgpack:"h,omitempty"`
 }
 
-// Snapshot returns the state. Equal tables give equal snapshots.
+// Snapshot returns a snapshot of the table. Equal tables give equal snapshots.
 func (t *Table) Snapshot() Snapshot {
-	snapshot := Snapshot{Deleted: t.deleted.live(), History: t.history.entries}
+	snapshot := Snapshot{Deleted: t.deleted.remembered(), History: t.history.entries}
 	for _, sheet := range Sheets {
 		snapshot.Rows = append(snapshot.Rows, t.Rows(sheet)...)
 	}
@@ -23,18 +23,18 @@
 	return snapshot
 }
 
-// FromSnapshot returns the table that a snapshot was taken of.
+// FromSnapshot restores a table from its snapshot.
 func FromSnapshot(snapshot Snapshot) *Table {
 	t := New()
 	for _, row := range snapshot.Rows {
 		if len(row.Cells) == 0 || columns[row.Sheet] == nil {
 			continue
 		}
-		t.rows[Ref{row.Sheet, row.Key}] = row
-		t.index(row)
+		t.rows[RowRef{row.Sheet, row.Key}] = row
+		t.indexHashes(row)
 	}
 	for _, old := range snapshot.Deleted {
-		t.deleted.put(Ref{old.Sheet, old.Key}, old.Revision)
+		t.deleted.put(RowRef{old.Sheet, old.Key}, old.Revision)
 	}
 	for _, answer := range snapshot.Answers {
 		t.answers.put(answer.ID, answer.Digest, answer.Answer)
@@ -45,9 +45,9 @@
 	return t
 }
 
-// Refs returns every row's ref, in order.
-func (t *Table) Refs() []Ref {
-	refs := make([]Ref, 0, len(t.rows))
+// Refs returns the refs of all rows, sorted.
+func (t *Table) Refs() []RowRef {
+	refs := make([]RowRef, 0, len(t.rows))
 	for ref := range t.rows {
 		refs = append(refs, ref)
 	}
--- a/coordination/table/stage.go
+++ b/coordination/table/stage.go
@@ -5,33 +5,34 @@
 	"strings"
 )
 
-// stager collects the rows a change would write, and all that is wrong with
-// it. Nothing of the table changes before the whole change is found good.
+// stager collects the rows that a change would write, and all its problems and
+// conflicts. The table changes only when the whole change is valid.
 type stager struct {
 	table     *Table
 	index     uint64
-	rows      map[Ref]*Row
-	seen      map[Ref]bool
+	rows      map[RowRef]*Row
+	seen      map[RowRef]bool
 	problems  []Problem
 	conflicts []RowConflict
 }
 
-// stage returns the rows to write, or nil and the answer to give.
-func (t *Table) stage(index uint64, change Change) (map[Ref]*Row, Answer) {
-	s := &stager{table: t, index: index, rows: map[Ref]*Row{}, seen: map[Ref]bool{}}
-	s.checkHead(change)
+// stage returns the rows to write, nil for a deletion. If the change can't be
+// applied, it returns a nil map and the answer.
+func (t *Table) stage(index uint64, change Change) (map[RowRef]*Row, Answer) {
+	s := &stager{table: t, index: index, rows: map[RowRef]*Row{}, seen: map[RowRef]bool{}}
+	s.checkHeader(change)
 	if len(change.Edits) <= maxEdits {
 		for _, edit := range change.Edits {
-			s.edit(edit)
+			s.stageEdit(edit)
 		}
 		s.checkHashes()
 	}
 	if len(s.problems) > 0 {
-		more := max(0, len(s.problems)-maxListed)
+		more := max(0, len(s.problems)-maxReported)
 		return nil, Answer{Outcome: Invalid, Problems: s.problems[:len(s.problems)-more], More: more}
 	}
 	if len(s.conflicts) > 0 {
-		more := max(0, len(s.conflicts)-maxListed)
+		more := max(0, len(s.conflicts)-maxReported)
 		return nil, Answer{Outcome: Conflict, Conflicts: s.conflicts[:len(s.conflicts)-more], More: more}
 	}
 	return s.rows, Answer{}
@@ -39,14 +40,14 @@
 
 func validID(id string) bool { return id != "" && len(id) <= maxKeyLength }
 
-func (s *stager) checkHead(change Change) {
+func (s *stager) checkHeader(change Change) {
 	if !validID(change.ID) {
 		s.problem(Edit{}, "change_id", change.ID, "must have 1 to 128 bytes")
 	}
-	if change.Who == "" || len(change.Who) > maxText {
+	if change.Who == "" || len(change.Who) > maxTextBytes {
 		s.problem(Edit{}, "who", change.Who, "must have 1 to 256 bytes")
 	}
-	if len(change.Why) > maxText {
+	if len(change.Why) > maxTextBytes {
 		s.problem(Edit{}, "why", change.Why, "must have at most 256 bytes")
 	}
 	if len(change.Edits) == 0 || len(change.Edits) > maxEdits {
@@ -54,22 +55,22 @@
 	}
 }
 
-// problem notes one problem. Values are cut, because an answer is remembered.
+// problem records a problem. It truncates the texts, because answers are stored.
 func (s *stager) problem(edit Edit, column, value, text string) {
 	s.problems = append(s.problems, Problem{
-		Sheet: Sheet(cut(string(edit.Sheet))), Key: cut(edit.Key),
-		Column: cut(column), Value: cut(value), Text: text,
+		Sheet: Sheet(truncate(string(edit.Sheet))), Key: truncate(edit.Key),
+		Column: truncate(column), Value: truncate(value), Text: text,
 	})
 }
 
-func cut(text string) string {
+func truncate(text string) string {
 	if len(text) <= maxNameLength {
 		return text
 	}
 	return strings.ToValidUTF8(text[:maxNameLength], "") + "..."
 }
 
-func (s *stager) edit(edit Edit) {
+func (s *stager) stageEdit(edit Edit) {
 	sheetColumns := columns[edit.Sheet]
 	if sheetColumns == nil {
 		s.problem(edit, "", string(edit.Sheet), "there is no such sheet")
@@ -78,7 +79,7 @@
 	if problem := checkKey(edit.Sheet, edit.Key); problem != "" {
 		s.problem(edit, "key", edit.Key, problem)
 	}
-	ref := Ref{edit.Sheet, edit.Key}
+	ref := RowRef{edit.Sheet, edit.Key}
 	if s.seen[ref] {
 		s.problem(edit, "", "", "the row stands twice in this change")
 		return
@@ -92,8 +93,8 @@
 	}
 	merged := s.mergeCells(edit, sheetColumns, current, exists)
 	if exists && slices.Equal(merged.Cells, current.Cells) {
-		// An imported file names every row; those it leaves alone keep their
-		// revision, so that it meets fewer conflicts and costs fewer bytes.
+		// An imported file names every row. Rows that it doesn't change keep
+		// their revision, which avoids conflicts and saves bytes.
 		return
 	}
 	s.rows[ref] = merged
@@ -106,12 +107,12 @@
 	if !exists && edit.Expect == s.table.Revision(edit.Sheet, edit.Key) {
 		s.problem(edit, "", "", "there is no such row")
 	}
-	s.rows[Ref{edit.Sheet, edit.Key}] = nil
+	s.rows[RowRef{edit.Sheet, edit.Key}] = nil
 }
 
-// checkRevision settles racing operators: whoever expects a revision that is
-// no longer the row's has not seen the winner's row.
-func (s *stager) checkRevision(ref Ref, edit Edit) {
+// checkRevision records a conflict if the edit expects a revision that is no longer
+// the row's: its operator has not seen the row that another change wrote.
+func (s *stager) checkRevision(ref RowRef, edit Edit) {
 	found := s.table.Revision(ref.Sheet, ref.Key)
 	if found == edit.Expect {
 		return
@@ -161,11 +162,11 @@
 	return &Row{Sheet: edit.Sheet, Key: edit.Key, Revision: s.index, Cells: cells}
 }
 
-// checkHashes refuses a bearer key that two customers would share: a router
-// could not tell whose request it is, and would bill either.
+// checkHashes refuses a bearer key that two customers would share: a router could
+// not tell whose request it is, and might bill the wrong customer.
 func (s *stager) checkHashes() {
 	owner := map[string]string{}
-	refs := make([]Ref, 0, len(s.rows))
+	refs := make([]RowRef, 0, len(s.rows))
 	for ref, row := range s.rows {
 		if ref.Sheet == Customers && row != nil {
 			refs = append(refs, ref)
@@ -174,7 +175,7 @@
 	slices.SortFunc(refs, CompareRefs)
 	for _, ref := range refs {
 		for _, hash := range strings.Fields(s.rows[ref].Cells[0]) {
-			holder := s.holder(hash, owner)
+			holder := s.ownerOfHash(hash, owner)
 			if holder != "" && holder != ref.Key {
 				s.problem(Edit{Sheet: Customers, Key: ref.Key}, "key_hashes", hash, "the key belongs to customer "+holder)
 				continue
@@ -184,8 +185,9 @@
 	}
 }
 
-// holder returns who would hold a key hash after the staged rows.
-func (s *stager) holder(hash string, staged map[string]string) string {
+// ownerOfHash returns the customer that would have a key hash after the staged
+// rows are written, or "".
+func (s *stager) ownerOfHash(hash string, staged map[string]string) string {
 	if key, ok := staged[hash]; ok {
 		return key
 	}
@@ -193,7 +195,7 @@
 	if !ok {
 		return ""
 	}
-	row, edited := s.rows[Ref{Customers, key}]
+	row, edited := s.rows[RowRef{Customers, key}]
 	if !edited {
 		return key
 	}
--- a/coordination/table/table.go
+++ b/coordination/table/table.go
@@ -1,25 +1,28 @@
-// Package table is the operators' spreadsheet as a part of the replicated
-// state: customers, models, routes and upstream settings as rows and columns.
+// Package table implements the operators' table as a part of the replicated state:
+// sheets with customers, models, routes and upstream settings as rows and columns.
 //
-// A change edits any number of rows. Apply validates every cell and gives all
-// problems at once, checks the expected revision of every row, and then writes
+// A Change edits any number of rows. Table.Apply validates every cell and reports
+// all problems at once, checks the expected revision of every row, and then writes
 // all rows or none.
 //
-// The failures it guards against:
+// The failures that the package guards against:
 //
-//   - A lost answer. The operator resends the change under the same change ID,
-//     perhaps to another leader after a restart, and gets the first answer,
-//     because answers are part of the replicated state (bounded; see
-//     maxRemembered). A resend that comes after its answer was forgotten meets
-//     the revision check and gets a conflict: it is never applied twice.
-//   - Racing operators. Both expect the same revision; the first in the log
-//     wins, the other gets the winner's row, name and reason.
-//   - A reused change ID with other edits, which would otherwise look
-//     accepted though nothing was written.
+//   - The answer to a change is lost. The operator resends the change under the
+//     same change ID, perhaps to another leader after a restart, and gets the
+//     first answer, because answers are part of the replicated state (limited by
+//     maxAnswers and maxAnswerBytes). A resend that comes after its answer was
+//     dropped fails the revision check and gets a conflict. It is never applied
+//     twice.
+//   - Two operators edit the same row at the same time. Both expect the same
+//     revision; the first in the log wins, and the other gets the winner's row,
+//     name and reason.
+//   - A change ID is reused for other edits. Without a check, the second change
+//     would get the answer of the first and look accepted, though nothing was
+//     written.
 //
 // A revision is the log index of the command that wrote the row, so revisions
-// grow over the whole fleet and are never used twice. Everything here is
-// deterministic: no clock, no map order in any output.
+// grow over the whole fleet and are never used twice. The package is
+// deterministic: it reads no clock, and no output depends on map order.
 package table
 
 import (
@@ -28,74 +31,76 @@
 	"strings"
 )
 
-// Bounds of one change and of what is remembered.
+// Bounds of one change and of what the table remembers.
 const (
-	// maxEdits lets a whole table of 2,400 customers be imported at once.
+	// maxEdits is enough to import a whole table of 2,400 customers at once.
 	maxEdits = 5_000
-	// maxListed bounds the problems and conflicts in one answer.
-	maxListed = 200
-	maxText   = 256
-	// maxRemembered changes is the memory for resends: almost three days at
-	// 3,600 changes a day.
-	maxRemembered      = 10_000
-	maxRememberedBytes = 8 << 20
-	// maxHistory changes and bytes bound the history.
+	// maxReported bounds the problems and the conflicts in one answer.
+	maxReported  = 200
+	maxTextBytes = 256
+	// maxAnswers and maxAnswerBytes bound the answers that are kept for resends.
+	// 10,000 changes are almost three days at 3,600 changes a day.
+	maxAnswers     = 10_000
+	maxAnswerBytes = 8 << 20
+	// maxHistory and maxHistoryBytes bound the history of changes.
 	maxHistory      = 20_000
 	maxHistoryBytes = 16 << 20
-	// maxDeleted bounds the remembered deletions.
-	maxDeleted = 10_000
+	// maxDeletions bounds the deletions that are remembered.
+	maxDeletions = 10_000
 )
 
-// Ref names a row.
-type Ref struct {
+// RowRef identifies a row.
+type RowRef struct {
 	Sheet Sheet
 	Key   string
 }
 
-// CompareRefs orders refs by sheet and key.
-func CompareRefs(a, b Ref) int {
+// CompareRefs compares refs by sheet, then by key.
+func CompareRefs(a, b RowRef) int {
 	if c := strings.Compare(string(a.Sheet), string(b.Sheet)); c != 0 {
 		return c
 	}
 	return strings.Compare(a.Key, b.Key)
 }
 
-// Touched is a row written or deleted by a change.
-type Touched struct {
-	Ref  Ref
-	Gone bool
+// ChangedRow is a row that a change wrote or deleted.
+type ChangedRow struct {
+	Ref     RowRef
+	Deleted bool
 }
 
-// Table is the state. It is not safe for concurrent use.
+// Table holds the rows, the answers kept for resends and the history. It is not
+// safe for concurrent use.
 type Table struct {
-	rows    map[Ref]Row
+	rows    map[RowRef]Row
 	deleted deletions
-	// byHash finds the customer of a key hash, to refuse shared keys.
+	// byHash maps a key hash to its customer, so that two customers can't have
+	// the same bearer key.
 	byHash  map[string]string
-	answers memory
+	answers answerStore
 	history history
 }
 
 // New returns an empty table.
 func New() *Table {
 	return &Table{
-		rows:    map[Ref]Row{},
+		rows:    map[RowRef]Row{},
 		deleted: newDeletions(),
 		byHash:  map[string]string{},
-		answers: newMemory(),
+		answers: newAnswerStore(),
 	}
 }
 
 // Row returns a row. Its cells must not be modified.
 func (t *Table) Row(sheet Sheet, key string) (Row, bool) {
-	row, ok := t.rows[Ref{sheet, key}]
+	row, ok := t.rows[RowRef{sheet, key}]
 	return row, ok
 }
 
 // Len returns the number of rows in all sheets.
 func (t *Table) Len() int { return len(t.rows) }
 
-// Rows returns the rows of a sheet in the order of their keys.
+// Rows returns the rows of a sheet, sorted by key.
 func (t *Table) Rows(sheet Sheet) []Row {
 	var out []Row
 	for ref, row := range t.rows {
@@ -107,34 +112,34 @@
 	return out
 }
 
-// Revision returns what an edit of the row has to expect: the row's revision,
-// that of its deletion, or 0 if neither is known.
+// Revision returns the revision that an edit of the row has to expect: that of the
+// row, that of its deletion, or 0 if neither is known.
 func (t *Table) Revision(sheet Sheet, key string) uint64 {
-	ref := Ref{sheet, key}
+	ref := RowRef{sheet, key}
 	if row, ok := t.rows[ref]; ok {
 		return row.Revision
 	}
 	return t.deleted.at[ref]
 }
 
-// Apply runs a change at a log index and returns its answer and the rows it
-// touched, in the order of CompareRefs.
-func (t *Table) Apply(index uint64, change Change) (Answer, []Touched) {
+// Apply applies a change at its log index. It returns the change's answer and the
+// rows that it wrote or deleted, in the order of CompareRefs.
+func (t *Table) Apply(index uint64, change Change) (Answer, []ChangedRow) {
 	digest := change.digest()
 	if remembered, ok := t.answers.get(change.ID); ok {
 		if remembered.Digest != digest {
-			return Answer{Outcome: Reused, Revision: remembered.Answer.Revision}, nil
+			return Answer{Outcome: IDReused, Revision: remembered.Answer.Revision}, nil
 		}
 		return remembered.Answer, nil
 	}
-	answer, touched := t.run(index, change)
+	answer, touched := t.applyNew(index, change)
 	if validID(change.ID) {
 		t.answers.put(change.ID, digest, answer)
 	}
 	return answer, touched
 }
 
-// Check returns the answer that the change would get now, without running it.
+// Check returns the answer that the change would get now, without applying it.
 func (t *Table) Check(change Change) Answer {
 	staged, answer := t.stage(0, change)
 	if staged == nil {
@@ -143,8 +148,8 @@
 	return Answer{Outcome: Committed}
 }
 
-// Preview returns what the change would write now, without running it, and the
-// answer that it would get.
+// Preview returns the rows that the change would write now and the answer that it
+// would get, without applying it.
 func (t *Table) Preview(change Change) ([]RowDiff, Answer) {
 	staged, answer := t.stage(0, change)
 	if staged == nil {
@@ -157,7 +162,7 @@
 	return diffs, Answer{Outcome: Committed}
 }
 
-func (t *Table) diff(ref Ref, after *Row) RowDiff {
+func (t *Table) diff(ref RowRef, after *Row) RowDiff {
 	diff := RowDiff{Sheet: ref.Sheet, Key: ref.Key, Before: t.rows[ref].Cells}
 	if after != nil {
 		diff.After = after.Cells
@@ -165,21 +170,22 @@
 	return diff
 }
 
-func (t *Table) run(index uint64, change Change) (Answer, []Touched) {
+func (t *Table) applyNew(index uint64, change Change) (Answer, []ChangedRow) {
 	staged, answer := t.stage(index, change)
 	if staged == nil {
 		return answer, nil
 	}
 	if len(staged) == 0 {
-		return Answer{Outcome: Committed, Revision: t.newest(change.Edits)}, nil
+		return Answer{Outcome: Committed, Revision: t.newestRevision(change.Edits)}, nil
 	}
 	touched := t.write(index, change, staged)
 	return Answer{Outcome: Committed, Revision: index}, touched
 }
 
-// newest returns the highest revision of the rows that a change names. A
-// change that alters nothing is in force when those rows are.
-func (t *Table) newest(edits []Edit) uint64 {
+// newestRevision returns the highest revision of the rows that a change names. It is
+// the revision of a change that alters nothing: such a change is in force as soon as
+// those rows are.
+func (t *Table) newestRevision(edits []Edit) uint64 {
 	revision := uint64(0)
 	for _, edit := range edits {
 		revision = max(revision, t.Revision(edit.Sheet, edit.Key))
@@ -187,15 +193,15 @@
 	return revision
 }
 
-// write replaces the staged rows; nil deletes.
-func (t *Table) write(index uint64, change Change, staged map[Ref]*Row) []Touched {
+// write replaces the staged rows and deletes those that are nil.
+func (t *Table) write(index uint64, change Change, staged map[RowRef]*Row) []ChangedRow {
 	entry := HistoryEntry{ID: change.ID, Revision: index, Who: change.Who, Why: change.Why, At: change.At}
-	var touched []Touched
+	var touched []ChangedRow
 	refs := slices.SortedFunc(maps.Keys(staged), CompareRefs)
-	// All old hashes go before the new ones come, so that a change can move a
-	// key hash from one customer to another.
+	// All old hashes are removed before new ones are added, so that a change can
+	// move a key hash from one customer to another.
 	for _, ref := range refs {
-		t.unindex(t.rows[ref])
+		t.unindexHashes(t.rows[ref])
 	}
 	for _, ref := range refs {
 		after := staged[ref]
@@ -206,15 +212,15 @@
 		} else {
 			t.rows[ref] = *after
 			t.deleted.remove(ref)
-			t.index(*after)
+			t.indexHashes(*after)
 		}
-		touched = append(touched, Touched{Ref: ref, Gone: after == nil})
+		touched = append(touched, ChangedRow{Ref: ref, Deleted: after == nil})
 	}
 	t.history.put(entry)
 	return touched
 }
 
-func (t *Table) index(row Row) {
+func (t *Table) indexHashes(row Row) {
 	if row.Sheet != Customers {
 		return
 	}
@@ -223,7 +229,7 @@
 	}
 }
 
-func (t *Table) unindex(row Row) {
+func (t *Table) unindexHashes(row Row) {
 	if row.Sheet != Customers {
 		return
 	}
--- a/coordination/table/table_test.go
+++ b/coordination/table/table_test.go
@@ -11,7 +11,7 @@
 	"endiveplank/protocol/codec"
 )
 
-// CI runs the properties on one seed; -rapid.seed gives others.
+// The properties run with one fixed seed; -rapid.seed gives another.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 func hash(i int) string { return fmt.Sprintf("%064x", i) }
@@ -38,8 +38,8 @@
 	return table
 }
 
-// An operator imports a sheet with several mistakes. She is told all of them
-// at once, by row and column, and none of the good rows is applied.
+// An operator imports a sheet with several mistakes. The answer must name all of them
+// by row and column, and none of the correct rows may be applied.
 func TestAllProblemsAtOnceAndNothingApplied(t *testing.T) {
 	table := filled(t)
 	before := string(codec.Marshal(table.Snapshot().Rows))
@@ -67,8 +67,9 @@
 	assert.Equal(t, string(codec.Marshal(table.Snapshot().Rows)), before)
 }
 
-// Two operators edit the same row from the same revision. One wins; the other
-// sees the winner's row, name and reason, and can go on from its revision.
+// Two operators edit the same row from the same revision. One must win. The other
+// must get the winner's row, name and revision to continue from, and none of its
+// other edits may be applied.
 func TestRacingOperators(t *testing.T) {
 	table := filled(t)
 	won, _ := table.Apply(3, change("first", customer("a", 1, "weight", "7")))
@@ -82,11 +83,11 @@
 	assert.Equal(t, CustomerOf(b).Weight, 100)
 }
 
-// The answer to a change is lost, and the operator sends it again: at once,
-// after a restart from a snapshot, after the row was written again, and after
-// the table forgot the change. It is answered as the first time, or conflicts;
-// it never undoes what came after. The same ID with other edits is told apart.
-func TestResend(t *testing.T) {
+// The answer to a change is lost, and the operator sends the change again: after a
+// restart from a snapshot and another write of the row, and after the table has
+// dropped the answer. The resend must get the first answer, or a conflict, and never
+// undo a later write. Other edits with the same change ID must be refused.
+func TestResendGetsFirstAnswerOrConflict(t *testing.T) {
 	table := filled(t)
 	first := change("c", customer("a", 1, "weight", "7"))
 	answer, _ := table.Apply(3, first)
@@ -98,8 +99,8 @@
 	assert.DeepEqual(t, again, answer)
 	assert.Equal(t, len(touched), 0)
 	reused, _ := table.Apply(6, change("c", customer("a", 4, "weight", "1")))
-	assert.Equal(t, reused.Outcome, Reused)
-	for i := range uint64(maxRemembered) {
+	assert.Equal(t, reused.Outcome, IDReused)
+	for i := range uint64(maxAnswers) {
 		table.Apply(10+i, change(fmt.Sprint(i), customer("b", 0)))
 	}
 	forgotten, _ := table.Apply(1_000_000, first)
@@ -108,8 +109,8 @@
 	assert.Equal(t, CustomerOf(a).Weight, 9)
 }
 
-// A row is created, deleted, and the change that created it arrives once more
-// long after its answer was forgotten. The customer must not come back.
+// A row is created and deleted, and the change that created it arrives again after
+// its answer was dropped. The row must not come back.
 func TestDeletedRowStaysDeleted(t *testing.T) {
 	table := filled(t)
 	table.Apply(3, change("gone", Edit{Sheet: Customers, Key: "a", Expect: 1, Delete: true}))
@@ -121,12 +122,12 @@
 	assert.Equal(t, answer.Outcome, Committed)
 }
 
-// A change is undone by a new change, whole; but not once a row of it was
-// written again, because the undo would take that back too.
+// A new change undoes a whole change. It must conflict once one of the rows was
+// written again, because the undo would revert that write too.
 func TestUndo(t *testing.T) {
 	table := filled(t)
 	table.Apply(3, change("both", customer("a", 1, "weight", "7"), customer("b", 2, "home", "north"), customer("c", 0, "key_hashes", hash(5))))
-	edits, err := table.UndoOf("both")
+	edits, err := table.UndoEdits("both")
 	assert.NilError(t, err)
 	diffs, preview := table.Preview(change("undo", edits...))
 	assert.Equal(t, preview.Outcome, Committed)
@@ -137,16 +138,16 @@
 	assert.Equal(t, CustomerOf(a).Weight, 100)
 	_, exists := table.Row(Customers, "c")
 	assert.Equal(t, exists, false)
-	edits, _ = table.UndoOf("both")
+	edits, _ = table.UndoEdits("both")
 	answer, _ = table.Apply(5, change("undo twice", edits...))
 	assert.Equal(t, answer.Outcome, Conflict)
-	_, err = table.UndoOf("never")
+	_, err = table.UndoEdits("never")
 	assert.ErrorIs(t, err, ErrNoChange)
 	assert.Equal(t, len(table.History(Customers, "a", 10)), 3)
 }
 
-// A key hash can move between customers in one change, but two customers can
-// never hold it, or a request would be billed to either.
+// A change can move a key hash between customers, but two customers can never share
+// one, or a request could be billed to either.
 func TestKeyHashIsUnique(t *testing.T) {
 	table := filled(t)
 	answer, _ := table.Apply(3, change("shared", customer("a", 1, "key_hashes", hash(1))))
@@ -160,8 +161,8 @@
 	assert.Equal(t, answer.Outcome, Invalid)
 }
 
-// A sheet goes out as CSV, is edited and comes back: only the edited row is
-// written. A file with faults of form gives all of them.
+// A sheet is exported as CSV, edited and imported. Only the edited row may be
+// written. For a file with mistakes in its form, all problems must be returned.
 func TestCSV(t *testing.T) {
 	table := filled(t)
 	file, err := ExportCSV(Customers, table.Rows(Customers))
@@ -182,7 +183,7 @@
 	assert.Equal(t, len(problems), 1)
 }
 
-// Whatever is exported can be imported and changes nothing, whatever the cells.
+// An exported file can be imported whatever its cells contain, and changes nothing.
 func TestCSVRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := New()
--- a/coordination/table/types.go
+++ b/coordination/table/types.go
@@ -4,10 +4,10 @@
 type Row struct {
 	Sheet Sheet  `msgpack:"s" json:"sheet"`
 	Key   string `msgpack:"k" json:"key"`
-	// Revision is the log index of the change that last wrote the row. No
-	// revision is ever used twice for a row, also over its deletion.
+	// Revision is the log index of the change that last wrote the row. A revision is
+	// never used twice for a row, even if the row is deleted in between.
 	Revision uint64 `msgpack:"r" json:"revision"`
-	// Cells holds canonical text in the order of Columns(Sheet).
+	// Cells holds the canonical text of the cells, in the order of Columns(Sheet).
 	Cells []string `msgpack:"c" json:"cells"`
 }
 
@@ -21,41 +21,42 @@
 type Edit struct {
 	Sheet Sheet  `msgpack:"s" json:"sheet"`
 	Key   string `msgpack:"k" json:"key"`
-	// Expect is the revision of the row as the operator saw it, 0 for a row
-	// that never existed, the revision of the deletion for a deleted one.
+	// Expect is the revision of the row as the operator saw it: 0 for a row that
+	// never existed, the revision of the deletion for a deleted row.
 	Expect uint64 `msgpack:"e" json:"expect"`
 	Delete bool   `msgpack:"d,omitempty" json:"delete,omitempty"`
-	// Cells are the cells to write; others keep their value, or get their
+	// Cells are the cells to write. Other cells keep their value, or get their
 	// default in a new row.
 	Cells []Cell `msgpack:"c,omitempty" json:"cells,omitempty"`
 }
 
-// Change is one operator's edit of any number of rows. All of it is applied
+// Change is one operator's edit of any number of rows. Either all of it is applied
 // or nothing.
 type Change struct {
-	// ID names the change. A resend carries the same ID.
+	// ID identifies the change. A resend carries the same ID.
 	ID  string `msgpack:"i" json:"id"`
 	Who string `msgpack:"w" json:"who"`
 	Why string `msgpack:"y" json:"why"`
-	// At is the leader's wall clock when it first took the change, in
-	// milliseconds of Unix time. It is data: the table never reads a clock.
+	// At is the leader's wall clock when it first received the change, in
+	// milliseconds of Unix time. The table itself never reads a clock.
 	At    int64  `msgpack:"t" json:"at"`
 	Edits []Edit `msgpack:"e" json:"edits"`
 }
 
-// Outcome says what became of a change.
+// Outcome is the outcome of a change.
 type Outcome string
 
 const (
-	// Committed means that the change is in the replicated state. It is in
-	// force once every router that holds a lease has acknowledged Revision.
+	// Committed means that the change is in the replicated state. It is in force once
+	// every router that holds a lease has acknowledged Answer.Revision.
 	Committed Outcome = "committed"
-	// Invalid means that nothing was applied; Problems has every reason.
+	// Invalid means that nothing was applied; Answer.Problems has every reason.
 	Invalid Outcome = "invalid"
-	// Conflict means that another change won; Conflicts has the rows.
+	// Conflict means that another change wrote a row first and nothing was applied;
+	// Answer.Conflicts has the rows.
 	Conflict Outcome = "conflict"
-	// Reused means that the change ID was used before for other edits.
-	Reused Outcome = "change-id-reused"
+	// IDReused means that the change ID was used before for other edits.
+	IDReused Outcome = "change-id-reused"
 )
 
 // Problem is one reason why a change is invalid.
@@ -67,17 +68,17 @@
 	Text   string `msgpack:"t" json:"text"`
 }
 
-// RowConflict shows the loser of a race the row that won.
+// RowConflict shows an operator whose edit came second the row as the first left it.
 type RowConflict struct {
 	Sheet    Sheet  `msgpack:"s" json:"sheet"`
 	Key      string `msgpack:"k" json:"key"`
 	Expected uint64 `msgpack:"e" json:"expected"`
-	// Found is the row's revision now: expect this one to go on.
+	// Found is the row's present revision; the next edit must expect it.
 	Found uint64 `msgpack:"f" json:"found"`
-	// Winner is the row as it stands, nil if it is deleted.
+	// Winner is the row as it is now, nil if it is deleted.
 	Winner *Row `msgpack:"w,omitempty" json:"winner,omitempty"`
-	// By, Why and At describe the change that won, as far as the history
-	// still holds it.
+	// By, Why and At describe the change that wrote the row, if the history still
+	// has it.
 	By  string `msgpack:"b,omitempty" json:"by,omitempty"`
 	Why string `msgpack:"y,omitempty" json:"why,omitempty"`
 	At  int64  `msgpack:"t,omitempty" json:"at,omitempty"`
@@ -93,7 +94,8 @@
 	More int `msgpack:"m,omitempty" json:"more,omitempty"`
 }
 
-// RowDiff is one row before and after a change, nil where it did not exist.
+// RowDiff is one row before and after a change; Before or After is nil if the row
+// did not exist.
 type RowDiff struct {
 	Sheet  Sheet    `msgpack:"s" json:"sheet"`
 	Key    string   `msgpack:"k" json:"key"`
@@ -101,7 +103,8 @@
 	After  []string `msgpack:"a,omitempty" json:"after,omitempty"`
 }
 
-// HistoryEntry is one committed change: who, when, why, before and after.
+// HistoryEntry is one committed change: who made it, when and why, and its rows
+// before and after.
 type HistoryEntry struct {
 	ID       string    `msgpack:"i" json:"id"`
 	Revision uint64    `msgpack:"r" json:"revision"`
--- a/coordination/table/view.go
+++ b/coordination/table/view.go
@@ -10,10 +10,10 @@
 	"endiveplank/protocol"
 )
 
-// ErrNoChange means that the history does not hold the change asked for.
+// ErrNoChange means that the history does not hold the requested change.
 var ErrNoChange = eris.New("table: the history does not hold this change")
 
-// Customer is a row of the customers sheet, typed.
+// Customer is a row of the customers sheet with typed fields.
 type Customer struct {
 	ID        protocol.CustomerID
 	KeyHashes []string
@@ -30,7 +30,7 @@
 	Disabled bool
 }
 
-// Model is a row of the models sheet, typed.
+// Model is a row of the models sheet with typed fields.
 type Model struct {
 	Name          protocol.Model
 	Version       string
@@ -39,7 +39,7 @@
 	ContextTokens int
 }
 
-// Route is a row of the routes sheet, typed.
+// Route is a row of the routes sheet with typed fields.
 type Route struct {
 	Prefix     string
 	Service    protocol.Service
@@ -47,7 +47,7 @@
 	DeadlineMS int
 }
 
-// Upstream is a row of the upstreams sheet, typed.
+// Upstream is a row of the upstreams sheet with typed fields.
 type Upstream struct {
 	ID            protocol.UpstreamID
 	WeightPercent int
@@ -55,7 +55,7 @@
 	Drain         bool
 }
 
-// CustomerOf reads a row of the customers sheet.
+// CustomerOf converts a row of the customers sheet.
 func CustomerOf(row Row) Customer {
 	return Customer{
 		ID:                protocol.CustomerID(row.Key),
@@ -70,7 +70,7 @@
 	}
 }
 
-// ModelOf reads a row of the models sheet.
+// ModelOf converts a row of the models sheet.
 func ModelOf(row Row) Model {
 	return Model{
 		Name:          protocol.Model(row.Key),
@@ -81,7 +81,7 @@
 	}
 }
 
-// RouteOf reads a row of the routes sheet.
+// RouteOf converts a row of the routes sheet.
 func RouteOf(row Row) Route {
 	return Route{
 		Prefix:     row.Key,
@@ -91,7 +91,7 @@
 	}
 }
 
-// UpstreamOf reads a row of the upstreams sheet.
+// UpstreamOf converts a row of the upstreams sheet.
 func UpstreamOf(row Row) Upstream {
 	return Upstream{
 		ID:            protocol.UpstreamID(row.Key),
@@ -101,8 +101,8 @@
 	}
 }
 
-// cell returns a cell by its column; a row written before the column existed
-// has the default.
+// cell returns the cell of a column. A row that was written before the column
+// existed has the column's default.
 func (r Row) cell(name string) string {
 	i := ColumnIndex(r.Sheet, name)
 	if i >= len(r.Cells) {
@@ -116,8 +116,8 @@
 	return number
 }
 
-// History returns the committed changes that the history still holds, newest
-// first, at most limit; an empty sheet or key matches all.
+// History returns the newest committed changes that the history still holds, newest
+// first and at most limit. An empty sheet or key matches all.
 func (t *Table) History(sheet Sheet, key string, limit int) []HistoryEntry {
 	var out []HistoryEntry
 	for _, entry := range slices.Backward(t.history.entries) {
@@ -137,10 +137,10 @@
 	})
 }
 
-// UndoOf returns the edits that take a committed change back. They expect the
-// revisions that the change left, so a row written since gives a conflict
-// instead of losing the later write.
-func (t *Table) UndoOf(changeID string) ([]Edit, error) {
+// UndoEdits returns the edits that undo a committed change. They expect the
+// revisions that the change wrote, so if a row was written again since, the undo
+// gets a conflict instead of losing the later write.
+func (t *Table) UndoEdits(changeID string) ([]Edit, error) {
 	i := slices.IndexFunc(t.history.entries, func(e HistoryEntry) bool { return e.ID == changeID })
 	if i < 0 {
 		return nil, ErrNoChange
--- a/daemon/queries.go
+++ b/daemon/queries.go
@@ -108,7 +108,7 @@
 		case question.History != nil:
 			reply.History = machine.Table().History(question.History.Sheet, question.History.Key, question.History.Limit)
 		case question.Undo != nil:
-			edits, err := machine.Table().UndoOf(*question.Undo)
+			edits, err := machine.Table().UndoEdits(*question.Undo)
 			reply.Edits = edits
 			if err != nil {
 				reply.Problem = err.Error()
