--- a/coordination/engineorders/issuer_test.go
+++ b/coordination/engineorders/issuer_test.go
@@ -45,7 +45,7 @@
 		frozen := w.held
 		w.holdRequests = false
 		w.startTerm()
-		w.refuse = upstreamapi.StatusBad
+		w.refuse = upstreamapi.StatusInvalid
 		w.run(20 * time.Second)
 		assert.Equal(t, w.resolution(), EngineRefused)
 		w.refuse = 0
@@ -122,7 +122,7 @@
 // settled as EngineRefused, and the engine's backoff must double each time.
 func TestBackoffGrowsForRefusingEngine(t *testing.T) {
 	w := newWorld(t, true)
-	w.refuse = upstreamapi.StatusBad
+	w.refuse = upstreamapi.StatusInvalid
 	for _, rest := range []time.Duration{10 * time.Second, 20 * time.Second, 40 * time.Second} {
 		assert.Equal(t, w.issue(w.issuer, "v1").Outcome, Done)
 		w.run(time.Second)
--- a/coordination/engineorders/world_test.go
+++ b/coordination/engineorders/world_test.go
@@ -142,7 +142,7 @@
 	if w.engine.Order(w.now, order) == engine.OrderFenced {
 		return upstreamapi.StatusConflict
 	}
-	return upstreamapi.StatusTaken
+	return upstreamapi.StatusAccepted
 }
 
 // version returns the version of model m that the engine holds, or "".
--- a/coordination/node/engineorder.go
+++ b/coordination/node/engineorder.go
@@ -8,25 +8,27 @@
 	"endiveplank/protocol"
 )
 
-// engineCallTime bounds the calls that one ask makes to an engine. The wait of
-// package engineorders after a change of issuer or owner counts on it.
-const engineCallTime = 5 * time.Second
+// engineCallTimeout bounds the calls that one request makes to an engine. Package
+// engineorders waits after a change of issuer or owner, and relies on this
+// bound.
+const engineCallTimeout = 5 * time.Second
 
-// engineAsked decides, as the owner of an engine, on the issuer's ask.
+// handleEngineRequest decides, as the owner of an engine, on a request of the
+// issuer of engine orders. There are a few orders a minute, and each engine is
+// read twice a minute.
 //
-// Load: a few orders a minute, and each engine read twice a minute. Harm
-// prevented: an order of a former issuer, or by way of a former owner, that
-// takes effect after its successor's. The limits: the lease is checked at this
-// moment, the Gate refuses what is older, and one call to an engine is under
-// way at a time, because an engine that ignores fencing numbers keeps what
-// comes last.
-func (n *Node) engineAsked(now time.Duration, in PeerEngineRequest) {
-	verdict := n.orderGate.Admit(in.Request, n.tenureOf(now, in.Request.Upstream))
-	if verdict == engineorders.Admitted && n.engineCalls[in.Request.Upstream] {
-		verdict = engineorders.CallBusy
+// The checks prevent an order of a former issuer, or one that goes through a
+// former owner, from taking effect after the order of its successor. The lease
+// is checked at this moment, the Gate refuses orders that are older than one it
+// has admitted, and only one call to an engine is in flight at a time, because
+// an engine that ignores fencing numbers keeps the order that arrives last.
+func (n *Node) handleEngineRequest(now time.Duration, in PeerEngineRequest) {
+	admission := n.orderGate.Admit(in.Request, n.ownedFence(now, in.Request.Upstream))
+	if admission == engineorders.Admitted && n.engineCalls[in.Request.Upstream] {
+		admission = engineorders.CallBusy
 	}
-	if verdict != engineorders.Admitted {
-		n.replyIssuer(in.From, in.Request, engineorders.Reply{Admission: verdict})
+	if admission != engineorders.Admitted {
+		n.replyIssuer(in.From, in.Request, engineorders.Reply{Admission: admission})
 		return
 	}
 	n.engineCalls[in.Request.Upstream] = true
@@ -34,22 +36,22 @@
 		From:     in.From,
 		Request:  in.Request,
 		Address:  n.owned[in.Request.Upstream].config.Address,
-		NotAfter: min(n.leaseUntil, now+engineCallTime),
+		NotAfter: min(n.leaseUntil, now+engineCallTimeout),
 	})
 }
 
-// tenureOf is the fencing number of this router's ownership of an upstream, 0
-// when it isn't the owner or can't be sure.
-func (n *Node) tenureOf(now time.Duration, upstream protocol.UpstreamID) protocol.Fence {
+// ownedFence is the fencing number of this router's ownership of an upstream, or
+// 0 when it isn't the owner or has no valid lease.
+func (n *Node) ownedFence(now time.Duration, upstream protocol.UpstreamID) protocol.Fence {
 	target := n.owned[upstream]
-	if target == nil || !target.holds || !n.mayServe(now) {
+	if target == nil || !target.isOwner || !n.leaseValid(now) {
 		return 0
 	}
 	return target.config.Fence
 }
 
-// engineAnswered takes the end of a call to an engine.
-func (n *Node) engineAnswered(in EngineAnswered) {
+// handleEngineAnswered handles the result of a call to an engine.
+func (n *Node) handleEngineAnswered(in EngineAnswered) {
 	delete(n.engineCalls, in.Request.Upstream)
 	reply := engineorders.Reply{
 		Admission:      engineorders.Admitted,
@@ -57,16 +59,16 @@
 		State:          in.State,
 		OwnershipFence: in.Request.OwnershipFence,
 	}
-	if known := n.heats[in.Request.Upstream]; known != nil {
-		reply.Completed = maps.Clone(known.done)
+	if activity := n.activity[in.Request.Upstream]; activity != nil {
+		reply.Completed = maps.Clone(activity.doneTokens)
 	}
 	n.replyIssuer(in.From, in.Request, reply)
 }
 
-func (n *Node) replyIssuer(to protocol.RouterID, ask engineorders.Request, reply engineorders.Reply) {
-	reply.Upstream = ask.Upstream
-	reply.Term = ask.Term
-	reply.Fence = ask.Fence
-	reply.ReadOnly = ask.ReadOnly
+func (n *Node) replyIssuer(to protocol.RouterID, request engineorders.Request, reply engineorders.Reply) {
+	reply.Upstream = request.Upstream
+	reply.Term = request.Term
+	reply.Fence = request.Fence
+	reply.ReadOnly = request.ReadOnly
 	n.emit(ReplyIssuer{To: to, Reply: reply})
 }
--- a/daemon/engineorders.go
+++ b/daemon/engineorders.go
@@ -60,7 +60,7 @@
 	sends, commands := o.issuer.Step(now, h.machine.Engines(), h.engineOwner)
 	sends = append(sends, o.poller.Step(now, h.restingEngines(), h.engineOwner)...)
 	for _, send := range sends {
-		h.sendAsk(send.To, send.Request)
+		h.sendEngineRequest(send.To, send.Request)
 	}
 	if o.committing {
 		return
@@ -236,7 +236,7 @@
 	return engineorders.Owner{Router: session.Router, OwnershipFence: assignment.Fence, ChecksFence: descriptor.ChecksFence}, true
 }
 
-// engineReply takes an owner's answer to an ask.
+// engineReply handles an owner's reply to a request.
 func (h *stateHost) engineReply(reply engineorders.Reply) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -250,14 +250,14 @@
 	}
 }
 
-// sendEngineAsk sends an ask to an owner, which may be this router. It is
+// sendEngineRequest sends a request to an owner, which may be this router. It is
 // called under the state host's lock, which the answer needs too.
-func (d *Daemon) sendEngineAsk(to protocol.RouterID, ask engineorders.Request) {
+func (d *Daemon) sendEngineRequest(to protocol.RouterID, request engineorders.Request) {
 	if to == d.settings.RouterID {
-		go d.runner.Input(node.PeerEngineRequest{From: to, Request: ask})
+		go d.runner.Input(node.PeerEngineRequest{From: to, Request: request})
 		return
 	}
-	d.mesh.Send(to, wire.KindEngineRequest, wire.Encode(ask), false)
+	d.mesh.Send(to, wire.KindEngineRequest, wire.Encode(request), false)
 }
 
 // sendEngineReply sends an owner's answer to the issuer, which may be here. It
@@ -272,15 +272,15 @@
 	}
 }
 
-// handleEngineOrder takes an ask as an owner, or an owner's answer as the
+// handleEngineOrder handles a request as an owner, or an owner's answer as the
 // issuer.
 func (d *Daemon) handleEngineOrder(from protocol.RouterID, frame wire.Frame) error {
 	if frame.Kind == wire.KindEngineRequest {
-		var ask engineorders.Request
-		if err := wire.Decode(frame.Payload, &ask); err != nil {
+		var request engineorders.Request
+		if err := wire.Decode(frame.Payload, &request); err != nil {
 			return err
 		}
-		d.runner.Input(node.PeerEngineRequest{From: from, Request: ask})
+		d.runner.Input(node.PeerEngineRequest{From: from, Request: request})
 		return nil
 	}
 	var reply engineorders.Reply
--- a/daemon/hops.go
+++ b/daemon/hops.go
@@ -37,9 +37,9 @@
 			return in
 		}
 		h.end(in.Place.Attempt, tracing.Result{Reason: "placed anew"})
-		span, headers := h.tracer.Owner(in.Place)
+		span, headers := h.tracer.StartOwner(in.Place)
 		in.Place.Headers = headers
-		h.open[in.Place.Attempt] = hop{span, tracing.ID(headers), in.From}
+		h.open[in.Place.Attempt] = hop{span, tracing.TraceID(headers), in.From}
 		return in
 	case node.PeerCancel:
 		h.end(in.Cancel.Attempt, tracing.Result{Reason: "cancelled"})
@@ -84,7 +84,7 @@
 // known. The runner's lock is held.
 func (r *runner) traceOf(event node.Event) string {
 	if answer := r.answers[event.Request]; answer != nil {
-		return answer.Trace
+		return answer.TraceID
 	}
 	return r.hops.open[fleet.Attempt{Request: event.Request, Number: event.Attempt}].trace
 }
--- a/daemon/runner.go
+++ b/daemon/runner.go
@@ -85,7 +85,7 @@
 	case node.Send:
 		r.hops.sent(out.Payload)
 		r.mesh.Send(out.To, out.Kind, encodePayload(out.Payload), out.Reliable)
-	case node.Spread:
+	case node.Broadcast:
 		r.spread(out.Notice)
 	case node.CallUpstream:
 		r.client.Call(out)
@@ -155,8 +155,8 @@
 	r.Input(request)
 }
 
-// Gone tells the core that a caller went away.
-func (r *runner) Gone(id protocol.RequestID) {
+// CallerGone tells the core that a caller went away.
+func (r *runner) CallerGone(id protocol.RequestID) {
 	r.mu.Lock()
 	delete(r.answers, id)
 	r.mu.Unlock()
@@ -190,7 +190,7 @@
 func (r *runner) explain(event node.Event, trace string) {
 	r.eventsMu.Lock()
 	defer r.eventsMu.Unlock()
-	r.counters.decision(event.What)
+	r.counters.decision(event.Kind)
 	r.events.Add(explain.Event{
 		UnixMS:   time.Now().UnixMilli(),
 		Router:   r.self,
@@ -199,13 +199,13 @@
 		Customer: event.Customer,
 		Upstream: event.Upstream,
 		Peer:     event.Router,
-		What:     event.What,
+		What:     event.Kind,
 		Reason:   event.Reason,
 		Detail:   event.Detail,
 		Trace:    trace,
 	})
 	r.log.Debug().Str("request", string(event.Request)).Str("upstream", string(event.Upstream)).
-		Str("reason", string(event.Reason)).Msg("node: " + event.What)
+		Str("reason", string(event.Reason)).Msg("node: " + event.Kind)
 }
 
 // explainApart keeps an event that no request caused. Other parts call it from
@@ -247,16 +247,16 @@
 		return decoded[fleet.End](from, frame)
 	case wire.KindCancel:
 		return decoded[fleet.Cancel](from, frame)
-	case wire.KindCheck:
-		return decoded[fleet.Check](from, frame)
-	case wire.KindAlive:
-		return decoded[fleet.Alive](from, frame)
+	case wire.KindAttemptCheck:
+		return decoded[fleet.AttemptCheck](from, frame)
+	case wire.KindAttemptAlive:
+		return decoded[fleet.AttemptAlive](from, frame)
 	case wire.KindLimitAsk:
-		return decoded[limits.Ask](from, frame)
+		return decoded[limits.CreditRequest](from, frame)
 	case wire.KindLimitAnswer:
-		return decoded[limits.Answer](from, frame)
-	case wire.KindMoved:
-		return decoded[fleet.Moved](from, frame)
+		return decoded[limits.CreditGrant](from, frame)
+	case wire.KindChatMoved:
+		return decoded[fleet.ChatMoved](from, frame)
 	case wire.KindOrderReport:
 		return decoded[node.OrderReport](from, frame)
 	}
--- a/daemon/statehost.go
+++ b/daemon/statehost.go
@@ -62,10 +62,10 @@
 	waiters  map[lease.Waiter]chan struct{}
 	waiter   lease.Waiter
 	// orders is the issuer of orders to engines while in office; sendAsk
-	// carries its asks to owners without blocking.
-	orders  *orderOffice
-	self    protocol.RouterID
-	sendAsk func(to protocol.RouterID, ask engineorders.Request)
+	// sends its requests to owners without blocking.
+	orders            *orderOffice
+	self              protocol.RouterID
+	sendEngineRequest func(to protocol.RouterID, request engineorders.Request)
 }
 
 func newStateHost(now func() time.Duration, zlog zerolog.Logger, push func(protocol.RouterID, lease.Push)) *stateHost {
