--- a/coordination/engineorders/scaler.go
+++ b/coordination/engineorders/scaler.go
@@ -25,10 +25,10 @@
 // It is made for chats that return after minutes and for loads that take tens of
 // seconds from a weight store that serves four at a time. It guards against
 // replicas that are added and removed with each wave of demand, each time with a
-// load, an empty cache and moved chats. ScaleUpAbove is twice ScaleDownBelow,
-// which is more than one replica of a few makes, so that adding a replica never
-// is a reason to remove one. Scaling up waits 10 s, which is a few reports, and
-// scaling down 10 min, in which a chat returns several times.
+// load, an empty cache and moved chats. ScaleUpAbove is twice ScaleDownBelow, and
+// one more replica at most halves the load, so adding a replica is never a reason
+// to remove one. Scaling up waits 10 s, which is a few reports, and scaling down
+// 10 min, in which a chat returns several times.
 func DefaultScalerConfig() ScalerConfig {
 	return ScalerConfig{
 		ScaleUpAbove: 0.8, ScaleDownBelow: 0.4, TargetLoad: 0.65,
--- a/coordination/node/outputs.go
+++ b/coordination/node/outputs.go
@@ -107,9 +107,9 @@
 	Reason      reason.Code
 }
 
-// OrderEngine sends an order to an engine, unless the request is read-only, and then
-// reads the engine's state. The driver returns exactly one EngineAnswered. The
-// driver must send nothing at or after NotAfter, because this router may no
+// OrderEngine sends an order to an engine, unless the request is read-only, and
+// then reads the engine's state. The driver returns exactly one EngineAnswered.
+// The driver must send nothing at or after NotAfter, because this router may no
 // longer own the engine then.
 type OrderEngine struct {
 	From     protocol.RouterID
