--- a/coordination/fleetstate/machine.go
+++ b/coordination/fleetstate/machine.go
@@ -137,7 +137,7 @@
 		answer, changed := m.registry.Remove(*command.Remove)
 		m.recordDescriptor(index, command.Remove.ID, changed, true)
 		if changed {
-			m.engines.Removed(command.Remove.ID)
+			m.engines.Remove(command.Remove.ID)
 		}
 		return Result{Registry: &answer}
 	case command.Engine != nil:
@@ -182,10 +182,10 @@
 	m.changeLog.Record([]revlog.Entry[Item]{{Revision: index, Item: descriptorItem(id), Gone: gone}})
 }
 
-func (m *Machine) recordRows(index uint64, touched []table.Touched) {
+func (m *Machine) recordRows(index uint64, touched []table.ChangedRow) {
 	changes := make([]revlog.Entry[Item], 0, len(touched))
 	for _, row := range touched {
-		changes = append(changes, revlog.Entry[Item]{Revision: index, Item: rowItem(row.Ref), Gone: row.Gone})
+		changes = append(changes, revlog.Entry[Item]{Revision: index, Item: rowItem(row.Ref), Gone: row.Deleted})
 	}
 	m.changeLog.Record(changes)
 }
@@ -202,7 +202,7 @@
 	m.changeLog.Record(changes)
 }
 
-func rowItem(ref table.Ref) Item {
+func rowItem(ref table.RowRef) Item {
 	return Item{Kind: KindRow, Sheet: ref.Sheet, Key: ref.Key}
 }
 
--- a/coordination/node/engineorder_test.go
+++ b/coordination/node/engineorder_test.go
@@ -12,9 +12,9 @@
 	"endiveplank/protocol/upstreamapi"
 )
 
-func loadAsk(f *nodetest.Fleet, office engineorders.Office, version string) engineorders.Ask {
-	return engineorders.Ask{
-		Upstream: "e1", Tenure: f.OwnerFence("e1"), Office: office, Fence: protocol.Fence(office) + 1,
+func loadRequest(f *nodetest.Fleet, term engineorders.Term, version string) engineorders.Request {
+	return engineorders.Request{
+		Upstream: "e1", OwnershipFence: f.OwnerFence("e1"), Term: term, Fence: protocol.Fence(term) + 1,
 		Intent: engineorders.Intent{Action: upstreamapi.ActionLoad, Model: "m", Version: version},
 	}
 }
@@ -45,18 +45,18 @@
 
 // The owner must pass an order to its engine and return the engine's answer and
 // the state that it reads afterwards. A router that isn't the owner must refuse
-// the ask and call no engine.
+// the request and call no engine.
 func TestOrderGoesThroughTheOwnerAndIsReadBack(t *testing.T) {
 	withBothEngines(t, func(f *nodetest.Fleet) {
-		f.Ask("r1", loadAsk(f, 10, "v1"))
+		f.SendEngineRequest("r1", loadRequest(f, 10, "v1"))
 		f.Run(time.Second)
 		reply := lastReply(t, f)
 		assert.Equal(t, reply.Status, 202)
 		assert.Equal(t, reply.State.Fence, protocol.Fence(11))
 		assert.Equal(t, version(f), "v1")
-		f.Ask("r2", loadAsk(f, 10, "v2"))
+		f.SendEngineRequest("r2", loadRequest(f, 10, "v2"))
 		f.Run(time.Second)
-		assert.Equal(t, lastReply(t, f).Verdict, engineorders.NotOwner)
+		assert.Equal(t, lastReply(t, f).Admission, engineorders.NotOwner)
 		assert.Equal(t, version(f), "v1")
 	})
 }
@@ -69,11 +69,11 @@
 	f.AddEngine("e1", "r1", 1000, 8)
 	f.Run(2 * time.Second)
 	done := func() float64 {
-		ask := loadAsk(f, 10, "")
-		ask.Fence, ask.ReadOnly = 0, true
-		f.Ask("r1", ask)
+		request := loadRequest(f, 10, "")
+		request.Fence, request.ReadOnly = 0, true
+		f.SendEngineRequest("r1", request)
 		f.Run(time.Second)
-		return lastReply(t, f).Done["m"]
+		return lastReply(t, f).Completed["m"]
 	}
 	f.Submit("r2", "q1", "key", "fuel?", 100)
 	f.Submit("r2", "q2", "key", "tyres?", 100)
@@ -92,12 +92,12 @@
 // keep the successor's version, even an engine that ignores fencing numbers.
 func TestOwnerRefusesTheOrderOfAFormerIssuer(t *testing.T) {
 	withBothEngines(t, func(f *nodetest.Fleet) {
-		late := loadAsk(f, 10, "v1")
-		f.Ask("r1", loadAsk(f, 20, "v2"))
+		late := loadRequest(f, 10, "v1")
+		f.SendEngineRequest("r1", loadRequest(f, 20, "v2"))
 		f.Run(time.Second)
-		f.Ask("r1", late)
+		f.SendEngineRequest("r1", late)
 		f.Run(time.Second)
-		assert.Equal(t, lastReply(t, f).Verdict, engineorders.FormerIssuer)
+		assert.Equal(t, lastReply(t, f).Admission, engineorders.FormerIssuer)
 		assert.Equal(t, version(f), "v2")
 	})
 }
@@ -109,22 +109,22 @@
 func TestThawedFormerOwnerPassesNoOrder(t *testing.T) {
 	withBothEngines(t, func(f *nodetest.Fleet) {
 		f.Freeze("r1")
-		f.Ask("r1", loadAsk(f, 10, "v1"))
+		f.SendEngineRequest("r1", loadRequest(f, 10, "v1"))
 		f.Run(4 * time.Second)
 		f.SetOwner("e1", "r3")
 		f.Run(time.Second)
-		f.Ask("r3", loadAsk(f, 20, "v2"))
+		f.SendEngineRequest("r3", loadRequest(f, 20, "v2"))
 		f.Run(time.Second)
 		assert.Equal(t, version(f), "v2")
 		f.Thaw("r1")
 		f.Run(5 * time.Second)
 		assert.Equal(t, version(f), "v2")
-		assert.Equal(t, lastReply(t, f).Verdict, engineorders.NotOwner)
+		assert.Equal(t, lastReply(t, f).Admission, engineorders.NotOwner)
 	})
 }
 
 // The ownership moves while the former owner still relays an answer of the
-// engine, and an ask reaches the former owner. It must pass no order, because the
+// engine, and a request reaches the former owner. It must pass no order, because the
 // new owner may pass one.
 func TestFormerOwnerThatStillRelaysPassesNoOrder(t *testing.T) {
 	f := newFleet(3)
@@ -136,12 +136,12 @@
 	}
 	f.SetOwner(engine, "r3")
 	f.Run(time.Second)
-	ask := loadAsk(f, 10, "v1")
-	ask.Upstream = engine
-	ask.Tenure = f.OwnerFence(engine)
-	f.Ask(former, ask)
+	request := loadRequest(f, 10, "v1")
+	request.Upstream = engine
+	request.OwnershipFence = f.OwnerFence(engine)
+	f.SendEngineRequest(former, request)
 	f.Run(time.Second)
-	assert.Equal(t, lastReply(t, f).Verdict, engineorders.NotOwner)
+	assert.Equal(t, lastReply(t, f).Admission, engineorders.NotOwner)
 }
 
 // An order is delayed between the owner's decision and the call, by the network
@@ -149,7 +149,7 @@
 func TestOrderDelayedBeyondTheLeaseIsNotSent(t *testing.T) {
 	withBothEngines(t, func(f *nodetest.Fleet) {
 		f.Engines["e1"].OrderDelay = 10 * time.Second
-		f.Ask("r1", loadAsk(f, 10, "v1"))
+		f.SendEngineRequest("r1", loadRequest(f, 10, "v1"))
 		f.Run(20 * time.Second)
 		assert.Equal(t, version(f), "")
 		assert.Assert(t, lastReply(t, f).State == nil)
@@ -162,14 +162,14 @@
 func TestOneCallToAnEngineAtATime(t *testing.T) {
 	withBothEngines(t, func(f *nodetest.Fleet) {
 		f.Engines["e1"].OrderDelay = time.Second
-		f.Ask("r1", loadAsk(f, 10, "v1"))
-		f.Ask("r1", loadAsk(f, 10, "v1"))
+		f.SendEngineRequest("r1", loadRequest(f, 10, "v1"))
+		f.SendEngineRequest("r1", loadRequest(f, 10, "v1"))
 		f.Run(500 * time.Millisecond)
-		assert.Equal(t, lastReply(t, f).Verdict, engineorders.CallBusy)
+		assert.Equal(t, lastReply(t, f).Admission, engineorders.CallBusy)
 		f.Run(time.Second)
-		assert.Equal(t, lastReply(t, f).Verdict, engineorders.Passed)
-		f.Ask("r1", loadAsk(f, 10, "v1"))
+		assert.Equal(t, lastReply(t, f).Admission, engineorders.Admitted)
+		f.SendEngineRequest("r1", loadRequest(f, 10, "v1"))
 		f.Run(2 * time.Second)
-		assert.Equal(t, lastReply(t, f).Verdict, engineorders.Passed)
+		assert.Equal(t, lastReply(t, f).Admission, engineorders.Admitted)
 	})
 }
--- a/coordination/node/order.go
+++ b/coordination/node/order.go
@@ -74,7 +74,7 @@
 	switch out := out.(type) {
 	case orders.Propose:
 		n.emit(Journal{Flow: JournalFlow{Attempt: fleet.Attempt{Request: e.request.ID}}, Command: out.Command})
-	case orders.Look:
+	case orders.ReadRecord:
 		e.phase = phaseJournal
 		e.order.readJournalAt = now + max(out.After, minJournalReadInterval)
 	case orders.Dispatch:
@@ -194,7 +194,7 @@
 // and the caller should not have to wait until the deadline.
 func (n *Node) orderRefused(now time.Duration, e *entryRequest) {
 	e.phase = phaseJournal
-	n.stepOrder(now, e, orders.Refused{})
+	n.stepOrder(now, e, orders.OwnersBusy{})
 }
 
 // orderCallerGone continues the order without its caller, who can ask for the
@@ -218,7 +218,7 @@
 func (n *Node) handleJournalResult(now time.Duration, in JournalResult) {
 	input := orders.Input(orders.Committed{Op: in.Op, Result: in.Result})
 	if in.Failed {
-		input = orders.ProposalLost{Op: in.Op}
+		input = orders.ProposalUncertain{Op: in.Op}
 	}
 	if in.Flow.Owner {
 		n.stepDispatchOf(now, in.Flow.Attempt, input)
