--- a/coordination/room/room.go
+++ b/coordination/loadlimit/loadlimit.go
@@ -1,6 +1,7 @@
-// Package room learns the load up to which upstreams begin their answers in time, so that
-// a router can refuse at once the requests that would only wait. A Limiter holds the load
-// limit of one service, learned by a LatencyCurve, and the fair shares of its customers.
+// Package loadlimit learns the load up to which upstreams begin their answers in time, so
+// that a router can refuse at once the requests that would only wait. A Limiter holds the
+// load limit of one service, learned by a LatencyCurve, and the fair shares of its
+// customers.
 //
 // It guards against overload: for ten or twenty seconds callers send twice what the
 // engines can do, or a third of the engines is gone. An engine has a fixed number of
@@ -14,7 +15,7 @@
 // not be known. Where answers are late at any load, as on upstreams that are slow by
 // themselves, load isn't the cause, refusing requests wouldn't make the others quicker,
 // and there is no limit.
-package room
+package loadlimit
 
 import (
 	"math"
--- a/coordination/room/shares.go
+++ b/coordination/loadlimit/shares.go
@@ -1,4 +1,4 @@
-package room
+package loadlimit
 
 import (
 	"maps"
--- a/daemon/router/fleet.go
+++ b/daemon/router/fleet.go
@@ -7,8 +7,8 @@
 	"endiveplank/coordination/answertime"
 	"endiveplank/coordination/balance"
 	"endiveplank/coordination/crashes"
+	"endiveplank/coordination/loadlimit"
 	"endiveplank/coordination/retry"
-	"endiveplank/coordination/room"
 	"endiveplank/coordination/routing"
 	"endiveplank/protocol"
 	"endiveplank/transport/forward"
@@ -116,10 +116,10 @@
 }
 
 // limiter returns the load limiter of a service. The lock is held.
-func (r *Router) limiter(service protocol.Service) *room.Limiter {
+func (r *Router) limiter(service protocol.Service) *loadlimit.Limiter {
 	limiter := r.limiters[service]
 	if limiter == nil {
-		limiter = room.NewLimiter()
+		limiter = loadlimit.NewLimiter()
 		r.limiters[service] = limiter
 	}
 	return limiter
--- a/daemon/router/router.go
+++ b/daemon/router/router.go
@@ -17,8 +17,8 @@
 	"endiveplank/coordination/control"
 	"endiveplank/coordination/crashes"
 	"endiveplank/coordination/document"
+	"endiveplank/coordination/loadlimit"
 	"endiveplank/coordination/retry"
-	"endiveplank/coordination/room"
 	"endiveplank/coordination/roster"
 	"endiveplank/coordination/routing"
 	"endiveplank/daemon/fabric"
@@ -83,7 +83,7 @@
 	crashes  *crashes.Record
 	times    *answertime.Times
 	windows  map[protocol.Service]*retry.Window
-	limiters map[protocol.Service]*room.Limiter
+	limiters map[protocol.Service]*loadlimit.Limiter
 	// loggedLimits holds, by service, whether logLimits last reported a limit.
 	loggedLimits map[protocol.Service]bool
 	routers      []control.Router
@@ -113,7 +113,7 @@
 		crashes:      crashes.New(crashes.DefaultSettings()),
 		times:        answertime.New(),
 		windows:      map[protocol.Service]*retry.Window{},
-		limiters:     map[protocol.Service]*room.Limiter{},
+		limiters:     map[protocol.Service]*loadlimit.Limiter{},
 		loggedLimits: map[protocol.Service]bool{},
 		quit:         make(chan struct{}),
 	}
@@ -333,7 +333,7 @@
 	r.times.Retain(func(route string) bool {
 		return slices.ContainsFunc(table.Routes, func(known routing.Route) bool { return known.Name == route })
 	})
-	maps.DeleteFunc(r.limiters, func(service protocol.Service, _ *room.Limiter) bool {
+	maps.DeleteFunc(r.limiters, func(service protocol.Service, _ *loadlimit.Limiter) bool {
 		return !slices.ContainsFunc(table.Services, func(known routing.Service) bool { return known.Name == service })
 	})
 	return nil
@@ -359,7 +359,7 @@
 func (r *Router) logLimits(now time.Duration) {
 	for service, limiter := range r.limiters {
 		limit := limiter.Limit(now)
-		limited := limit != room.Unlimited
+		limited := limit != loadlimit.Unlimited
 		if limited == r.loggedLimits[service] {
 			continue
 		}
