--- a/report/story/story.go
+++ b/report/timeline/timeline.go
@@ -1,4 +1,4 @@
-// Package story joins the log lines of several processes into the timeline of one
+// Package timeline joins the log lines of several processes into the timeline of one
 // request: what its router decided and why, and which state the processes logged
 // for the upstreams involved around that time. Logs reads the lines and writes the
 // timeline.
@@ -6,7 +6,7 @@
 // It reads lines of JSON as the processes write them, also after other text that
 // a log collector may put in front. No process needs to be alive: for a request
 // whose router died, the timeline shows where the request was sent last.
-package story
+package timeline
 
 import (
 	"bufio"
--- a/report/story/story_test.go
+++ b/report/timeline/timeline_test.go
@@ -1,4 +1,4 @@
-package story
+package timeline
 
 import (
 	"strings"
--- a/tool/status.go
+++ b/tool/status.go
@@ -11,7 +11,7 @@
 	"github.com/spf13/cobra"
 
 	"endiveplank/coordination/explain"
-	"endiveplank/report/story"
+	"endiveplank/report/timeline"
 	"endiveplank/transport/admin"
 )
 
@@ -101,7 +101,7 @@
 		Example: "  endiveplank explain logs 9c41d07be2a35f68 /var/log/endiveplank/*.log\n  journal | endiveplank explain logs 9c41d07be2a35f68",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
-			logs := &story.Logs{}
+			logs := &timeline.Logs{}
 			if err := readLogs(logs, command.InOrStdin(), args[1:]); err != nil {
 				return err
 			}
@@ -115,7 +115,7 @@
 }
 
 // readLogs reads the named files, or input if none is named.
-func readLogs(logs *story.Logs, input io.Reader, files []string) error {
+func readLogs(logs *timeline.Logs, input io.Reader, files []string) error {
 	if len(files) == 0 {
 		return logs.Read(input)
 	}
@@ -127,7 +127,7 @@
 	return nil
 }
 
-func readLog(logs *story.Logs, name string) error {
+func readLog(logs *timeline.Logs, name string) error {
 	file, err := os.Open(name)
 	if err != nil {
 		return eris.Wrap(err, "open log file")
