--- a/coordination/loadbench/crash.go
+++ b/coordination/loadbench/crash.go
@@ -52,13 +52,19 @@
 }
 
 const (
-	restartTime    = 60 * time.Second
+	// restartTime is how long an engine is down after a crash.
+	restartTime = 60 * time.Second
+	// resendDelay is the time after which a caller sends a failed or refused
+	// request again. It sends a request maxSends times at most.
 	resendDelay    = 2 * time.Second
 	maxSends       = 20
 	requestTimeout = 30 * time.Second
-	noticeDelay    = 200 * time.Millisecond
-	retryDelay     = 50 * time.Millisecond
-	customer       = protocol.CustomerID("customer")
+	// noticeDelay is the time that a notice takes from one router to another.
+	noticeDelay = 200 * time.Millisecond
+	// retryDelay is the time after which a router retries a harmless request whose
+	// engine crashed.
+	retryDelay = 50 * time.Millisecond
+	customer   = protocol.CustomerID("customer")
 )
 
 // crashModel runs the quarantine trackers of the routers against a pool of engines.
@@ -76,7 +82,7 @@
 
 type crashEngine struct {
 	id          protocol.UpstreamID
-	owner       int
+	owner       int // index of the router that places requests on the engine
 	incarnation uint64
 	downUntil   time.Duration
 	running     map[*crashJob]bool
--- a/coordination/loadbench/crash_scenarios.go
+++ b/coordination/loadbench/crash_scenarios.go
@@ -36,8 +36,8 @@
 	}}
 }
 
-// rackScenario loses a third of the engines together, without a bad request. No
-// request may be quarantined for that.
+// rackScenario loses a third of the engines within 300 ms, as when a rack fails,
+// and sends no bad request. No request may be quarantined for that.
 func rackScenario() Scenario {
 	config := CrashConfig{
 		Routers:           9,
--- a/coordination/loadbench/demand.go
+++ b/coordination/loadbench/demand.go
@@ -35,10 +35,11 @@
 	Period   time.Duration
 }
 
-// WorkloadMix returns the workload of one engine: clerks, dispatchers and
-// households in class 0, one of them a large customer, drafts of paperwork in
-// class 1, and season summaries in class 2. Requests for whose answers people wait
-// are short, except those of long-questions.
+// WorkloadMix returns the workload of one engine. Class 0 holds requests for whose
+// answers people wait: those of dispatchers, clerks and households, and long
+// questions. dispatch-large is a large customer. Class 1 holds drafts of paperwork,
+// and class 2 season summaries. Requests of class 0 are short, except those of
+// long-questions.
 func WorkloadMix() []Demand {
 	const urgent, drafts, summaries = 0, 1, 2
 	return []Demand{
--- a/coordination/loadbench/doc.go
+++ b/coordination/loadbench/doc.go
@@ -15,10 +15,16 @@
 //     network is partitioned, and measures the control traffic.
 //   - Storm: routers that retry against a saturated or lost pool. It guards
 //     against retry storms that keep the pool from recovering.
-//   - Crash: requests that crash engines, with routers that quarantine them.
+//   - Crash: requests that crash engines, with routers that quarantine them. It
+//     guards against one request that crashes many engines, and against harmless
+//     requests that are refused or delayed because of it.
 //   - SlowEngines: a group of engines of which some are slow, and placement by
-//     the weights of package slowness.
-//   - Stall: streams whose connections fall silent, and the detection of that.
+//     the weights of package slowness. It guards against slow engines that get
+//     as many requests as the others, and against engines that are wrongly
+//     reported slow.
+//   - Stall: streams whose connections fall silent. It guards against silent
+//     connections that are detected late, and against live streams that are
+//     taken for silent.
 //
 // Scenarios returns the runs of these models, each with its metrics. The tests
 // check every metric against the bounds in bounds.json.
--- a/coordination/loadbench/fleet.go
+++ b/coordination/loadbench/fleet.go
@@ -14,7 +14,8 @@
 type LimitPolicy uint8
 
 const (
-	// Credit uses package limits.
+	// Credit uses package limits: the home router of each customer grants
+	// credit to the routers.
 	Credit LimitPolicy = iota
 	// EqualShares gives each router the same part of each limit.
 	EqualShares
@@ -103,30 +104,30 @@
 
 type fleet struct {
 	Clock
-	config       FleetConfig
-	rng          *rand.Rand
-	ids          []protocol.RouterID
-	limiters     []*limits.Limiter
-	homes        []*limits.Home
-	localBuckets []map[int]*localBucket
-	customers    []*fleetCustomer
-	byID         map[protocol.CustomerID]*fleetCustomer
-	sendPlanned  []bool            // per router: a round of credit requests is scheduled
-	waiting      [][]*fleetRequest // per router, in order of arrival
-	bytes        []int
-	allowed      int
-	waited       int
+	config           FleetConfig
+	rng              *rand.Rand
+	ids              []protocol.RouterID
+	limiters         []*limits.Limiter
+	homes            []*limits.Home
+	localBuckets     []map[int]*localBucket
+	customers        []*fleetCustomer
+	byID             map[protocol.CustomerID]*fleetCustomer
+	sendPlanned      []bool            // per router: a round of credit requests is scheduled
+	waiting          [][]*fleetRequest // per router, in order of arrival
+	bytes            []int             // per router: control bytes sent
+	admittedRequests int
+	waited           int // admitted requests that waited
 }
 
 type fleetCustomer struct {
 	id              protocol.CustomerID
-	home            int
+	home            int // index of the home router
 	rate            float64
 	limit           limits.Limit
 	greedy          bool
 	sent            int
 	refused         int
-	admitted        float64
+	admittedTokens  float64
 	inFlight        int
 	maxInFlight     int
 	inFlightSeconds float64 // sum over the requests of the seconds in flight
@@ -283,11 +284,11 @@
 	if f.Now() < f.config.WarmUp {
 		return
 	}
-	f.allowed++
+	f.admittedRequests++
 	if f.Now() > r.sent {
 		f.waited++
 	}
-	r.customer.admitted += float64(r.tokens)
+	r.customer.admittedTokens += float64(r.tokens)
 }
 
 // run keeps a request in flight for an exponentially distributed time.
@@ -309,8 +310,8 @@
 }
 
 // admitLocally decides by a token bucket of each router, for the baselines
-// EqualShares and PerRouter. It holds two seconds of the limit, but at least the
-// tokens of the largest request.
+// EqualShares and PerRouter. The bucket holds two seconds of the limit, but at
+// least the tokens of the largest request.
 func (f *fleet) admitLocally(r *fleetRequest) {
 	rate := r.customer.limit.TokensPerSecond
 	if f.config.Policy == EqualShares {
@@ -364,12 +365,12 @@
 			modest += c.sent
 			modestRefused += c.refused
 		case !f.config.Concurrent && allowed >= MinAdmitted*requestTokens:
-			r.MaxErrorPct = max(r.MaxErrorPct, 100*(c.admitted/allowed-1))
-			r.MinErrorPct = min(r.MinErrorPct, 100*(c.admitted/allowed-1))
+			r.MaxErrorPct = max(r.MaxErrorPct, 100*(c.admittedTokens/allowed-1))
+			r.MinErrorPct = min(r.MinErrorPct, 100*(c.admittedTokens/allowed-1))
 		}
 	}
 	r.ModestRefusedPct = percent(modestRefused, modest)
-	r.WaitedPct = percent(f.waited, f.allowed)
+	r.WaitedPct = percent(f.waited, f.admittedRequests)
 	for _, sent := range f.bytes {
 		perSecond := float64(sent) / seconds
 		r.BytesMean += perSecond / float64(f.config.Routers)
--- a/coordination/loadbench/fleet_messages.go
+++ b/coordination/loadbench/fleet_messages.go
@@ -10,7 +10,7 @@
 )
 
 // sendCreditRequests waits bundleDelay so that more credit requests of a router
-// become due, then sends one message with all of them to each home.
+// become due, and then sends each home one message with the requests for it.
 func (f *fleet) sendCreditRequests(router int) {
 	if f.sendPlanned[router] {
 		return
@@ -74,8 +74,8 @@
 	return router < f.config.Partitioned && f.Now() >= f.config.PartitionFrom && f.Now() < f.config.PartitionTo
 }
 
-// retryWaiting decides again about the requests of the given customers that wait at a
-// router.
+// retryWaiting decides again about the requests of the given customers that wait
+// at a router.
 func (f *fleet) retryWaiting(router int, customers map[*fleetCustomer]bool) {
 	var rest []*fleetRequest
 	for _, r := range f.waiting[router] {
--- a/coordination/loadbench/serving.go
+++ b/coordination/loadbench/serving.go
@@ -9,13 +9,15 @@
 	"endiveplank/protocol"
 )
 
-// AdmissionPolicy is how the engine's owner admits requests.
+// AdmissionPolicy is how the engine's owner, the one router that places requests
+// on it, admits them.
 type AdmissionPolicy uint8
 
 const (
 	// FairQueue uses package admission.
 	FairQueue AdmissionPolicy = iota
-	// FirstCome uses an unbounded first-come queue before the same gate.
+	// FirstCome uses an unbounded first-come queue. Requests leave both queues
+	// through the same gate.
 	FirstCome
 	// Ungated starts every request at once.
 	Ungated
@@ -196,8 +198,8 @@
 	return len(s.engine.running) < maxRunning && s.engine.outstandingTokens()+float64(tokens) <= maxOutstandingTokens
 }
 
-// recordProgress tells the queue how many tokens the engine generated since the
-// last event. It keeps the fraction of a token for the next call.
+// recordProgress reports to the queue how many tokens the engine generated since
+// the last event. It keeps the fraction of a token for the next call.
 func (s *serving) recordProgress() {
 	streams := len(s.engine.running)
 	s.unreportedTokens += s.engine.advance()
--- a/coordination/loadbench/serving_scenarios.go
+++ b/coordination/loadbench/serving_scenarios.go
@@ -28,7 +28,7 @@
 	longQuestions   = protocol.CustomerID("long-questions")
 	surgingCustomer = protocol.CustomerID("dispatch-large")
 	surgeFactor     = 10
-	// normalLoad is the load before the surge.
+	// normalLoad is the load without the surge.
 	normalLoad = 0.8
 )
 
@@ -112,6 +112,7 @@
 	}
 }
 
+// saturated sends load times the engine's capacity.
 func saturated(load float64, demand []Demand) Scenario {
 	return Scenario{Name: fmt.Sprintf("serving/saturated=%g", load), Run: func() []Metric {
 		config := servingConfig(load, demand)
