--- a/daemon/diskvm/member.go
+++ b/daemon/diskvm/member.go
@@ -143,11 +143,11 @@
 	}
 }
 
-// setContacts tells the member which disk VMs to contact first.
-func (vm *VM) setContacts(member *replica.Replica, seeds []protocol.RouterID) {
+// setPeers sets the disk VMs that the member contacts first.
+func (vm *VM) setPeers(member *replica.Replica, seeds []protocol.RouterID) {
 	ctx, cancel := context.WithTimeout(context.Background(), electionTimeout)
 	defer cancel()
-	if err := member.SetContacts(ctx, seeds); err != nil {
+	if err := member.SetPeers(ctx, seeds); err != nil {
 		vm.log.Warn().Str("event", "contacts-not-set").Err(err).Send()
 	}
 }
--- a/daemon/diskvm/vm.go
+++ b/daemon/diskvm/vm.go
@@ -270,7 +270,7 @@
 		vm.done.Add(1)
 		go func() {
 			defer vm.done.Done()
-			vm.setContacts(member, changed.SeedPeers())
+			vm.setPeers(member, changed.SeedPeers())
 		}()
 	}
 	vm.log.Info().Str("event", "settings-reloaded").Strs("seeds", changed.Seeds).Send()
--- a/state/replica/config.go
+++ b/state/replica/config.go
@@ -41,7 +41,7 @@
 	// Self is the router that this member runs on.
 	Self protocol.RouterID
 	// Peers are all routers with a disk, including Self. With Open they are only
-	// the routers to contact first: Self need not be among them, and SetContacts
+	// the routers to contact first: Self need not be among them, and SetPeers
 	// replaces them.
 	Peers []protocol.RouterID
 	// Open lets routers with a disk join that are not in Peers, see
--- a/state/replica/replica.go
+++ b/state/replica/replica.go
@@ -174,9 +174,9 @@
 	return r.await(ctx, reply)
 }
 
-// SetContacts replaces the routers to contact first. It has an effect only with
+// SetPeers replaces the routers to contact first. It has an effect only with
 // Config.Open.
-func (r *Replica) SetContacts(ctx context.Context, routers []protocol.RouterID) error {
+func (r *Replica) SetPeers(ctx context.Context, routers []protocol.RouterID) error {
 	return r.enqueue(ctx, func() { r.core.SetPeers(routers) })
 }
 
