--- a/state/wal/wal_test.go
+++ b/state/wal/wal_test.go
@@ -314,7 +314,7 @@
 	}
 }
 
-func TestFailedSyncPoisonsTheLog(t *testing.T) {
+func TestNoWriteSucceedsAfterAFailedSync(t *testing.T) {
 	// A sync fails and the next one would succeed, because the kernel has dropped
 	// the dirty pages. The log must not confirm anything after the first failure.
 	for name, breakDisk := range map[string]func(*fakedisk.Disk, bool){
@@ -348,7 +348,7 @@
 	assert.Equal(t, d.Syncs()-before, 1)
 }
 
-func TestSnapshotLetsOldSegmentsGo(t *testing.T) {
+func TestSnapshotRemovesCoveredSegments(t *testing.T) {
 	// Segments that a snapshot covers must be removed, or the log would grow
 	// without bound. No entry after the snapshot may be lost with them.
 	d := diskWithEntries(t, 40)
