--- a/coordination/consensus/open_test.go
+++ b/coordination/consensus/open_test.go
@@ -82,8 +82,8 @@
 	assert.Equal(t, sim.violation, "")
 }
 
-func TestARemovedVoterThatReturnsIsTakenInAgain(t *testing.T) {
-	// Guards against a removed voter that stays outside for ever. It was silent
+func TestRemovedVoterThatReturnsIsReadmitted(t *testing.T) {
+	// Guards against a removed voter that is never readmitted. It was silent
 	// for so long that it was removed; it returns with its disk and an old
 	// configuration, and knows only a follower.
 	sim := newOpenSimulation(13, 4)
