--- a/coordination/fleetstate/machine.go
+++ b/coordination/fleetstate/machine.go
@@ -137,7 +137,7 @@
 		answer, changed := m.registry.Remove(*command.Remove)
 		m.recordDescriptor(index, command.Remove.ID, changed, true)
 		if changed {
-			m.engines.Removed(command.Remove.ID)
+			m.engines.Remove(command.Remove.ID)
 		}
 		return Result{Registry: &answer}
 	case command.Engine != nil:
@@ -149,7 +149,7 @@
 	return Result{Ownership: &answer}
 }
 
-func (m *Machine) applyOwnership(index uint64, command Command) (ownership.Answer, []ownership.Touched) {
+func (m *Machine) applyOwnership(index uint64, command Command) (ownership.Answer, []ownership.Change) {
 	switch {
 	case command.Open != nil:
 		return m.ownership.Open(index, *command.Open)
@@ -182,27 +182,27 @@
 	m.changeLog.Record([]revlog.Entry[Item]{{Revision: index, Item: descriptorItem(id), Gone: gone}})
 }
 
-func (m *Machine) recordRows(index uint64, touched []table.Touched) {
+func (m *Machine) recordRows(index uint64, touched []table.ChangedRow) {
 	changes := make([]revlog.Entry[Item], 0, len(touched))
 	for _, row := range touched {
-		changes = append(changes, revlog.Entry[Item]{Revision: index, Item: rowItem(row.Ref), Gone: row.Gone})
+		changes = append(changes, revlog.Entry[Item]{Revision: index, Item: rowItem(row.Ref), Gone: row.Deleted})
 	}
 	m.changeLog.Record(changes)
 }
 
-func (m *Machine) recordOwnership(index uint64, touched []ownership.Touched) {
+func (m *Machine) recordOwnership(index uint64, touched []ownership.Change) {
 	changes := make([]revlog.Entry[Item], 0, len(touched))
 	for _, t := range touched {
 		item := assignmentItem(t.Upstream)
 		if t.Session != ownership.NoSession {
 			item = sessionItem(t.Session)
 		}
-		changes = append(changes, revlog.Entry[Item]{Revision: index, Item: item, Gone: t.Gone})
+		changes = append(changes, revlog.Entry[Item]{Revision: index, Item: item, Gone: t.Removed})
 	}
 	m.changeLog.Record(changes)
 }
 
-func rowItem(ref table.Ref) Item {
+func rowItem(ref table.RowRef) Item {
 	return Item{Kind: KindRow, Sheet: ref.Sheet, Key: ref.Key}
 }
 
--- a/coordination/node/node.go
+++ b/coordination/node/node.go
@@ -242,8 +242,8 @@
 		n.handleJournalResult(now, in)
 	case PeerOrderReport:
 		n.handleOrderReport(now, in)
-	case PeerEngineAsk:
-		n.handleEngineAsk(now, in)
+	case PeerEngineRequest:
+		n.handleEngineRequest(now, in)
 	case CacheMoved:
 		n.handleCacheMoved(in)
 	case EngineAnswered:
--- a/coordination/node/nodetest/engineorder.go
+++ b/coordination/node/nodetest/engineorder.go
@@ -12,22 +12,22 @@
 	return f.upstreams[upstream].Fence
 }
 
-// Ask sends an ask about an engine from the issuer to a router.
-func (f *Fleet) Ask(to protocol.RouterID, ask engineorders.Ask) {
+// SendEngineRequest sends a request about an engine from the issuer to a router.
+func (f *Fleet) SendEngineRequest(to protocol.RouterID, request engineorders.Request) {
 	r := f.Routers[to]
 	f.after(latency, func() {
-		f.runOn(r, func() { f.step(r, node.PeerEngineAsk{From: "issuer", Ask: ask}) })
+		f.runOn(r, func() { f.step(r, node.PeerEngineRequest{From: "issuer", Request: request}) })
 	})
 }
 
 // orderEngine passes an order to an engine and returns the engine's state to the
 // router. Like the real client it sends nothing at or after NotAfter.
 func (f *Fleet) orderEngine(r *Router, out node.OrderEngine) {
-	engine := f.Engines[out.Ask.Upstream]
+	engine := f.Engines[out.Request.Upstream]
 	f.after(latency+engine.OrderDelay, func() {
-		answered := node.EngineAnswered{From: out.From, Ask: out.Ask}
+		answered := node.EngineAnswered{From: out.From, Request: out.Request}
 		if f.Now < out.NotAfter {
-			answered.Status = engine.order(out.Ask)
+			answered.Status = engine.order(out.Request)
 			state := engine.State
 			answered.State = &state
 		}
@@ -35,16 +35,16 @@
 	})
 }
 
-// order executes an order at once and returns its HTTP status, or 0 if the ask
+// order executes an order at once and returns its HTTP status, or 0 if the request
 // is read-only.
-func (e *Engine) order(ask engineorders.Ask) int {
-	if ask.ReadOnly {
+func (e *Engine) order(request engineorders.Request) int {
+	if request.ReadOnly {
 		return 0
 	}
-	if e.ChecksFence && ask.Fence < e.State.Fence {
+	if e.ChecksFence && request.Fence < e.State.Fence {
 		return upstreamapi.StatusConflict
 	}
-	e.State.Fence = ask.Fence
-	e.State.Models = []upstreamapi.LoadedModel{{Model: ask.Intent.Model, Version: ask.Intent.Version, Ready: true}}
+	e.State.Fence = request.Fence
+	e.State.Models = []upstreamapi.LoadedModel{{Model: request.Intent.Model, Version: request.Intent.Version, Ready: true}}
 	return upstreamapi.StatusAccepted
 }
--- a/coordination/node/nodetest/fleet.go
+++ b/coordination/node/nodetest/fleet.go
@@ -50,7 +50,7 @@
 	ApplyRemovals bool
 	// Journal is the replicated state, used for orders and sessions.
 	Journal *fleetstate.Machine
-	// EngineReplies holds the replies of owners to the issuer's asks.
+	// EngineReplies holds the replies of owners to the issuer's requests.
 	EngineReplies []engineorders.Reply
 	// CacheMoves holds the moves of caches that routers started.
 	CacheMoves []node.MoveCache
--- a/protocol/wire/wire.go
+++ b/protocol/wire/wire.go
@@ -97,10 +97,10 @@
 	KindAttemptAlive Kind = 26
 	// KindProbe has no payload. Its acknowledgement shows that a connection works.
 	KindProbe Kind = 27
-	// KindEngineAsk carries an engine order from its issuer to the engine's owner,
+	// KindEngineRequest carries an engine order from its issuer to the engine's owner,
 	// and KindEngineReply the answer to it.
-	KindEngineAsk   Kind = 40
-	KindEngineReply Kind = 41
+	KindEngineRequest Kind = 40
+	KindEngineReply   Kind = 41
 	// KindWatch to KindChangesAck are the messages of coordination/control between
 	// disk VMs and the routers that send to upstreams themselves.
 	KindWatch      Kind = 50
@@ -144,8 +144,8 @@
 	KindQuarantine: "quarantine", KindOrderReport: "order-report", KindChatMoved: "moved",
 	KindLimitAsk: "limit-ask", KindLimitAnswer: "limit-answer",
 	KindAttemptCheck: "check", KindAttemptAlive: "alive",
-	KindProbe:     "probe",
-	KindEngineAsk: "engine-ask", KindEngineReply: "engine-reply",
+	KindProbe:         "probe",
+	KindEngineRequest: "engine-ask", KindEngineReply: "engine-reply",
 	KindWatch: "watch", KindStatus: "news", KindChanges: "roster", KindChangesAck: "roster-ack", KindList: "list", KindDocument: "document",
 	KindHeartbeats: "heard", KindAnnouncements: "announced", KindAnnouncementsAck: "announced-ack", KindPut: "put", KindPutReply: "put-reply", KindRead: "read", KindReadReply: "read-reply",
 	KindLoadReport: "loads", KindHome: "home", KindHomeReply: "home-reply", KindCrash: "blame", KindCacheHolders: "keepers",
