--- a/coordination/loadbound/decision.go
+++ b/coordination/loadbound/decision.go
@@ -72,9 +72,9 @@
 	// the entry router within the last few round trips, in tokens; 0 if it
 	// asked no other owner.
 	OthersLoad float64
-	// LastChoice says that the entry router has no other choice left: the
-	// outcome is then never Spill.
-	LastChoice bool
+	// Final says that this is the entry router's final query, since it has no
+	// other choice left. The outcome is then never Spill.
+	Final bool
 }
 
 // Decision is the owner's decision about a Request.
--- a/coordination/loadbound/doc.go
+++ b/coordination/loadbound/doc.go
@@ -45,7 +45,7 @@
 //     its upstreams were idle. An upstream goes over the mean by at most this
 //     one request.
 //
-// Otherwise the outcome is spill (try the next choice) or, for the last choice,
+// Otherwise the outcome is spill (try the next choice) or, for a final query,
 // queue: the owner's queue then decides by priority and deadline.
 //
 // # Change of owner
--- a/coordination/loadbound/exchange_test.go
+++ b/coordination/loadbound/exchange_test.go
@@ -180,7 +180,7 @@
 
 func (w *fleet) admit(t *rapid.T, now time.Duration, r int) {
 	cost := rapid.Float64Range(1, 3000).Draw(t, "cost")
-	d := w.ledgers[r].Admit(now, upstream(r), Request{Cost: cost, LastChoice: rapid.Bool().Draw(t, "final")})
+	d := w.ledgers[r].Admit(now, upstream(r), Request{Cost: cost, Final: rapid.Bool().Draw(t, "final")})
 	if d.Outcome != Admit {
 		return
 	}
--- a/coordination/loadbound/handover_test.go
+++ b/coordination/loadbound/handover_test.go
@@ -48,7 +48,7 @@
 // admit lets any router try: the owner, or a former owner that was frozen and
 // whose lease has expired.
 func (p *sharedEngine) admit(t *rapid.T, now time.Duration, router int, cost float64) {
-	d := p.owners[router].Admit(now, "e", Request{Cost: cost, LastChoice: true})
+	d := p.owners[router].Admit(now, "e", Request{Cost: cost, Final: true})
 	if d.Outcome != Admit {
 		return
 	}
--- a/coordination/loadbound/ledger.go
+++ b/coordination/loadbound/ledger.go
@@ -233,17 +233,17 @@
 		return decision
 	}
 	soft := request.Multiple
-	if soft == 0 || soft > l.config.Multiple || request.LastChoice {
+	if soft == 0 || soft > l.config.Multiple || request.Final {
 		soft = l.config.Multiple
 	}
 	// The hard bound uses the floor of the mean and always holds. The soft
 	// bound is a preference, so it uses the latest reported mean.
 	within := after <= l.config.Multiple*share*(fleet.floor+request.Cost)
-	if within && (request.LastChoice || decision.Ratio <= soft) {
+	if within && (request.Final || decision.Ratio <= soft) {
 		decision.Reason = WithinBound
 		return decision
 	}
-	if request.LastChoice && load <= reportedShare*fleet.reported {
+	if request.Final && load <= reportedShare*fleet.reported {
 		decision.Reason = OneOver
 		return decision
 	}
@@ -268,11 +268,11 @@
 	fleet.reported = max(fleet.reported, load+others)
 }
 
-// deny turns a decision into Spill, or into Queue for the last choice.
+// deny turns a decision into Spill, or into Queue for a final query.
 func (d Decision) deny(request Request, reason Reason) Decision {
 	d.Reason = reason
 	d.Outcome = Spill
-	if request.LastChoice {
+	if request.Final {
 		d.Outcome = Queue
 	}
 	return d
--- a/coordination/loadbound/ledger_test.go
+++ b/coordination/loadbound/ledger_test.go
@@ -35,11 +35,11 @@
 		{"huge on idle", []float64{1, 1}, []float64{0, 100}, Request{Cost: 1e6}, Admit, Idle},
 		{"within", []float64{1, 1}, []float64{100, 100}, Request{Cost: 10}, Admit, WithinBound},
 		{"over", []float64{1, 1}, []float64{170, 100}, Request{Cost: 10}, Spill, OverBound},
-		{"over finally", []float64{1, 1}, []float64{170, 100}, Request{Cost: 10, LastChoice: true}, Queue, OverBound},
+		{"over finally", []float64{1, 1}, []float64{170, 100}, Request{Cost: 10, Final: true}, Queue, OverBound},
 		{"soft", []float64{1, 1}, []float64{100, 100}, Request{Cost: 10, Multiple: 1.01}, Spill, OverSoftBound},
-		{"soft ignored finally", []float64{1, 1}, []float64{100, 100}, Request{Cost: 10, Multiple: 1.01, LastChoice: true}, Admit, WithinBound},
-		{"huge is one over finally", []float64{1, 1}, []float64{100, 100}, Request{Cost: 1000, LastChoice: true}, Admit, OneOver},
-		{"no second huge", []float64{1, 1}, []float64{1100, 100}, Request{Cost: 1000, LastChoice: true}, Queue, OverBound},
+		{"soft ignored finally", []float64{1, 1}, []float64{100, 100}, Request{Cost: 10, Multiple: 1.01, Final: true}, Admit, WithinBound},
+		{"huge is one over finally", []float64{1, 1}, []float64{100, 100}, Request{Cost: 1000, Final: true}, Admit, OneOver},
+		{"no second huge", []float64{1, 1}, []float64{1100, 100}, Request{Cost: 1000, Final: true}, Queue, OverBound},
 		{"twice the capacity, twice the load", []float64{2, 1}, []float64{200, 100}, Request{Cost: 20}, Admit, WithinBound},
 		{"half the capacity", []float64{1, 2}, []float64{200, 100}, Request{Cost: 20}, Spill, OverBound},
 		{"no cost", []float64{1}, []float64{0}, Request{}, Refuse, BadCost},
@@ -60,15 +60,15 @@
 }
 
 // An owner admits nothing to an upstream that it doesn't own, takes no
-// ownership without a capacity, and admits no more than MaxRequests even as a
-// last choice.
+// ownership without a capacity, and admits no more than MaxRequests even for a
+// final query.
 func TestUnknownUpstreamAndFullUpstream(t *testing.T) {
 	l := NewLedger(DefaultConfig())
 	assert.Equal(t, l.Admit(0, "x", Request{Cost: 1}).Reason, NotOwner)
 	assert.Assert(t, !l.Acquire(0, "x", Grant{Fence: 1, ExpiresAt: forever}))
 	assert.Assert(t, l.Acquire(0, "x", Grant{Fence: 1, ExpiresAt: forever, Capacity: 1, MaxRequests: 1}))
 	assert.Equal(t, l.Admit(0, "x", Request{Cost: 1}).Outcome, Admit)
-	assert.Equal(t, l.Admit(0, "x", Request{Cost: 1, LastChoice: true}).Reason, UpstreamFull)
+	assert.Equal(t, l.Admit(0, "x", Request{Cost: 1, Final: true}).Reason, UpstreamFull)
 }
 
 // A router freezes for longer than its lease while its engine is busy. The next
@@ -120,7 +120,7 @@
 	l := NewLedger(DefaultConfig())
 	l.Acquire(0, "e", Grant{Fence: 2, ExpiresAt: forever, Capacity: 100,
 		Reported: upstreamapi.Load{Running: 5, OutstandingTokens: 1000}})
-	l.Admit(0, "e", Request{Cost: 300, LastChoice: true})
+	l.Admit(0, "e", Request{Cost: 300, Final: true})
 	l.HandleReport(time.Second, "e", upstreamapi.Load{Running: 3, OutstandingTokens: 500})
 	load, _, _ := l.Load(time.Second, "e")
 	floor, _, _ := l.Fleet(time.Second)
@@ -136,9 +136,9 @@
 	for _, a := range l.order {
 		a.running, a.requests = 1000, 10
 	}
-	d := l.Admit(0, upstream(0), Request{Cost: 10, LastChoice: true})
+	d := l.Admit(0, upstream(0), Request{Cost: 10, Final: true})
 	assert.Equal(t, d.Reason, OneOver)
-	assert.Equal(t, l.Admit(0, upstream(0), Request{Cost: 10, LastChoice: true}).Outcome, Queue)
+	assert.Equal(t, l.Admit(0, upstream(0), Request{Cost: 10, Final: true}).Outcome, Queue)
 }
 
 // An owner is lost while five streams run on its engine. Their entry routers
@@ -162,7 +162,7 @@
 func TestCorrectedCostEndsWithItsRequest(t *testing.T) {
 	l := owning(1)
 	kept := l.Admit(0, upstream(0), Request{Cost: 10})
-	long := l.Admit(0, upstream(0), Request{Cost: 10, LastChoice: true})
+	long := l.Admit(0, upstream(0), Request{Cost: 10, Final: true})
 	l.Correct(long.Ticket, 50)
 	l.Correct(long.Ticket, 70)
 	l.Correct(Ticket{Upstream: upstream(0), Fence: 9, Cost: 1}, 99)
--- a/coordination/node/entry.go
+++ b/coordination/node/entry.go
@@ -35,8 +35,8 @@
 	phaseRunning
 	// phaseWaiting: no attempt is in flight; the next one starts at wakeAt.
 	phaseWaiting
-	// phaseAwaitingLimit: the request waits for credit from the home of its
-	// customer's limits.
+	// phaseAwaitingLimit: the request waits for credit from the router that
+	// manages its customer's limits.
 	phaseAwaitingLimit
 	// phaseJournal: an order waits for the journal, before or after its attempt.
 	phaseJournal
@@ -56,13 +56,13 @@
 	upstream *Upstream
 	// walk finds an upstream for a chat and is valid while walking is set. For a
 	// plain service candidates lists the upstreams to ask, and next is the index
-	// of the next one. seenLoads holds the loads that owners reported during the
+	// of the next one. reportedLoads holds the loads that owners reported during the
 	// walk.
-	walk       placement.Walk
-	walking    bool
-	seenLoads  []seenLoad
-	candidates []*Upstream
-	next       int
+	walk          placement.Walk
+	walking       bool
+	reportedLoads []reportedLoad
+	candidates    []*Upstream
+	next          int
 	// failures counts the failed attempts. retryOn, if set, is the upstream that
 	// the next attempt must use again.
 	failures int
--- a/coordination/node/owner.go
+++ b/coordination/node/owner.go
@@ -54,10 +54,10 @@
 	announcedAt   time.Duration
 	reportedLoad  upstreamapi.Load
 	waitEstimator *stream.WaitEstimator
-	// loadBeside is the load of other upstreams as an entry router last reported
-	// it, at loadBesideAt.
-	loadBeside   float64
-	loadBesideAt time.Duration
+	// othersLoad is the load of other upstreams, in tokens, as an entry router
+	// last reported it, at othersLoadAt.
+	othersLoad   float64
+	othersLoadAt time.Duration
 	// unreportedTokens counts the tokens that the streams have produced since the
 	// last updateQueue.
 	unreportedTokens int
@@ -146,7 +146,7 @@
 			Chain:        decodeChain(place.Chain),
 			RootIndex:    place.RootIndex,
 			OutputTokens: max(1, place.OutputTokens-place.ResumeAt),
-			SeenLoad:     place.SeenLoad,
+			OthersLoad:   place.OthersLoad,
 		}
 		r.cost = n.policy.Cost(place.PromptTokens, 0, r.placeQuery.OutputTokens)
 	}
@@ -173,7 +173,7 @@
 			return
 		}
 	}
-	target.recordLoadBeside(now, r.place.SeenLoad)
+	target.recordOthersLoad(now, r.place.OthersLoad)
 	if target.queue.Len() > 0 {
 		// Waiting requests go first, by the rules of the queue. The load that this
 		// Place carries may show that the load bound now admits some of them.
@@ -194,27 +194,27 @@
 	n.decideEngine(now, target, r, final)
 }
 
-// loadBesideMaxAge is how long the load of other upstreams that an entry router
+// maxOthersLoadAge is how long the load of other upstreams that an entry router
 // reported is used. Within this time an engine completes less work than the
 // tolerance of the load bound.
-const loadBesideMaxAge = TickInterval / 2
+const maxOthersLoadAge = TickInterval / 2
 
-// recordLoadBeside records the load of other upstreams that an entry router has
+// recordOthersLoad records the load of other upstreams that an entry router has
 // just reported.
-func (t *ownedUpstream) recordLoadBeside(now time.Duration, seen float64) {
-	if seen > 0 {
-		t.loadBeside = seen
-		t.loadBesideAt = now
+func (t *ownedUpstream) recordOthersLoad(now time.Duration, tokens float64) {
+	if tokens > 0 {
+		t.othersLoad = tokens
+		t.othersLoadAt = now
 	}
 }
 
-// recentLoadBeside returns the load of other upstreams, or 0 if the last report
+// recentOthersLoad returns the load of other upstreams, or 0 if the last report
 // is too old.
-func (t *ownedUpstream) recentLoadBeside(now time.Duration) float64 {
-	if now-t.loadBesideAt > loadBesideMaxAge {
+func (t *ownedUpstream) recentOthersLoad(now time.Duration) float64 {
+	if now-t.othersLoadAt > maxOthersLoadAge {
 		return 0
 	}
-	return t.loadBeside
+	return t.othersLoad
 }
 
 // answerBehindQueue is the answer for an upstream whose queue isn't empty. Its
@@ -303,7 +303,7 @@
 		Weight:       r.place.Weight,
 		Tokens:       int(math.Ceil(r.cost)),
 		Deadline:     r.deadline,
-		AnswerTokens: r.steps(),
+		AnswerTokens: r.answerTokens(),
 	}, n.queueGate(now, target))
 	switch outcome.Kind {
 	case admission.Admitted:
@@ -328,8 +328,9 @@
 	return all, all / float64(max(1, upstream.MaxConcurrent))
 }
 
-// steps is the expected length of the answer in tokens, 0 for a plain service.
-func (r *relay) steps() int {
+// answerTokens is the expected length of the answer in tokens, 0 for a plain
+// service.
+func (r *relay) answerTokens() int {
 	if r.place.Model == "" {
 		return 0
 	}
@@ -352,7 +353,7 @@
 		if !target.isEngine() {
 			return len(target.running) < target.config.MaxConcurrent
 		}
-		decision := n.ledger.Evaluate(now, target.id, loadbound.Request{Cost: float64(tokens), OthersLoad: target.recentLoadBeside(now), LastChoice: true})
+		decision := n.ledger.Evaluate(now, target.id, loadbound.Request{Cost: float64(tokens), OthersLoad: target.recentOthersLoad(now), Final: true})
 		return decision.Outcome == loadbound.Admit
 	}
 }
@@ -368,7 +369,7 @@
 			return
 		}
 		r.placeQuery.Stage = placement.StageFinal
-		r.placeQuery.SeenLoad = target.recentLoadBeside(now)
+		r.placeQuery.OthersLoad = target.recentOthersLoad(now)
 		r.placeAnswer = n.placer.HandleQuery(now, r.placeQuery)
 		if r.placeAnswer.Verdict != placement.Admitted {
 			n.replyPlace(r.entryRouter, r.place, fleet.PlaceReply{Outcome: fleet.PlaceNotOwner, Reason: string(reason.LoadBound)})
@@ -427,7 +428,8 @@
 	// reofferAfter is how long a request waits here for the load bound before its
 	// entry router offers it to other upstreams. The new walk gets the present
 	// loads from the owners, so the request needn't wait for an exchange of load
-	// totals. A fifth of the time that a first token may take goes unnoticed.
+	// totals. It is a fifth of the time that a first token may take, which callers
+	// don't notice.
 	reofferAfter = 2 * TickInterval
 	// maxReoffers is the number of requests that one upstream returns at a tick.
 	// Each walk costs several messages, and under overload hundreds of requests
--- a/coordination/node/place.go
+++ b/coordination/node/place.go
@@ -40,7 +40,7 @@
 		return
 	}
 	e.walking = true
-	e.seenLoads = nil
+	e.reportedLoads = nil
 	e.walk = placement.StartWalk(n.setFor(e), n.policy, placement.Request{
 		Chain:        e.chain,
 		RootIndex:    e.template.RootIndex,
@@ -210,13 +210,13 @@
 	message.ResumeAt = e.delivered()
 	message.Stage = uint8(stage)
 	message.FirstChoice = firstChoice
-	message.SeenLoad = e.loadBeside(upstream.ID)
+	message.OthersLoad = e.othersLoad(upstream.ID)
 	message.RemainingMS = (e.deadline - now).Milliseconds()
 	n.send(upstream.Owner, message)
 }
 
-// seenLoad is an upstream's load as its owner reported it.
-type seenLoad struct {
+// reportedLoad is an upstream's load as its owner reported it.
+type reportedLoad struct {
 	upstream protocol.UpstreamID
 	tokens   float64
 }
@@ -224,19 +224,19 @@
 // recordLoad records the load of the current upstream for the next Place of
 // this walk.
 func (e *entryRequest) recordLoad(tokens float64) {
-	for i := range e.seenLoads {
-		if e.seenLoads[i].upstream == e.upstream.ID {
-			e.seenLoads[i].tokens = tokens
+	for i := range e.reportedLoads {
+		if e.reportedLoads[i].upstream == e.upstream.ID {
+			e.reportedLoads[i].tokens = tokens
 			return
 		}
 	}
-	e.seenLoads = append(e.seenLoads, seenLoad{e.upstream.ID, tokens})
+	e.reportedLoads = append(e.reportedLoads, reportedLoad{e.upstream.ID, tokens})
 }
 
-// loadBeside sums the reported loads of all other upstreams.
-func (e *entryRequest) loadBeside(id protocol.UpstreamID) float64 {
+// othersLoad sums the reported loads of all other upstreams.
+func (e *entryRequest) othersLoad(id protocol.UpstreamID) float64 {
 	sum := 0.0
-	for _, seen := range e.seenLoads {
+	for _, seen := range e.reportedLoads {
 		if seen.upstream != id {
 			sum += seen.tokens
 		}
--- a/coordination/placement/owner.go
+++ b/coordination/placement/owner.go
@@ -41,9 +41,9 @@
 	RootIndex int
 	// OutputTokens is the expected length of the answer.
 	OutputTokens int
-	// SeenLoad is the load of other upstreams that the entry router received
+	// OthersLoad is the load of other upstreams that the entry router received
 	// in answers during this walk, in tokens.
-	SeenLoad float64
+	OthersLoad float64
 }
 
 // Verdict is an owner's decision on a Query.
@@ -91,10 +91,10 @@
 // time.
 var NoAnswer = Answer{Verdict: Refused, Reason: loadbound.NotOwner}
 
-// incompleteFor is how long after it became the owner a router assumes that a
-// chat it does not know may be cached elsewhere. Most chats return within
-// minutes and some after hours. After two hours, the cache of a chat that has
-// not returned is mostly evicted.
+// incompleteFor is how long a router that has become an upstream's owner assumes
+// that a returning chat it does not know may be cached elsewhere. Most chats
+// return within minutes and some after hours. After two hours, the cache of a
+// chat that has not returned is mostly evicted.
 const incompleteFor = 2 * time.Hour
 
 // cacheState is what an owner knows of one upstream's cache.
@@ -108,9 +108,9 @@
 	nextRecent int
 }
 
-// maxRecentHits is how many admissions an owner keeps to correct when an
-// eviction is reported late. It is more than an engine starts within
-// maxEventDelay.
+// maxRecentHits is how many admissions an owner stores, so that it can correct
+// their cost when an eviction is reported late. It is more than an engine
+// starts within maxEventDelay.
 const maxRecentHits = 64
 
 // maxEventDelay is the longest delay of a cache event for which an owner
@@ -207,7 +207,7 @@
 	saved := hit.Expected()
 	decision := o.ledger.Evaluate(now, query.Upstream, loadbound.Request{
 		Cost:       waiting + o.policy.Cost(prompt, saved, query.OutputTokens),
-		OthersLoad: query.SeenLoad,
+		OthersLoad: query.OthersLoad,
 	})
 	return Answer{
 		Verdict:    NoCapacity,
@@ -257,8 +257,8 @@
 	decision := o.ledger.Admit(now, query.Upstream, loadbound.Request{
 		Cost:       o.policy.Cost(prompt, saved, query.OutputTokens),
 		Multiple:   o.policy.SoftMultiple(saved),
-		OthersLoad: query.SeenLoad,
-		LastChoice: query.Stage == StageFinal,
+		OthersLoad: query.OthersLoad,
+		Final:      query.Stage == StageFinal,
 	})
 	answer := Answer{
 		Verdict:    verdictOf(decision.Outcome),
--- a/coordination/placement/set.go
+++ b/coordination/placement/set.go
@@ -110,7 +110,7 @@
 // best first, and returns how many there are, at most MaxChoices.
 //
 // Load: a request at one of 330 routers that chooses among 790 upstreams.
-// Harm: an order that needs a ring, tokens or sorting costs memory or
+// Harm: an order that needs a hash ring, virtual nodes or sorting costs memory or
 // allocations at each request. Order uses weighted rendezvous hashing: each
 // member draws an exponential variate with its weight as rate from the hash of
 // root and member, and the smallest wins. A member that joins or leaves moves
--- a/coordination/placement/tracebench/meter.go
+++ b/coordination/placement/tracebench/meter.go
@@ -46,7 +46,7 @@
 	// IdleOrOneOverPct is the percentage of requests that the load bound
 	// admitted with the reason Idle or OneOver.
 	IdleOrOneOverPct float64
-	// WaitPct is the number of waits of 20 ms in a queue for a hundred
+	// WaitPct is the number of waits of 20 ms in a queue per hundred
 	// requests.
 	WaitPct float64
 	// ControlBytes is the payload of load summaries that a router sends in a
--- a/coordination/placement/tracebench/owners.go
+++ b/coordination/placement/tracebench/owners.go
@@ -190,8 +190,8 @@
 		return 0, false
 	}
 	if result.Moved {
-		if home := s.ownerOf[numberOf(result.FirstChoice)]; home >= 0 {
-			s.owners[home].RecordMove(now, r.turn.chain[rootIndex].Hash, result.Upstream)
+		if owner := s.ownerOf[numberOf(result.FirstChoice)]; owner >= 0 {
+			s.owners[owner].RecordMove(now, r.turn.chain[rootIndex].Hash, result.Upstream)
 		}
 	}
 	engine := numberOf(result.Upstream)
@@ -354,8 +354,8 @@
 	}
 }
 
-// routerReturned adds a router again. It owns no engine before the owner of
-// one changes, so that a restart does not move engines twice.
+// routerReturned adds a router again. It owns no engine until some engine
+// needs a new owner, so that a restart does not move engines twice.
 func (s *ownersPlacer) routerReturned(now time.Duration, _ int) {
 	s.refreshLive()
 	s.rebuildExchanges(now)
--- a/coordination/placement/tracebench/planned_test.go
+++ b/coordination/placement/tracebench/planned_test.go
@@ -58,7 +58,7 @@
 // An engine leaves for maintenance. The next turns of its chats prefill whole
 // prompts on the engines that take over, and all callers there wait longer.
 // Moves must keep more of these prompts cached, and must not lower the reuse
-// of the whole fleet by more than half a per cent point.
+// of the whole fleet by more than half a percentage point.
 func TestMovesKeepTheReuseOfALeavingEnginesChats(t *testing.T) {
 	strategies := []Strategy{OwnerAdmission("owners", placement.DefaultPolicy(placement.ReuseFirst))}
 	without := Measure(withPlannedLeaves(Brief(), nil), seeds[:1], strategies)[0]
--- a/coordination/placement/tracebench/scenario.go
+++ b/coordination/placement/tracebench/scenario.go
@@ -26,8 +26,8 @@
 }
 
 // Goal is the size of the fleet expected in two years: 790 engines, 330
-// routers and 2,400 customers for twelve minutes, with such an event every ten
-// seconds.
+// routers and 2,400 customers for twelve minutes, where an engine leaves, flaps
+// or crashes, or a router is lost, every ten seconds.
 func Goal() Scenario {
 	return Scenario{
 		Fleet: Config{
@@ -53,8 +53,9 @@
 	return s
 }
 
-// BriefTree is a fleet for a check in CI that is large enough for the exchange
-// tree and for groups of customers.
+// BriefTree is a fleet for a check in CI that is so large that routers exchange
+// load summaries over a tree and that a customer's chats are kept to a group
+// of engines.
 func BriefTree() Scenario {
 	s := Goal()
 	s.Fleet.LossDetectionDelay = 0
--- a/coordination/placement/tracebench/simulation.go
+++ b/coordination/placement/tracebench/simulation.go
@@ -113,7 +113,7 @@
 	return sim.meter.result(sim)
 }
 
-// upEngines is the engines that are up.
+// upEngines returns for each engine whether it is up.
 func (sim *simulation) upEngines() []bool {
 	up := make([]bool, len(sim.engines))
 	for i, e := range sim.engines {
--- a/coordination/placement/tracebench/tracebench_test.go
+++ b/coordination/placement/tracebench/tracebench_test.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// BenchmarkKnob measures skew against reuse for several reuse weights.
-func BenchmarkKnob(b *testing.B) {
+// BenchmarkReuseWeight measures skew against reuse for several reuse weights.
+func BenchmarkReuseWeight(b *testing.B) {
 	var list []Strategy
 	for _, weight := range []float64{0, 0.2, 0.35, 0.5, 0.75, 1} {
 		list = append(list, OwnerAdmission(fmt.Sprintf("weight=%v", weight), placement.DefaultPolicy(weight)))
--- a/protocol/fleet/fleet.go
+++ b/protocol/fleet/fleet.go
@@ -66,9 +66,9 @@
 	// RootIndex is the index in Chain of the link whose hash determines the order
 	// in which upstreams are tried, see placement.RootIndex.
 	RootIndex int `msgpack:"ro,omitempty"`
-	// SeenLoad is the load, in tokens, of other upstreams that the entry router
+	// OthersLoad is the load, in tokens, of other upstreams that the entry router
 	// has learned while it searched for capacity.
-	SeenLoad float64 `msgpack:"se,omitempty"`
+	OthersLoad float64 `msgpack:"se,omitempty"`
 	// Suspect means that the request was in flight at a crash and may have caused
 	// it.
 	Suspect bool `msgpack:"su,omitempty"`
