--- a/coordination/node/dispatch.go
+++ b/coordination/node/dispatch.go
@@ -14,9 +14,9 @@
 	// which the owner buffers. A longer answer is truncated and counts as
 	// broken.
 	maxOrderAnswer = 1 << 20
-	// lateAnswer is how long after its deadline a call for an order may continue,
-	// because its answer still settles the order.
-	lateAnswer = 60 * time.Second
+	// lateAnswerTimeout is how long after its deadline a call for an order may
+	// continue, because its answer still settles the order.
+	lateAnswerTimeout = 60 * time.Second
 )
 
 // dispatch is the owner's side of one attempt of an order. orders.Dispatcher
@@ -117,7 +117,7 @@
 }
 
 // tickDispatch tells the flow that the deadline has passed, and cancels a call
-// that has not ended lateAnswer after the deadline.
+// that has not ended lateAnswerTimeout after the deadline.
 func (n *Node) tickDispatch(now time.Duration, target *ownedUpstream, r *relay) {
 	if now < r.deadline {
 		return
@@ -127,7 +127,7 @@
 		n.stepDispatch(now, target, r, orders.Tick{})
 		return
 	}
-	if now > r.deadline+lateAnswer {
+	if now > r.deadline+lateAnswerTimeout {
 		n.emit(CancelUpstream{Attempt: r.place.Attempt})
 		n.removeRelay(now, target, r, quarantine.Interrupted, 0, false)
 	}
--- a/coordination/node/inputs.go
+++ b/coordination/node/inputs.go
@@ -92,15 +92,16 @@
 	Summary loadbound.Summary
 }
 
-// PeerLimitAsk asks this router for credit of customers whose limits it
-// manages (their home).
-type PeerLimitAsk struct {
-	From protocol.RouterID
-	Ask  limits.CreditRequest
+// PeerCreditRequest asks this router for credit of customers whose limits it
+// manages. It is the home of these customers.
+type PeerCreditRequest struct {
+	From    protocol.RouterID
+	Request limits.CreditRequest
 }
 
-// PeerLimitAnswer carries credit from the home of customers.
-type PeerLimitAnswer struct{ Answer limits.CreditGrant }
+// PeerCreditGrant carries credit from the home of customers, the router that
+// manages their limits.
+type PeerCreditGrant struct{ Grant limits.CreditGrant }
 
 // PeerQuarantineNotice carries a notice of a crash or a quarantine.
 type PeerQuarantineNotice struct{ Notice quarantine.Notice }
@@ -239,8 +240,8 @@
 func (EngineAnswered) input()       {}
 func (Tick) input()                 {}
 func (Drain) input()                {}
-func (PeerLimitAsk) input()         {}
-func (PeerLimitAnswer) input()      {}
+func (PeerCreditRequest) input()    {}
+func (PeerCreditGrant) input()      {}
 func (PeerAttemptCheck) input()     {}
 func (PeerAttemptAlive) input()     {}
 
--- a/coordination/node/kvmove.go
+++ b/coordination/node/kvmove.go
@@ -11,8 +11,8 @@
 
 const (
 	// maxHotChats is the number of recent chats that the owner records for each
-	// engine and model, to move their caches. It is more than have a turn within
-	// the idle time that moves allow.
+	// engine and model, to move their caches. Fewer chats than that have a turn on
+	// one engine within kvmove.Costs.MaxIdle, after which no cache is moved.
 	maxHotChats = 1024
 	// moveTime is how long the caches of a draining engine are moved.
 	moveTime = 20 * time.Second
@@ -23,7 +23,8 @@
 type engineActivity struct {
 	hotChats map[protocol.Model]*kvmove.Hot
 	// doneTokens is the work that was completed for each model under the
-	// ownership with the number fence, in tokens as the load bound counts them.
+	// ownership whose fencing number is fence, in tokens as the load bound
+	// counts them.
 	doneTokens map[protocol.Model]float64
 	fence      protocol.Fence
 	// mover is set while the engine drains.
--- a/coordination/node/limit.go
+++ b/coordination/node/limit.go
@@ -21,15 +21,15 @@
 	case limits.Wait:
 		e.phase = phaseAwaitingLimit
 		e.wakeAt = max(decision.CheckAt, now+TickInterval)
-		n.askLimits(now)
+		n.requestCredit(now)
 	default:
 		n.giveUp(now, e, 429, reason.CustomerLimit, "the customer is over its limit ("+string(decision.Reason)+")", max(decision.RetryAfter, statusRetryAfter))
 	}
 }
 
-// askLimits sends the limiter's due asks for credit to the homes of the
+// requestCredit sends the credit requests that are due to the homes of the
 // customers, the routers that manage their limits.
-func (n *Node) askLimits(now time.Duration) {
+func (n *Node) requestCredit(now time.Duration) {
 	entries := map[protocol.RouterID][]limits.CreditRequestEntry{}
 	var homes []protocol.RouterID
 	for _, due := range n.limiter.DueRequests(now) {
@@ -47,14 +47,14 @@
 	}
 }
 
-// handleLimitAsk answers an ask for credit as the home of the customers.
-func (n *Node) handleLimitAsk(now time.Duration, in PeerLimitAsk) {
-	n.send(in.From, n.limitHome.HandleRequest(now, in.From, in.Ask))
+// handleCreditRequest answers a credit request as the home of the customers.
+func (n *Node) handleCreditRequest(now time.Duration, in PeerCreditRequest) {
+	n.send(in.From, n.limitHome.HandleRequest(now, in.From, in.Request))
 }
 
-// handleLimitAnswer adds the granted credit and checks again the requests that
+// handleCreditGrant adds the granted credit and checks again the requests that
 // wait for credit.
-func (n *Node) handleLimitAnswer(now time.Duration, answer limits.CreditGrant) {
+func (n *Node) handleCreditGrant(now time.Duration, answer limits.CreditGrant) {
 	n.limiter.HandleGrant(now, answer)
 	var waiting []protocol.RequestID
 	for id, e := range n.entries {
--- a/coordination/node/node.go
+++ b/coordination/node/node.go
@@ -211,10 +211,10 @@
 		n.ledger.Receive(now, in.From, in.Summary)
 		n.loadExchange.RecordReceived(now, in.From)
 		n.sendLoadTotals(now)
-	case PeerLimitAsk:
-		n.handleLimitAsk(now, in)
-	case PeerLimitAnswer:
-		n.handleLimitAnswer(now, in.Answer)
+	case PeerCreditRequest:
+		n.handleCreditRequest(now, in)
+	case PeerCreditGrant:
+		n.handleCreditGrant(now, in.Grant)
 	case PeerChatMoved:
 		n.handleChatMoved(now, in)
 	case PeerQuarantineNotice:
@@ -275,7 +275,7 @@
 	n.retryParked(now)
 	n.tickEntries(now)
 	n.tickOwnedUpstreams(now)
-	n.askLimits(now)
+	n.requestCredit(now)
 	n.sendLoadTotals(now)
 	n.tickMoves(now)
 }
@@ -326,9 +326,9 @@
 	case fleet.AttemptAlive:
 		return PeerAttemptAlive{Alive: message}
 	case limits.CreditRequest:
-		return PeerLimitAsk{From: from, Ask: message}
+		return PeerCreditRequest{From: from, Request: message}
 	case limits.CreditGrant:
-		return PeerLimitAnswer{Answer: message}
+		return PeerCreditGrant{Grant: message}
 	}
 	panic(fmt.Sprintf("node: %T is not a message of the data path", message))
 }
@@ -354,9 +354,9 @@
 	case fleet.AttemptAlive:
 		return wire.KindAttemptAlive
 	case limits.CreditRequest:
-		return wire.KindLimitAsk
+		return wire.KindCreditRequest
 	case limits.CreditGrant:
-		return wire.KindLimitAnswer
+		return wire.KindCreditGrant
 	}
 	panic(fmt.Sprintf("node: %T is not a message of the data path", message))
 }
--- a/coordination/node/node_test.go
+++ b/coordination/node/node_test.go
@@ -282,8 +282,8 @@
 	f := newFleet(1)
 	f.AddRoute(node.Route{Prefix: "/svc/orders", Service: "orders"})
 	f.OnCall = func(protocol.RouterID, node.CallUpstream) { t.Fatal("a bad request reached an upstream") }
-	good := f.Submit("r1", "x", "no such key", "fuel?", 5)
-	assert.Equal(t, good.Status, 401)
+	unknownKey := f.Submit("r1", "x", "no such key", "fuel?", 5)
+	assert.Equal(t, unknownKey.Status, 401)
 	for name, tc := range map[string]struct {
 		request node.CallerRequest
 		status  int
--- a/coordination/node/nodetest/fleet.go
+++ b/coordination/node/nodetest/fleet.go
@@ -60,7 +60,7 @@
 
 	random       *rand.Rand
 	events       eventHeap
-	lastOrder    uint64
+	lastSequence uint64
 	revision     uint64
 	fence        protocol.Fence
 	customers    map[[32]byte]*node.Customer
@@ -94,8 +94,10 @@
 	// Ended means that the answer has ended, and Broken that it is incomplete.
 	Ended, Broken bool
 	RetryAfter    time.Duration
-	At            time.Duration
-	FirstAt       time.Duration
+	// FirstAt is when the head of the answer arrived, and At when the answer
+	// ended.
+	At      time.Duration
+	FirstAt time.Duration
 }
 
 // Text joins the chunks of an answer.
@@ -302,8 +304,8 @@
 
 // after schedules a function.
 func (f *Fleet) after(delay time.Duration, run func()) {
-	f.lastOrder++
-	heap.Push(&f.events, event{at: f.Now + delay, order: f.lastOrder, run: run})
+	f.lastSequence++
+	heap.Push(&f.events, event{at: f.Now + delay, sequence: f.lastSequence, run: run})
 }
 
 // runOn runs a function in a router's process. It delays the function while the
@@ -467,12 +469,12 @@
 	})
 }
 
-// event is a function to run at a time. Events of the same time run in their
-// order.
+// event is a function to run at a time. Events of the same time run in the order
+// in which they were scheduled, by sequence.
 type event struct {
-	at    time.Duration
-	order uint64
-	run   func()
+	at       time.Duration
+	sequence uint64
+	run      func()
 }
 
 // eventHeap is a heap of events by time.
@@ -483,7 +485,7 @@
 	if s[i].at != s[j].at {
 		return s[i].at < s[j].at
 	}
-	return s[i].order < s[j].order
+	return s[i].sequence < s[j].sequence
 }
 func (s eventHeap) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
 
--- a/coordination/node/relay.go
+++ b/coordination/node/relay.go
@@ -160,7 +160,8 @@
 func (n *Node) removeRelay(now time.Duration, target *ownedUpstream, r *relay, ending quarantine.RunEnd, cached int, complete bool) {
 	delete(target.running, r.place.Attempt)
 	delete(n.running, r.place.Attempt)
-	// The part of the estimated cost that the answer did not need is free too.
+	// The part of the estimated cost that the answer did not need counts as done
+	// too.
 	n.recordDone(target, r, r.cost-r.doneCost)
 	if !target.isEngine() {
 		return
@@ -224,7 +225,7 @@
 		n.send(r.entryRouter, fleet.End{Attempt: r.place.Attempt, Outcome: protocol.UnknownRun, Reason: string(reason.UpstreamStalled)})
 		n.emit(Event{
 			Request: r.place.Attempt.Request, Attempt: r.place.Attempt.Number, Customer: r.place.Customer, Upstream: target.id,
-			Kind: "stalled", Reason: reason.UpstreamStalled, Detail: fmt.Sprintf("silent for %v after %d pieces", (now - r.lastProgress).Round(time.Millisecond), r.chunks),
+			Kind: "stalled", Reason: reason.UpstreamStalled, Detail: fmt.Sprintf("silent for %v after %d chunks", (now - r.lastProgress).Round(time.Millisecond), r.chunks),
 		})
 	}
 }
--- a/daemon/runner.go
+++ b/daemon/runner.go
@@ -251,9 +251,9 @@
 		return decoded[fleet.AttemptCheck](from, frame)
 	case wire.KindAttemptAlive:
 		return decoded[fleet.AttemptAlive](from, frame)
-	case wire.KindLimitAsk:
+	case wire.KindCreditRequest:
 		return decoded[limits.CreditRequest](from, frame)
-	case wire.KindLimitAnswer:
+	case wire.KindCreditGrant:
 		return decoded[limits.CreditGrant](from, frame)
 	case wire.KindChatMoved:
 		return decoded[fleet.ChatMoved](from, frame)
--- a/protocol/wire/wire.go
+++ b/protocol/wire/wire.go
@@ -87,10 +87,10 @@
 	// KindChatMoved tells the owner of a chat's first-choice upstream where the
 	// chat ran instead.
 	KindChatMoved Kind = 22
-	// KindLimitAsk and KindLimitAnswer request and grant credit from customers'
-	// limits.
-	KindLimitAsk    Kind = 23
-	KindLimitAnswer Kind = 24
+	// KindCreditRequest and KindCreditGrant request and grant credit from
+	// customers' limits.
+	KindCreditRequest Kind = 23
+	KindCreditGrant   Kind = 24
 	// KindAttemptCheck asks an owner whether it still has an attempt, and
 	// KindAttemptAlive confirms it.
 	KindAttemptCheck Kind = 25
@@ -142,7 +142,7 @@
 	KindCancel: "cancel", KindAnnounce: "announce", KindLeave: "leave", KindGossip: "gossip",
 	KindQuery: "query", KindQueryReply: "query-reply", KindLoadTotals: "totals",
 	KindQuarantine: "quarantine", KindOrderReport: "order-report", KindChatMoved: "moved",
-	KindLimitAsk: "limit-ask", KindLimitAnswer: "limit-answer",
+	KindCreditRequest: "limit-ask", KindCreditGrant: "limit-answer",
 	KindAttemptCheck: "check", KindAttemptAlive: "alive",
 	KindProbe:     "probe",
 	KindEngineAsk: "engine-ask", KindEngineReply: "engine-reply",
