--- a/coordination/placement/doc.go
+++ b/coordination/placement/doc.go
@@ -27,9 +27,12 @@
 //     no table of former views is needed.
 //   - A probe admits a request only where more than the shared system prompt
 //     is cached.
-//   - After that the walk asks in order and takes the first choice that is
-//     within its soft bound. If there is none, a final query to the best of
-//     those asked admits the request within the hard bound or queues it.
+//   - After that the walk asks in order and takes the first upstream that is
+//     within its soft bound. If all of them are above the hard bound, it asks
+//     further upstreams of the whole set.
+//   - If none is within its soft bound, a final query to the best of those
+//     asked admits the request by the hard bound (see package loadbound) or
+//     queues it.
 //
 // # Trade-off between skew and reuse
 //
--- a/coordination/placement/set_test.go
+++ b/coordination/placement/set_test.go
@@ -92,6 +92,9 @@
 	})
 }
 
+// If engines were not the first choice of chats in proportion to their capacity,
+// small engines would be above their bound, and their chats would run on other
+// engines than their first choice.
 func TestFirstChoicesAreProportionalToWeight(t *testing.T) {
 	list := members(12)
 	total := 0.0
@@ -112,6 +115,8 @@
 	}
 }
 
+// A model may have fewer upstreams than MaxChoices, or none. Order must then
+// return fewer choices, and no position that the set doesn't have.
 func TestOrderOfShortOrEmptySet(t *testing.T) {
 	var dst [MaxChoices]int32
 	assert.Equal(t, mustSet(t, nil).Order(Key{Root: 7}, dst[:]), 0)
