--- a/coordination/node/engineorder.go
+++ b/coordination/node/engineorder.go
@@ -8,34 +8,34 @@
 	"endiveplank/protocol"
 )
 
-// engineCallTimeout bounds the calls that one ask makes to an engine. Package
-// engineorders waits after a change of issuer or owner, and relies on this
-// bound.
+// engineCallTimeout bounds the calls that one request makes to an engine.
+// Package engineorders waits after a change of issuer or owner, and relies on
+// this bound.
 const engineCallTimeout = 5 * time.Second
 
-// handleEngineAsk decides, as the owner of an engine, on an ask of the issuer of
-// engine orders. There are a few orders a minute, and each engine is read twice
-// a minute.
+// handleEngineRequest decides, as the owner of an engine, on a request of the
+// issuer of engine orders. There are a few orders a minute, and each engine is
+// read twice a minute.
 //
 // The checks prevent an order of a former issuer, or one that goes through a
 // former owner, from taking effect after the order of its successor. The lease
 // is checked at this moment, the Gate refuses orders that are older than one it
 // has admitted, and only one call to an engine is in flight at a time, because
 // an engine that ignores fencing numbers keeps the order that arrives last.
-func (n *Node) handleEngineAsk(now time.Duration, in PeerEngineAsk) {
-	verdict := n.orderGate.Admit(in.Ask, n.ownedFence(now, in.Ask.Upstream))
-	if verdict == engineorders.Passed && n.engineCalls[in.Ask.Upstream] {
-		verdict = engineorders.CallBusy
+func (n *Node) handleEngineRequest(now time.Duration, in PeerEngineRequest) {
+	admission := n.orderGate.Admit(in.Request, n.ownedFence(now, in.Request.Upstream))
+	if admission == engineorders.Admitted && n.engineCalls[in.Request.Upstream] {
+		admission = engineorders.CallBusy
 	}
-	if verdict != engineorders.Passed {
-		n.replyIssuer(in.From, in.Ask, engineorders.Reply{Verdict: verdict})
+	if admission != engineorders.Admitted {
+		n.replyIssuer(in.From, in.Request, engineorders.Reply{Admission: admission})
 		return
 	}
-	n.engineCalls[in.Ask.Upstream] = true
+	n.engineCalls[in.Request.Upstream] = true
 	n.emit(OrderEngine{
 		From:     in.From,
-		Ask:      in.Ask,
-		Address:  n.owned[in.Ask.Upstream].config.Address,
+		Request:  in.Request,
+		Address:  n.owned[in.Request.Upstream].config.Address,
 		NotAfter: min(n.leaseUntil, now+engineCallTimeout),
 	})
 }
@@ -52,23 +52,23 @@
 
 // handleEngineAnswered handles the result of a call to an engine.
 func (n *Node) handleEngineAnswered(in EngineAnswered) {
-	delete(n.engineCalls, in.Ask.Upstream)
+	delete(n.engineCalls, in.Request.Upstream)
 	reply := engineorders.Reply{
-		Verdict: engineorders.Passed,
-		Status:  in.Status,
-		State:   in.State,
-		Tenure:  in.Ask.Tenure,
+		Admission:      engineorders.Admitted,
+		Status:         in.Status,
+		State:          in.State,
+		OwnershipFence: in.Request.OwnershipFence,
 	}
-	if activity := n.activity[in.Ask.Upstream]; activity != nil {
-		reply.Done = maps.Clone(activity.doneTokens)
+	if activity := n.activity[in.Request.Upstream]; activity != nil {
+		reply.Completed = maps.Clone(activity.doneTokens)
 	}
-	n.replyIssuer(in.From, in.Ask, reply)
+	n.replyIssuer(in.From, in.Request, reply)
 }
 
-func (n *Node) replyIssuer(to protocol.RouterID, ask engineorders.Ask, reply engineorders.Reply) {
-	reply.Upstream = ask.Upstream
-	reply.Office = ask.Office
-	reply.Fence = ask.Fence
-	reply.ReadOnly = ask.ReadOnly
+func (n *Node) replyIssuer(to protocol.RouterID, request engineorders.Request, reply engineorders.Reply) {
+	reply.Upstream = request.Upstream
+	reply.Term = request.Term
+	reply.Fence = request.Fence
+	reply.ReadOnly = request.ReadOnly
 	n.emit(ReplyIssuer{To: to, Reply: reply})
 }
--- a/coordination/node/entry.go
+++ b/coordination/node/entry.go
@@ -56,8 +56,8 @@
 	upstream *Upstream
 	// walk finds an upstream for a chat and is valid while walking is set. For a
 	// plain service candidates lists the upstreams to ask, and next is the index
-	// of the next one. reportedLoads holds the loads that owners reported during the
-	// walk.
+	// of the next one. reportedLoads holds the loads that owners reported
+	// during the walk.
 	walk          placement.Walk
 	walking       bool
 	reportedLoads []reportedLoad
--- a/coordination/node/inputs.go
+++ b/coordination/node/inputs.go
@@ -188,21 +188,21 @@
 	Result orders.Result
 }
 
-// PeerEngineAsk asks this router, as the owner of an engine, to pass an order
+// PeerEngineRequest asks this router, as the owner of an engine, to pass an order
 // to the engine or to read the engine's state.
-type PeerEngineAsk struct {
-	From protocol.RouterID
-	Ask  engineorders.Ask
+type PeerEngineRequest struct {
+	From    protocol.RouterID
+	Request engineorders.Request
 }
 
 // EngineAnswered is the result of an OrderEngine. Status is the engine's HTTP
 // status for the order, or 0 if no order was sent or no answer arrived. State is
 // nil if it was not read.
 type EngineAnswered struct {
-	From   protocol.RouterID
-	Ask    engineorders.Ask
-	Status int
-	State  *upstreamapi.EngineState
+	From    protocol.RouterID
+	Request engineorders.Request
+	Status  int
+	State   *upstreamapi.EngineState
 }
 
 // Tick says that time has passed. The driver sends one every TickInterval.
@@ -236,7 +236,7 @@
 func (ViewChanged) input()          {}
 func (LeaseChanged) input()         {}
 func (JournalResult) input()        {}
-func (PeerEngineAsk) input()        {}
+func (PeerEngineRequest) input()    {}
 func (EngineAnswered) input()       {}
 func (Tick) input()                 {}
 func (Drain) input()                {}
--- a/coordination/node/outputs.go
+++ b/coordination/node/outputs.go
@@ -107,18 +107,18 @@
 	Reason      reason.Code
 }
 
-// OrderEngine sends an order to an engine, unless the ask is read-only, and then
-// reads the engine's state. The driver returns exactly one EngineAnswered. The
-// driver must send nothing at or after NotAfter, because this router may no
+// OrderEngine sends an order to an engine, unless the request is read-only, and
+// then reads the engine's state. The driver returns exactly one EngineAnswered.
+// The driver must send nothing at or after NotAfter, because this router may no
 // longer own the engine then.
 type OrderEngine struct {
 	From     protocol.RouterID
-	Ask      engineorders.Ask
+	Request  engineorders.Request
 	Address  string
 	NotAfter time.Duration
 }
 
-// ReplyIssuer sends the reply to an ask to the issuer, which may run on this
+// ReplyIssuer sends the reply to a request to the issuer, which may run on this
 // router.
 type ReplyIssuer struct {
 	To    protocol.RouterID
