--- a/coordination/node/order.go
+++ b/coordination/node/order.go
@@ -159,8 +159,8 @@
 func (n *Node) handleOrderDue(now time.Duration, e *entryRequest) {
 	if e.order.readJournalAt > 0 && now >= e.order.readJournalAt {
 		e.order.readJournalAt = 0
-		look := orders.Command{Op: orders.OpReserve, Key: e.order.key, Digest: e.order.digest}
-		n.performOrderOutput(now, e, orders.Propose{Command: look})
+		read := orders.Command{Op: orders.OpReserve, Key: e.order.key, Digest: e.order.digest}
+		n.performOrderOutput(now, e, orders.Propose{Command: read})
 	}
 	if now >= e.order.flow.NextTick() {
 		n.stepOrder(now, e, orders.Tick{})
