--- a/coordination/orders/dispatcher.go
+++ b/coordination/orders/dispatcher.go
@@ -19,8 +19,12 @@
 type dispatchPhase uint8
 
 const (
+	// acquiring: OpDispatch is proposed.
 	acquiring dispatchPhase = iota
+	// calling: the order is sent and its answer is awaited.
 	calling
+	// recording: OpDone, OpUnknown, OpSeal or OpReturn is proposed. After OpUnknown
+	// the Dispatcher stays in this phase, because the answer may still come.
 	recording
 	dispatchEnded
 )
--- a/coordination/orders/entry.go
+++ b/coordination/orders/entry.go
@@ -123,9 +123,15 @@
 type entryPhase uint8
 
 const (
+	// reserving: OpReserve is proposed, or the record is read after an attempt
+	// ended or was lost.
 	reserving entryPhase = iota
+	// dispatching: an attempt of this Entry is running.
 	dispatching
+	// waiting: an attempt that doesn't report to this Entry holds the order. The
+	// Entry reads the record until the order's state changes.
 	waiting
+	// sealing: OpSeal is proposed.
 	sealing
 	entryEnded
 )
--- a/coordination/orders/faults_test.go
+++ b/coordination/orders/faults_test.go
@@ -49,26 +49,26 @@
 // at most once, all replies must agree, and a last request with the same key
 // must get the answer if it can be known.
 func TestOrderAtEveryStep(t *testing.T) {
-	for name, strike := range faults {
+	for name, inject := range faults {
 		for _, step := range steps {
 			t.Run(name+"/"+step, func(t *testing.T) {
 				w := newWorld(7)
-				struck := false
+				injected := false
 				w.fault = func(at string) {
-					if at == step && !struck {
-						struck = true
-						strike(w)
+					if at == step && !injected {
+						injected = true
+						inject(w)
 					}
 				}
 				w.send(w.routers[0], Digest{1})
-				w.run(quiet)
-				assert.Equal(t, struck, true)
+				w.run(runTime)
+				assert.Equal(t, injected, true)
 				if w.deskDown {
 					w.deskDown = false
 				}
 				before := len(w.replies)
 				w.resend(Digest{1})
-				w.run(2 * quiet)
+				w.run(2 * runTime)
 				assert.Equal(t, len(w.replies), before+1, "the last request got no reply")
 				assert.Equal(t, w.brokenPromise(), "")
 				last := w.replies[before]
@@ -137,9 +137,9 @@
 			}
 		})
 	}
-	w.run(quiet)
+	w.run(runTime)
 	w.resend(Digest{1})
-	w.run(2 * quiet)
+	w.run(2 * runTime)
 	return w
 }
 
@@ -169,13 +169,13 @@
 				c.Holder = r.Holder
 			}
 		},
-		"anyone may give a dispatched order back": func(j *Journal, c *Command) {
+		"anyone may return a dispatched order": func(j *Journal, c *Command) {
 			if r := j.records[c.Key]; r != nil && c.Op == OpReserve && r.State == Dispatched {
 				j.removeDispatched(r)
 				r.State = Reserved
 			}
 		},
-		"flows of one router are not told apart": func(_ *Journal, c *Command) {
+		"attempts in one router are not distinguished": func(_ *Journal, c *Command) {
 			c.Holder.Token = 0
 		},
 		"done is forgotten": func(j *Journal, c *Command) {
@@ -187,8 +187,8 @@
 		},
 	}
 	rules := map[string]func(*world){
-		"not-run only after the seal":   func(w *world) { w.replyBeforeSeal = true },
-		"sent only after the record is": func(w *world) { w.sendBeforeRecord = true },
+		"reply not-run only after the seal":     func(w *world) { w.replyBeforeSeal = true },
+		"send only after the dispatched record": func(w *world) { w.sendBeforeRecord = true },
 	}
 	for name, mutate := range mutations {
 		rules[name] = func(w *world) { w.mutate = mutate }
@@ -225,7 +225,7 @@
 						faults["desk down long"](w)
 					}
 					w.send(w.routers[0], Digest{1})
-					w.run(quiet)
+					w.run(runTime)
 					for _, reply := range w.replies {
 						replies[reply.Outcome]++
 						total++
--- a/coordination/orders/journal.go
+++ b/coordination/orders/journal.go
@@ -65,8 +65,8 @@
 }
 
 type queued struct {
-	key Key
-	at  int64
+	key        Key
+	reservedAt int64
 }
 
 // NewJournal returns an empty journal.
@@ -322,18 +322,18 @@
 }
 
 func (j *Journal) addDispatched(record *Record) {
-	held := j.dispatched[record.Holder.Session]
-	if held == nil {
-		held = map[Key]struct{}{}
-		j.dispatched[record.Holder.Session] = held
+	keys := j.dispatched[record.Holder.Session]
+	if keys == nil {
+		keys = map[Key]struct{}{}
+		j.dispatched[record.Holder.Session] = keys
 	}
-	held[record.Key] = struct{}{}
+	keys[record.Key] = struct{}{}
 }
 
 func (j *Journal) removeDispatched(record *Record) {
-	held := j.dispatched[record.Holder.Session]
-	delete(held, record.Key)
-	if len(held) == 0 {
+	keys := j.dispatched[record.Holder.Session]
+	delete(keys, record.Key)
+	if len(keys) == 0 {
 		delete(j.dispatched, record.Holder.Session)
 	}
 }
@@ -345,7 +345,7 @@
 	}
 	j.clock = max(j.clock, min(at, j.clock+maxClockStep))
 	for range maxExpiredPerCommand {
-		if len(j.queue) == 0 || j.queue[0].at+j.settings.RetentionMS > j.clock {
+		if len(j.queue) == 0 || j.queue[0].reservedAt+j.settings.RetentionMS > j.clock {
 			return
 		}
 		j.remove(j.queue[0].key)
--- a/coordination/orders/world_test.go
+++ b/coordination/orders/world_test.go
@@ -49,9 +49,12 @@
 	id      int
 	session ownership.SessionID
 	alive   bool
-	frozen  time.Duration
-	open    bool
-	onKill  []func()
+	// frozenUntil is when the router resumes after a freeze.
+	frozenUntil time.Duration
+	// open says that the router's session is open.
+	open bool
+	// onKill is called after a latency when the router is killed.
+	onKill []func()
 }
 
 type event struct {
@@ -78,7 +81,8 @@
 const (
 	sessionTimeout = 3500 * time.Millisecond
 	callerTimeout  = 5 * time.Second
-	quiet          = 60 * time.Second
+	// runTime is the simulated time of a run before the last request.
+	runTime = 60 * time.Second
 )
 
 var orderKey = Key{Customer: "acme", Key: "uplift-17"}
@@ -109,8 +113,8 @@
 		if e.router != nil && !e.router.alive {
 			continue
 		}
-		if e.router != nil && w.now < e.router.frozen {
-			w.after(e.router.frozen-w.now, e.router, e.run)
+		if e.router != nil && w.now < e.router.frozenUntil {
+			w.after(e.router.frozenUntil-w.now, e.router, e.run)
 			continue
 		}
 		e.run()
@@ -120,14 +124,14 @@
 
 func (w *world) kill(r *testRouter) {
 	r.alive = false
-	for _, tell := range r.onKill {
-		w.after(w.latency(), nil, tell)
+	for _, notify := range r.onKill {
+		w.after(w.latency(), nil, notify)
 	}
 	w.after(sessionTimeout, nil, func() { w.closeSession(r) })
 }
 
 func (w *world) freeze(r *testRouter, length time.Duration) {
-	r.frozen = w.now + length
+	r.frozenUntil = w.now + length
 	if length > sessionTimeout {
 		w.after(sessionTimeout, nil, func() { w.closeSession(r) })
 	}
@@ -144,8 +148,8 @@
 	return id > 0 && int(id) <= len(w.routers) && w.routers[id-1].open
 }
 
-// propose applies a command after a latency and passes its result to tell.
-func (w *world) propose(r *testRouter, command Command, tell func(Input)) {
+// propose applies a command after a latency and passes its result to deliver.
+func (w *world) propose(r *testRouter, command Command, deliver func(Input)) {
 	apply := func() Result {
 		if w.mutate != nil {
 			w.mutate(w.journal, &command)
@@ -157,7 +161,7 @@
 		lost := w.loseCommand || w.rng.IntN(100) < w.loss
 		w.loseCommand = false
 		if lost {
-			w.after(200*time.Millisecond, r, func() { tell(ProposalUncertain{command.Op}) })
+			w.after(200*time.Millisecond, r, func() { deliver(ProposalUncertain{command.Op}) })
 			return
 		}
 		result := apply()
@@ -168,10 +172,10 @@
 		lost = w.loseAnswer || w.rng.IntN(100) < w.loss
 		w.loseAnswer = false
 		if lost {
-			w.after(200*time.Millisecond, r, func() { tell(ProposalUncertain{command.Op}) })
+			w.after(200*time.Millisecond, r, func() { deliver(ProposalUncertain{command.Op}) })
 			return
 		}
-		w.after(w.latency(), r, func() { tell(Committed{command.Op, result}) })
+		w.after(w.latency(), r, func() { deliver(Committed{command.Op, result}) })
 	})
 }
 
@@ -232,7 +236,7 @@
 	})
 	var step func(Input)
 	step = func(in Input) {
-		for _, out := range dispatcher.Step(w.now, w.now >= r.frozen && r.open, in) {
+		for _, out := range dispatcher.Step(w.now, w.now >= r.frozenUntil && r.open, in) {
 			switch o := out.(type) {
 			case Propose:
 				if w.noSeal && o.Command.Op == OpSeal {
@@ -260,32 +264,32 @@
 }
 
 // call sends the order to the desk, which runs whatever it receives.
-func (w *world) call(r *testRouter, tell func(Input)) {
+func (w *world) call(r *testRouter, deliver func(Input)) {
 	w.after(0, r, func() {
 		w.fault("send")
-		w.after(0, r, func() { w.connect(r, tell) })
+		w.after(0, r, func() { w.connect(r, deliver) })
 	})
 }
 
-func (w *world) connect(r *testRouter, tell func(Input)) {
+func (w *world) connect(r *testRouter, deliver func(Input)) {
 	if w.deskDown {
-		w.after(w.latency(), r, func() { tell(NotConnected{}) })
+		w.after(w.latency(), r, func() { deliver(NotConnected{}) })
 		return
 	}
 	w.after(w.latency(), nil, func() {
 		w.fault("run")
 		if w.deskDown {
-			w.after(w.latency(), r, func() { tell(ConnectionBroken{}) })
+			w.after(w.latency(), r, func() { deliver(ConnectionBroken{}) })
 			return
 		}
 		w.runs++
 		answer := Answer{Status: 200, Body: fmt.Appendf(nil, "ticket %d", w.runs)}
 		w.fault("answer")
 		if w.deskDown {
-			w.after(w.latency(), r, func() { tell(ConnectionBroken{}) })
+			w.after(w.latency(), r, func() { deliver(ConnectionBroken{}) })
 			return
 		}
-		w.after(w.latency(), r, func() { tell(Answered{answer}) })
+		w.after(w.latency(), r, func() { deliver(Answered{answer}) })
 	})
 }
 
@@ -298,7 +302,7 @@
 		w.wrongConflict = true
 	}
 	w.replies = append(w.replies, reply)
-	if w.keepAsking && reply.Outcome == protocol.UnknownRun && w.now < quiet/2 {
+	if w.keepAsking && reply.Outcome == protocol.UnknownRun && w.now < runTime/2 {
 		w.after(time.Second, nil, func() { w.resend(digest) })
 	}
 }
@@ -307,7 +311,7 @@
 // frozen.
 func (w *world) resend(digest Digest) {
 	for _, i := range w.rng.Perm(len(w.routers)) {
-		if r := w.routers[i]; r.alive && w.now >= r.frozen {
+		if r := w.routers[i]; r.alive && w.now >= r.frozenUntil {
 			w.send(r, digest)
 			return
 		}
