--- a/coordination/engineorders/gate.go
+++ b/coordination/engineorders/gate.go
@@ -12,8 +12,9 @@
 	// OwnershipFence is the fencing number of the ownership that the issuer knows.
 	OwnershipFence protocol.Fence `msgpack:"t"`
 	Term           Term           `msgpack:"o"`
-	Fence          protocol.Fence `msgpack:"f"`
-	Intent         Intent         `msgpack:"i"`
+	// Fence is the order's fencing number, 0 in a poll that belongs to no order.
+	Fence  protocol.Fence `msgpack:"f"`
+	Intent Intent         `msgpack:"i"`
 	// ReadOnly asks only for the engine's state. The Gate still records the
 	// term, so that a former issuer's order can't pass later.
 	ReadOnly bool `msgpack:"r,omitempty"`
@@ -52,11 +53,13 @@
 	Status int `msgpack:"s,omitempty"`
 	// State is the engine's state after the order; nil when it couldn't be read.
 	State *upstreamapi.EngineState `msgpack:"e,omitempty"`
-	// Completed is the work that the engine has completed for each model in the
-	// ownership that OwnershipFence names, as its owner counted it, in tokens as
-	// the load bound counts them.
-	OwnershipFence protocol.Fence             `msgpack:"t,omitempty"`
-	Completed      map[protocol.Model]float64 `msgpack:"d,omitempty"`
+	// OwnershipFence is the fencing number of the ownership in which Completed was
+	// counted.
+	OwnershipFence protocol.Fence `msgpack:"t,omitempty"`
+	// Completed is the work that the engine has completed for each model since that
+	// ownership began, as its owner counted it, in generated tokens, the unit of
+	// the bound on an engine's load.
+	Completed map[protocol.Model]float64 `msgpack:"d,omitempty"`
 }
 
 // Gate decides in the router that owns an engine which orders reach the engine. It
--- a/coordination/engineorders/issuer.go
+++ b/coordination/engineorders/issuer.go
@@ -100,7 +100,7 @@
 
 // Step returns the requests to send and the commands to commit for the open
 // orders. It returns none if the state is in another term.
-func (i *Issuer) Step(now time.Duration, state *State, owner func(protocol.UpstreamID) (Owner, bool)) ([]OutgoingRequest, []Command) {
+func (i *Issuer) Step(now time.Duration, state *State, ownerOf func(protocol.UpstreamID) (Owner, bool)) ([]OutgoingRequest, []Command) {
 	if term, _ := state.Term(); term != i.term {
 		return nil, nil
 	}
@@ -117,8 +117,8 @@
 			commands = append(commands, i.settleCommand(order, p.resolution))
 			continue
 		}
-		if holder, known := owner(order.Upstream); known && i.due(now, order.Upstream, p, holder) {
-			requests = append(requests, i.request(now, order, p, holder))
+		if owner, known := ownerOf(order.Upstream); known && i.due(now, order.Upstream, p, owner) {
+			requests = append(requests, i.request(now, order, p, owner))
 		}
 	}
 	return requests, commands
@@ -142,8 +142,8 @@
 }
 
 // due reports whether a request should be sent now.
-func (i *Issuer) due(now time.Duration, upstream protocol.UpstreamID, p *progress, holder Owner) bool {
-	if !holder.ChecksFence && now-i.ownedSince(now, upstream, holder) < i.timing.UnfencedDelay {
+func (i *Issuer) due(now time.Duration, upstream protocol.UpstreamID, p *progress, owner Owner) bool {
+	if !owner.ChecksFence && now-i.ownedSince(now, upstream, owner) < i.timing.UnfencedDelay {
 		// An order that a former issuer or a former owner sent may still be in
 		// flight. The engine would execute whichever order comes last.
 		return false
@@ -160,21 +160,21 @@
 
 // ownedSince returns since when only the present issuer and owner can have started
 // a call to an engine.
-func (i *Issuer) ownedSince(now time.Duration, upstream protocol.UpstreamID, holder Owner) time.Duration {
+func (i *Issuer) ownedSince(now time.Duration, upstream protocol.UpstreamID, owner Owner) time.Duration {
 	known, seen := i.ownerships[upstream]
-	if !seen || known.fence != holder.OwnershipFence {
-		known = ownership{fence: holder.OwnershipFence, since: now}
+	if !seen || known.fence != owner.OwnershipFence {
+		known = ownership{fence: owner.OwnershipFence, since: now}
 		i.ownerships[upstream] = known
 	}
 	return known.since
 }
 
-func (i *Issuer) request(now time.Duration, order Order, p *progress, holder Owner) OutgoingRequest {
+func (i *Issuer) request(now time.Duration, order Order, p *progress, owner Owner) OutgoingRequest {
 	readOnly := !p.read || isLoading(order.Intent, p.state)
 	p.asked = true
 	p.askedAt = now
-	return OutgoingRequest{To: holder.Router, Request: Request{
-		Upstream: order.Upstream, OwnershipFence: holder.OwnershipFence, Term: i.term,
+	return OutgoingRequest{To: owner.Router, Request: Request{
+		Upstream: order.Upstream, OwnershipFence: owner.OwnershipFence, Term: i.term,
 		Fence: order.Fence, Intent: order.Intent, ReadOnly: readOnly,
 	}}
 }
@@ -246,14 +246,14 @@
 
 // fulfils reports whether a state is what an intent asks for.
 func fulfils(intent Intent, state *upstreamapi.EngineState) bool {
-	held := slices.IndexFunc(state.Models, func(m upstreamapi.LoadedModel) bool { return m.Model == intent.Model })
+	at := slices.IndexFunc(state.Models, func(m upstreamapi.LoadedModel) bool { return m.Model == intent.Model })
 	switch intent.Action {
 	case upstreamapi.ActionRole:
 		return state.Role == intent.Role
 	case upstreamapi.ActionUnload:
-		return held < 0
+		return at < 0
 	}
-	return held >= 0 && state.Models[held].Ready && intent.allowsVersion(state.Models[held].Version)
+	return at >= 0 && state.Models[at].Ready && intent.allowsVersion(state.Models[at].Version)
 }
 
 // allowsVersion reports whether the intent asks for this version or for any.
--- a/coordination/engineorders/issuer_test.go
+++ b/coordination/engineorders/issuer_test.go
@@ -123,12 +123,12 @@
 func TestBackoffGrowsForRefusingEngine(t *testing.T) {
 	w := newWorld(t, true)
 	w.refuse = upstreamapi.StatusInvalid
-	for _, rest := range []time.Duration{10 * time.Second, 20 * time.Second, 40 * time.Second} {
+	for _, backoff := range []time.Duration{10 * time.Second, 20 * time.Second, 40 * time.Second} {
 		assert.Equal(t, w.issue(w.issuer, "v1").Outcome, Done)
 		w.run(time.Second)
 		assert.Equal(t, w.resolution(), EngineRefused)
-		assert.Assert(t, !w.issuer.BackoffExpired(w.now+rest-2*time.Second, w.state, "e1"))
-		assert.Assert(t, w.issuer.BackoffExpired(w.now+rest, w.state, "e1"))
+		assert.Assert(t, !w.issuer.BackoffExpired(w.now+backoff-2*time.Second, w.state, "e1"))
+		assert.Assert(t, w.issuer.BackoffExpired(w.now+backoff, w.state, "e1"))
 	}
 }
 
--- a/coordination/engineorders/meter.go
+++ b/coordination/engineorders/meter.go
@@ -22,7 +22,7 @@
 type engineWork struct {
 	ownershipFence protocol.Fence
 	at             time.Duration
-	done           map[protocol.Model]float64
+	completed      map[protocol.Model]float64
 	rates          map[protocol.Model]float64
 	// hasRates says that rates were computed from two reports of one ownership.
 	hasRates bool
@@ -39,19 +39,19 @@
 	}
 	known := m.engines[reply.Upstream]
 	if known == nil || known.ownershipFence != reply.OwnershipFence {
-		m.engines[reply.Upstream] = &engineWork{ownershipFence: reply.OwnershipFence, at: now, done: reply.Completed}
+		m.engines[reply.Upstream] = &engineWork{ownershipFence: reply.OwnershipFence, at: now, completed: reply.Completed}
 		return
 	}
 	if now <= known.at {
 		return
 	}
 	known.rates = map[protocol.Model]float64{}
-	for model, done := range reply.Completed {
-		known.rates[model] = max(0, done-known.done[model]) / (now - known.at).Seconds()
+	for model, completed := range reply.Completed {
+		known.rates[model] = max(0, completed-known.completed[model]) / (now - known.at).Seconds()
 	}
 	known.hasRates = true
 	known.at = now
-	known.done = reply.Completed
+	known.completed = reply.Completed
 }
 
 // Demand returns a model's demand; serving has the engines that serve it with their
--- a/coordination/engineorders/plan.go
+++ b/coordination/engineorders/plan.go
@@ -177,9 +177,9 @@
 		}
 		return
 	}
-	may := min(max(1, int(p.rollShare*float64(c.serving+changing))), c.serving-1)
+	limit := min(max(1, int(p.rollShare*float64(c.serving+changing))), c.serving-1)
 	for _, engine := range p.engines {
-		if changing >= may || p.loadsLeft == 0 {
+		if changing >= limit || p.loadsLeft == 0 {
 			return
 		}
 		held, holds := engine.held(model.Name)
--- a/coordination/engineorders/plan_test.go
+++ b/coordination/engineorders/plan_test.go
@@ -186,7 +186,7 @@
 	for name, tc := range map[string]struct {
 		from   int
 		tokens float64
-		floor  ReplicaLimits
+		limits ReplicaLimits
 		after  time.Duration
 		want   int
 	}{
@@ -205,7 +205,7 @@
 			s := NewScaler(DefaultScalerConfig(), 0, tc.from)
 			got := 0
 			for now := time.Duration(0); now <= tc.after; now += time.Second {
-				got = s.Replicas(now, Demand{Tokens: tc.tokens, PerReplica: 1000}, tc.floor)
+				got = s.Replicas(now, Demand{Tokens: tc.tokens, PerReplica: 1000}, tc.limits)
 			}
 			assert.Equal(t, got, tc.want)
 		})
--- a/coordination/engineorders/poller.go
+++ b/coordination/engineorders/poller.go
@@ -41,19 +41,19 @@
 }
 
 // Step returns the requests that are due, for engines in the given order.
-func (s *StatePoller) Step(now time.Duration, engines []protocol.UpstreamID, owner func(protocol.UpstreamID) (Owner, bool)) []OutgoingRequest {
+func (s *StatePoller) Step(now time.Duration, engines []protocol.UpstreamID, ownerOf func(protocol.UpstreamID) (Owner, bool)) []OutgoingRequest {
 	var requests []OutgoingRequest
 	for _, engine := range engines {
 		if !s.due(now, engine) {
 			continue
 		}
-		holder, known := owner(engine)
+		owner, known := ownerOf(engine)
 		if !known {
 			continue
 		}
 		s.asked[engine] = now
-		requests = append(requests, OutgoingRequest{To: holder.Router, Request: Request{
-			Upstream: engine, OwnershipFence: holder.OwnershipFence, Term: s.term, ReadOnly: true,
+		requests = append(requests, OutgoingRequest{To: owner.Router, Request: Request{
+			Upstream: engine, OwnershipFence: owner.OwnershipFence, Term: s.term, ReadOnly: true,
 		}})
 		if len(requests) == maxPollsPerStep {
 			break
--- a/coordination/engineorders/scaler.go
+++ b/coordination/engineorders/scaler.go
@@ -89,12 +89,12 @@
 }
 
 func (s *Scaler) update(now time.Duration, demand Demand) {
-	per := max(1, demand.PerReplica)
-	s.updateSince(now, demand.Tokens > s.config.ScaleUpAbove*per*float64(s.replicas), &s.isAbove, &s.aboveSince)
+	perReplica := max(1, demand.PerReplica)
+	s.updateSince(now, demand.Tokens > s.config.ScaleUpAbove*perReplica*float64(s.replicas), &s.isAbove, &s.aboveSince)
 	fewer := max(0, s.replicas-1)
-	s.updateSince(now, s.replicas > 0 && demand.Tokens < s.config.ScaleDownBelow*per*float64(fewer), &s.isBelow, &s.belowSince)
+	s.updateSince(now, s.replicas > 0 && demand.Tokens < s.config.ScaleDownBelow*perReplica*float64(fewer), &s.isBelow, &s.belowSince)
 	if s.isAbove && now-s.aboveSince >= s.config.ScaleUpAfter {
-		s.replicas = max(s.replicas+1, int(math.Ceil(demand.Tokens/(s.config.TargetLoad*per))))
+		s.replicas = max(s.replicas+1, int(math.Ceil(demand.Tokens/(s.config.TargetLoad*perReplica))))
 		s.isAbove = false
 	}
 	if s.isBelow && now-s.belowSince >= s.config.ScaleDownAfter {
--- a/coordination/engineorders/state.go
+++ b/coordination/engineorders/state.go
@@ -19,7 +19,8 @@
 	// maxEngines bounds the state if an issuer is faulty. It is far above the
 	// 790 engines of a fleet.
 	maxEngines = 20_000
-	maxText    = 256
+	// maxText bounds each text of a command, in bytes.
+	maxText = 256
 )
 
 // Term identifies the period in which one process is the issuer. It is the log
@@ -188,12 +189,12 @@
 	return Answer{Outcome: Malformed}
 }
 
-func (s *State) startTerm(index uint64, take StartTerm) Answer {
-	if take.Router == "" || len(take.Router) > maxText {
+func (s *State) startTerm(index uint64, start StartTerm) Answer {
+	if start.Router == "" || len(start.Router) > maxText {
 		return Answer{Outcome: Malformed}
 	}
 	s.term = Term(index)
-	s.issuer = take.Router
+	s.issuer = start.Router
 	return Answer{Outcome: Done, Term: s.term}
 }
 
--- a/daemon/engineorders.go
+++ b/daemon/engineorders.go
@@ -18,8 +18,8 @@
 const (
 	// engineOrderInterval is how often the issuer's Step runs.
 	engineOrderInterval = 200 * time.Millisecond
-	// stateReadTimeout is how long a new issuer waits until the state of all engines is read. Then it
-	// plans without those whose state can't be read.
+	// stateReadTimeout is how long a new issuer waits until the state of every engine is read. After
+	// that it makes plans in which engines whose state wasn't read get no order.
 	stateReadTimeout = 10 * time.Second
 	// modelsPerEngine is how many models the plan assumes that an engine can hold. Engines don't
 	// announce the number; an engine that can't hold a second model refuses the order and gets no
@@ -58,10 +58,10 @@
 		return
 	}
 	o.lastStep = now
-	sends, commands := o.issuer.Step(now, h.machine.Engines(), h.engineOwner)
-	sends = append(sends, o.poller.Step(now, h.enginesWithoutOrder(), h.engineOwner)...)
-	for _, send := range sends {
-		h.sendEngineRequest(send.To, send.Request)
+	requests, commands := o.issuer.Step(now, h.machine.Engines(), h.engineOwner)
+	requests = append(requests, o.poller.Step(now, h.enginesWithoutOrder(), h.engineOwner)...)
+	for _, outgoing := range requests {
+		h.sendEngineRequest(outgoing.To, outgoing.Request)
 	}
 	if o.committing {
 		return
@@ -90,7 +90,7 @@
 		defer h.mu.Unlock()
 		o.committing = false
 		if o.issuer == nil && h.engineOrders == o {
-			// The Take command failed; the next tick proposes it again.
+			// The StartTerm command failed; the next tick proposes it again.
 			h.engineOrders = nil
 		}
 	})
@@ -253,9 +253,9 @@
 	}
 }
 
-// sendEngineRequest sends the issuer's request to an owner, which may be this router. The caller holds
-// the state host's lock, which the reply needs too; a local request therefore runs on a goroutine
-// of its own.
+// sendEngineRequest sends the issuer's request to an owner, which may be this router. The caller
+// holds the state host's lock, which the reply needs too; a local request therefore runs on a
+// goroutine of its own.
 func (d *Daemon) sendEngineRequest(to protocol.RouterID, request engineorders.Request) {
 	if to == d.settings.RouterID {
 		go d.runner.Input(node.PeerEngineRequest{From: to, Request: request})
