--- a/coordination/orders/dispatcher.go
+++ b/coordination/orders/dispatcher.go
@@ -8,8 +8,9 @@
 const (
 	// Finished means that the record has the outcome of the order.
 	Finished ReportKind = iota + 1
-	// DispatchRefused means that another attempt holds the order, or that the
-	// order is finished; Report.Record says which.
+	// DispatchRefused means that this attempt got no right to send the order:
+	// another attempt holds the order, the order is finished, or the session of
+	// this router is closed. Report.Record is the order's record, if there is one.
 	DispatchRefused
 	// NotSent means that the order is reserved again and another attempt may
 	// start.
--- a/coordination/orders/faults_test.go
+++ b/coordination/orders/faults_test.go
@@ -23,13 +23,13 @@
 // faults are the faults to inject, each once. Router 0 runs the Entry, router 1
 // the Dispatcher.
 var faults = map[string]func(w *world){
-	"none":             func(*world) {},
-	"entry killed":     func(w *world) { w.kill(w.routers[0]); w.resend(Digest{1}) },
-	"entry frozen":     func(w *world) { w.freeze(w.routers[0], 8*time.Second); w.resend(Digest{1}) },
-	"dispatcher dead":  func(w *world) { w.kill(w.routers[1]) },
-	"dispatcher froze": func(w *world) { w.freeze(w.routers[1], 8*time.Second); w.resend(Digest{1}) },
-	"command lost":     func(w *world) { w.loseCommand = true },
-	"answer lost":      func(w *world) { w.loseAnswer = true },
+	"none":              func(*world) {},
+	"entry killed":      func(w *world) { w.kill(w.routers[0]); w.resend(Digest{1}) },
+	"entry frozen":      func(w *world) { w.freeze(w.routers[0], 8*time.Second); w.resend(Digest{1}) },
+	"dispatcher killed": func(w *world) { w.kill(w.routers[1]) },
+	"dispatcher frozen": func(w *world) { w.freeze(w.routers[1], 8*time.Second); w.resend(Digest{1}) },
+	"command lost":      func(w *world) { w.loseCommand = true },
+	"answer lost":       func(w *world) { w.loseAnswer = true },
 	"desk down": func(w *world) {
 		w.deskDown = true
 		w.after(time.Second, nil, func() { w.deskDown = false })
@@ -90,7 +90,7 @@
 func canStayUnknown(fault, step string) bool {
 	dispatcherHolds := map[string]bool{"propose 2": true, "committed 2": true, "send": true, "run": true, "answer": true, "propose 4": true}
 	switch fault {
-	case "dispatcher dead":
+	case "dispatcher killed":
 		return dispatcherHolds[step]
 	case "desk down", "desk down long":
 		return step == "run" || step == "answer"
--- a/coordination/orders/types.go
+++ b/coordination/orders/types.go
@@ -106,8 +106,8 @@
 	Op     Op     `msgpack:"o"`
 	Key    Key    `msgpack:"k"`
 	Digest Digest `msgpack:"d,omitempty"`
-	// Holder is the attempt that sends OpDispatch, OpReturn, OpDone, OpUnknown
-	// or OpSeal.
+	// Holder is the attempt that proposes OpDispatch, OpReturn, OpDone, OpUnknown
+	// or OpSeal. It is zero in an OpSeal that an Entry proposes.
 	Holder Holder `msgpack:"h,omitempty"`
 	// At is the leader's wall clock in milliseconds of Unix time. The journal
 	// itself never reads a clock.
