--- a/coordination/engineorders/gate.go
+++ b/coordination/engineorders/gate.go
@@ -34,8 +34,8 @@
 	OldOwnership Admission = "old-tenure"
 	// FormerIssuer means that the owner has received a request of a later issuer.
 	FormerIssuer Admission = "former-issuer"
-	// OldFence means that the owner has already passed on an order with a higher
-	// fencing number.
+	// OldFence means that the owner has already admitted a request for an order with
+	// a higher fencing number.
 	OldFence Admission = "old-fence"
 	// CallBusy means that another call to the engine is in flight.
 	CallBusy Admission = "call-busy"
--- a/coordination/engineorders/scaler.go
+++ b/coordination/engineorders/scaler.go
@@ -41,7 +41,7 @@
 type Demand struct {
 	// Tokens is the arriving work in tokens a second.
 	Tokens float64
-	// PerReplica is the capacity of a replica, in tokens a second.
+	// PerReplica is the mean capacity of a replica, in tokens a second.
 	PerReplica float64
 }
 
--- a/coordination/engineorders/state.go
+++ b/coordination/engineorders/state.go
@@ -112,7 +112,8 @@
 	WeightStoreBusy Outcome = "store-busy"
 	// NoSuchOrder means that the order to settle is not open.
 	NoSuchOrder Outcome = "no-such-order"
-	// Malformed means that the command is invalid. It changed nothing.
+	// Malformed means that the command is invalid, or that the state already holds
+	// maxEngines orders. The command changed nothing.
 	Malformed Outcome = "malformed"
 )
 
--- a/coordination/engineorders/world_test.go
+++ b/coordination/engineorders/world_test.go
@@ -18,12 +18,13 @@
 // simulated time. A request is delivered in the step after it was sent, unless
 // holdRequests is set.
 type world struct {
-	t         *testing.T
-	now       time.Duration
-	index     uint64
-	state     *State
-	issuer    *Issuer
-	engine    *engine.Core
+	t      *testing.T
+	now    time.Duration
+	index  uint64
+	state  *State
+	issuer *Issuer
+	engine *engine.Core
+	// checks says that the engine checks fencing numbers.
 	checks    bool
 	gate      *Gate
 	owner     Owner
--- a/daemon/engineorders.go
+++ b/daemon/engineorders.go
@@ -42,8 +42,8 @@
 }
 
 // stepEngineOrders makes this process the issuer if it isn't, and runs the issuer's periodic step.
-// The caller holds the leader's lease and the lock. Without a row in the models sheet and without
-// open orders there is nothing to do, and no engine receives a request.
+// The caller holds the consensus leader's lease and h.mu. Without a row in the models sheet and
+// without open orders there is nothing to do, and no engine receives a request.
 func (h *stateHost) stepEngineOrders(now time.Duration) {
 	models := h.machine.Table().Rows(table.Models)
 	if len(models) == 0 && len(h.machine.Engines().Open()) == 0 {
