--- a/coordination/table/history.go
+++ b/coordination/table/history.go
@@ -78,7 +78,8 @@
 // deletions remembers the revisions at which rows were deleted, so that a late
 // resend of the change that created a row cannot bring it back.
 type deletions struct {
-	at    map[RowRef]uint64
+	at map[RowRef]uint64
+	// order has the deletions, oldest first, among them some that at no longer has.
 	order []deletion
 }
 
