--- a/coordination/node/engineorder.go
+++ b/coordination/node/engineorder.go
@@ -8,9 +8,9 @@
 	"endiveplank/protocol"
 )
 
-// engineCallTimeout bounds the calls that one request makes to an engine. Package
-// engineorders waits after a change of issuer or owner, and relies on this
-// bound.
+// engineCallTimeout bounds the calls that one request makes to an engine.
+// Package engineorders waits after a change of issuer or owner, and relies on
+// this bound.
 const engineCallTimeout = 5 * time.Second
 
 // handleEngineRequest decides, as the owner of an engine, on a request of the
--- a/coordination/node/engineorder_test.go
+++ b/coordination/node/engineorder_test.go
@@ -124,8 +124,8 @@
 }
 
 // The ownership moves while the former owner still relays an answer of the
-// engine, and a request reaches the former owner. It must pass no order, because the
-// new owner may pass one.
+// engine, and a request reaches the former owner. It must pass no order, because
+// the new owner may pass one.
 func TestFormerOwnerThatStillRelaysPassesNoOrder(t *testing.T) {
 	f := newFleet(3)
 	f.Submit("r3", "q", "key", "fuel?", 200)
--- a/daemon/runner.go
+++ b/daemon/runner.go
@@ -252,9 +252,9 @@
 		return decodeInput[fleet.AttemptCheck](from, frame)
 	case wire.KindAttemptAlive:
 		return decodeInput[fleet.AttemptAlive](from, frame)
-	case wire.KindLimitAsk:
+	case wire.KindCreditRequest:
 		return decodeInput[limits.CreditRequest](from, frame)
-	case wire.KindLimitAnswer:
+	case wire.KindCreditGrant:
 		return decodeInput[limits.CreditGrant](from, frame)
 	case wire.KindChatMoved:
 		return decodeInput[fleet.ChatMoved](from, frame)
