--- a/coordination/orders/dispatcher.go
+++ b/coordination/orders/dispatcher.go
@@ -8,8 +8,9 @@
 const (
 	// Finished means that the record has the outcome of the order.
 	Finished ReportKind = iota + 1
-	// DispatchRefused means that another attempt holds the order, or that the
-	// order is finished; Report.Record says which.
+	// DispatchRefused means that this attempt got no right to send the order:
+	// another attempt holds the order, the order is finished, or the session of
+	// this router is closed. Report.Record is the order's record, if there is one.
 	DispatchRefused
 	// NotSent means that the order is reserved again and another attempt may
 	// start.
@@ -19,8 +20,12 @@
 type dispatchPhase uint8
 
 const (
+	// acquiring: OpDispatch is proposed.
 	acquiring dispatchPhase = iota
+	// calling: the order is sent and its answer is awaited.
 	calling
+	// recording: OpDone, OpUnknown, OpSeal or OpReturn is proposed. After OpUnknown
+	// the Dispatcher stays in this phase, because the answer may still come.
 	recording
 	dispatchEnded
 )
