--- a/coordination/balance/balancer.go
+++ b/coordination/balance/balancer.go
@@ -92,9 +92,9 @@
 	neighbours Neighbours
 	reported   map[protocol.RouterID]map[ShortID]UpstreamLoad
 	relayQueue []queuedPrefix
-	// unrecorded are cache holders that are still to be sent to a disk VM. restored are
-	// those that a disk VM sent at restoredAt and whose upstreams aren't in the roster
-	// yet.
+	// unrecorded holds the cached prefixes that are still to be sent to a disk VM.
+	// restored holds those that a disk VM sent at restoredAt for upstreams that aren't
+	// in the roster yet.
 	unrecorded []CachedPrefix
 	restored   []CachedPrefix
 	restoredAt time.Duration
--- a/coordination/balance/record.go
+++ b/coordination/balance/record.go
@@ -78,11 +78,11 @@
 
 // Add records the cache holders that a router announces.
 func (r *CacheHolderRecord) Add(now time.Duration, prefixes []CachedPrefix) {
-	for _, k := range prefixes {
-		if _, known := r.prefixes[k.Prefix]; !known && len(r.prefixes) >= maxPrefixes {
+	for _, cached := range prefixes {
+		if _, known := r.prefixes[cached.Prefix]; !known && len(r.prefixes) >= maxPrefixes {
 			r.evict(now)
 		}
-		r.prefixes[k.Prefix] = recordedHolder{id: k.ID, at: now}
+		r.prefixes[cached.Prefix] = recordedHolder{id: cached.ID, at: now}
 	}
 }
 
@@ -96,9 +96,9 @@
 // Entries returns the entries that haven't expired, the newest first.
 func (r *CacheHolderRecord) Entries(now time.Duration) []AgedPrefix {
 	var all []AgedPrefix
-	for prefix, k := range r.prefixes {
-		if age := now - k.at; age <= holderTTL {
-			all = append(all, AgedPrefix{CachedPrefix: CachedPrefix{Prefix: prefix, ID: k.id}, Age: age})
+	for prefix, holder := range r.prefixes {
+		if age := now - holder.at; age <= holderTTL {
+			all = append(all, AgedPrefix{CachedPrefix: CachedPrefix{Prefix: prefix, ID: holder.id}, Age: age})
 		}
 	}
 	slices.SortFunc(all, func(x, y AgedPrefix) int {
@@ -121,8 +121,8 @@
 
 // evict drops the prefixes that have expired, and arbitrary ones if that isn't enough.
 func (r *CacheHolderRecord) evict(now time.Duration) {
-	for prefix, k := range r.prefixes {
-		if now-k.at > holderTTL {
+	for prefix, holder := range r.prefixes {
+		if now-holder.at > holderTTL {
 			delete(r.prefixes, prefix)
 		}
 	}
--- a/coordination/balance/relay.go
+++ b/coordination/balance/relay.go
@@ -13,8 +13,8 @@
 	// maxQueuedPrefixes those that wait; the oldest are dropped.
 	maxPrefixesPerReport = 512
 	maxQueuedPrefixes    = 8 * maxPrefixesPerReport
-	// otherRelays is the key in Balancer.reported that stands for all other relays, which
-	// get the same loads.
+	// otherRelays is the key in Balancer.reported for the loads last sent to the other
+	// relays. All of them get the same loads, so they share one entry.
 	otherRelays protocol.RouterID = ""
 )
 
