--- a/coordination/control/announcements.go
+++ b/coordination/control/announcements.go
@@ -10,9 +10,10 @@
 )
 
 const (
-	// announceToRoutersFrom is the number of upstreams from which routers take
-	// announcements. Fewer upstreams are no burden for the disk VMs, and an upstream
-	// that calls a router that is gone loses a second.
+	// announceToRoutersFrom is the least number of usable upstreams at which they
+	// announce themselves to routers instead of the disk VMs. Fewer upstreams are no
+	// burden for the disk VMs, and an upstream that calls a router that is gone loses
+	// a second.
 	announceToRoutersFrom = 256
 	// heartbeatReportInterval is how often a process reports to the disk VMs which
 	// upstreams announced themselves to it. Two reports in a row may be lost before an
--- a/coordination/control/follower.go
+++ b/coordination/control/follower.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// WatchInterval is how often a follower sends a Watch to each disk VM. If a change
-	// of an upstream is lost on the way, the follower learns it that late. Routers must
-	// know within two seconds that an upstream leaves.
+	// WatchInterval is how often a follower sends a Watch to each disk VM. If the
+	// message with a change of an upstream is lost, the follower may learn of the change
+	// that much later. Routers must know within two seconds that an upstream leaves.
 	WatchInterval = time.Second
 	// fastWatchInterval is the interval for a follower that has no table, or whose
 	// roster differs from the disk VM's. If a table is accepted meanwhile, the disk VMs
--- a/coordination/control/messages.go
+++ b/coordination/control/messages.go
@@ -44,8 +44,8 @@
 type Status struct {
 	// Version is the version of the table in force, 0 if there is none.
 	Version uint64 `msgpack:"v"`
-	// Restored says that the sender had this table in force before it restarted, and
-	// that no quorum has confirmed since whether there is a newer one.
+	// Restored says that the sender had this table in force before it restarted. Since
+	// then no quorum has confirmed whether there is a newer one.
 	Restored bool `msgpack:"e,omitempty"`
 	// Bytes is the size of the change that made this table.
 	Bytes int `msgpack:"b,omitempty"`
@@ -120,8 +120,8 @@
 // has or as a change that makes it from nothing.
 type Document struct {
 	Change document.Change `msgpack:"c"`
-	// Restored says that the sender is a router that has this table from a disk VM's
-	// Status.Restored: no disk VM knows yet whether there is a newer table.
+	// Restored says that the sender is a router, and that it has this table from a disk
+	// VM that set Status.Restored: no disk VM knows yet whether there is a newer table.
 	Restored bool `msgpack:"e,omitempty"`
 }
 
--- a/coordination/control/referrals.go
+++ b/coordination/control/referrals.go
@@ -42,8 +42,8 @@
 	referred int
 }
 
-// add records a router that has been sent something large, or soon will be by another
-// router.
+// add records a router that has been sent a table or list, or that another router will
+// soon send one to.
 func (r *referrals) add(now time.Duration, router Router) {
 	known := slices.ContainsFunc(r.list, func(other referral) bool { return other.router.ID == router.ID })
 	if !known {
