--- a/coordination/crashes/crashes.go
+++ b/coordination/crashes/crashes.go
@@ -55,8 +55,8 @@
 
 // suspect is a request that was in flight at crashes.
 type suspect struct {
-	// attempts are the Crash.Attempt of the crashes that count, and last is when the last
-	// one was reported.
+	// attempts holds the Crash.Attempt of each counted crash, at most
+	// Settings.QuarantineAfter of them. last is when the latest crash was reported.
 	attempts []uint64
 	last     time.Duration
 }
