--- a/coordination/engineorders/issuer.go
+++ b/coordination/engineorders/issuer.go
@@ -29,7 +29,8 @@
 	MaxBackoff time.Duration
 }
 
-// DefaultTiming returns the times for leases of 3 s and calls of 5 s.
+// DefaultTiming returns the times for leases of 3 s and calls to engines that take at
+// most 5 s.
 func DefaultTiming() Timing {
 	return Timing{
 		ResendAfter:   6 * time.Second,
