--- a/coordination/lease/feed.go
+++ b/coordination/lease/feed.go
@@ -76,8 +76,8 @@
 // them is in flight. A push counts as lost when the router's position has not
 // advanced for Timing.ResendAfter, however many pushes followed it: each of
 // them begins where the previous one ended, so the router can apply none. A
-// router that reports its position in a catch-up, or that it missed a push,
-// always gets a delta.
+// router that reports its position in a catch-up, or reports that it missed a
+// push, always gets a delta.
 func (f *feed) catchUp(now time.Duration, renewal Renewal) *fleetstate.Delta {
 	at := renewal.position()
 	p := f.progressOf(renewal.Session)
