--- a/coordination/loadbench/stall.go
+++ b/coordination/loadbench/stall.go
@@ -38,8 +38,8 @@
 	Missed int
 }
 
-// RunStall runs the model once. The streams run one after another and share one
-// estimator.
+// RunStall runs the Stall model once. The streams run one after another and share
+// one estimator of the waits between tokens.
 func RunStall(config StallConfig) StallResult {
 	const tokensPerStream = 200
 	rng := rand.New(rand.NewPCG(config.Seed, 5))
