--- a/coordination/loadbound/views.go
+++ b/coordination/loadbound/views.go
@@ -24,8 +24,11 @@
 	sent [sentHistory]sentRecord
 }
 
-// sentHistory is how many of this router's messages a neighbour may miss before
-// its echo can't be dated any more: four seconds of messages at ExchangePeriod.
+// sentHistory is how many sent messages this router remembers for each neighbour.
+// A neighbour echoes the highest sequence number that it received. If it has missed
+// that many messages since, the router no longer knows when it sent the echoed one,
+// and can't bound the age of the neighbour's summary. 16 messages are four seconds
+// at ExchangePeriod.
 const sentHistory = 16
 
 // sentRecord records when a message was sent.
