--- a/coordination/membership/probe.go
+++ b/coordination/membership/probe.go
@@ -38,7 +38,8 @@
 	due         time.Duration
 	helpers     int
 	nacks       int
-	// shed means that the budget did not allow one of the pings.
+	// shed means that a ping was not sent because of the limit on bytes per second,
+	// so a missing reply says nothing about the target.
 	shed bool
 }
 
