--- a/coordination/node/classify.go
+++ b/coordination/node/classify.go
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// encodeChain converts a chain to its wire form.
+// encodeChain converts the prefix hashes of a chat to their wire form.
 func encodeChain(chain []chat.Link) []fleet.Link {
 	links := make([]fleet.Link, 0, len(chain))
 	for _, link := range chain {
@@ -102,7 +102,7 @@
 	return links
 }
 
-// decodeChain converts a chain from its wire form.
+// decodeChain converts the prefix hashes of a chat from their wire form.
 func decodeChain(links []fleet.Link) []chat.Link {
 	chain := make([]chat.Link, 0, len(links))
 	for _, link := range links {
--- a/coordination/node/entry.go
+++ b/coordination/node/entry.go
@@ -54,10 +54,10 @@
 	// attempt is the number of the current attempt, from 1.
 	attempt  uint32
 	upstream *Upstream
-	// walk finds an upstream for a chat and is valid while walking is set. For a
-	// plain service candidates lists the upstreams to ask, and next is the index
-	// of the next one. reportedLoads holds the loads that owners reported
-	// during the walk.
+	// walk is the search for an upstream for a chat and is valid while walking is
+	// set. reportedLoads holds the loads that owners reported during the walk. A
+	// request to a plain service has no walk: candidates lists the upstreams to
+	// ask, and next is the index of the next one.
 	walk          placement.Walk
 	walking       bool
 	reportedLoads []reportedLoad
--- a/coordination/node/limit.go
+++ b/coordination/node/limit.go
@@ -47,7 +47,8 @@
 	}
 }
 
-// handleCreditRequest answers a credit request as the home of the customers.
+// handleCreditRequest answers a credit request for customers whose accounts this
+// router keeps as their home (see limits.HomeOf).
 func (n *Node) handleCreditRequest(now time.Duration, in PeerCreditRequest) {
 	n.send(in.From, n.limitHome.HandleRequest(now, in.From, in.Request))
 }
--- a/coordination/node/owner.go
+++ b/coordination/node/owner.go
@@ -175,8 +175,8 @@
 	}
 	target.recordOthersLoad(now, r.place.OthersLoad)
 	if target.queue.Len() > 0 {
-		// Waiting requests go first, by the rules of the queue. The load that this
-		// Place carries may show that the load bound now admits some of them.
+		// Waiting requests go first, by the rules of the queue. The load reported in
+		// this Place message may show that the load bound now admits some of them.
 		n.startQueued(now, target)
 	}
 	if target.queue.Len() > 0 {
--- a/coordination/node/place.go
+++ b/coordination/node/place.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	// maxServiceSpills is the number of servers of a plain service that are
-	// asked before the request is queued at the first one.
-	maxServiceSpills = 3
+	// maxServersAsked is the number of servers of a plain service that are asked
+	// to start a request before the request is queued at the first one.
+	maxServersAsked = 3
 	// noOwnerRetryInterval is how long a request waits before it looks again for
 	// an upstream that has an owner.
 	noOwnerRetryInterval = 200 * time.Millisecond
@@ -176,7 +176,7 @@
 	return -upstream.Capacity / math.Log(unit)
 }
 
-// askNextServer asks the owner of the next server. After maxServiceSpills
+// askNextServer asks the owner of the next server. After maxServersAsked
 // servers it asks the owner of the first one to queue the request.
 func (n *Node) askNextServer(now time.Duration, e *entryRequest) {
 	if len(e.candidates) == 0 {
@@ -185,7 +185,7 @@
 	}
 	stage := placement.StageInOrder
 	index := e.next
-	if e.next >= min(maxServiceSpills, len(e.candidates)) {
+	if e.next >= min(maxServersAsked, len(e.candidates)) {
 		stage = placement.StageFinal
 		index = 0
 	}
@@ -319,8 +319,8 @@
 // the request as the upstream's owner.
 func (n *Node) handleNotOwner(now time.Duration, e *entryRequest) {
 	if e.phase == phaseQueued || !e.walking {
-		// The walk has ended, or there was none: search from the beginning after a
-		// wait.
+		// The search by walk has ended, or the request has no walk: wait, then start
+		// a new search.
 		n.waitForOwner(now, e)
 		return
 	}
