--- a/coordination/placement/index.go
+++ b/coordination/placement/index.go
@@ -115,7 +115,8 @@
 	return hit
 }
 
-// longestPrefix looks the links up, from the last one backwards.
+// longestPrefix returns the hit for the longest cached prefix. It looks up the last
+// links of the chain, from the end backwards, and then the first link.
 func (x *Index) longestPrefix(now time.Duration, chain []chat.Link) Hit {
 	last := max(0, len(chain)-maxLookups)
 	for i := len(chain) - 1; i >= last; i-- {
--- a/coordination/placement/owner.go
+++ b/coordination/placement/owner.go
@@ -331,7 +331,7 @@
 	return held.index.ApplyEvents(now, first, events)
 }
 
-// addRecentHit replaces the oldest admission.
+// addRecentHit stores an admission in the place of the oldest one.
 func (h *cacheState) addRecentHit(hit recentHit) {
 	h.recentHits[h.nextRecent] = hit
 	h.nextRecent = (h.nextRecent + 1) % maxRecentHits
