--- a/coordination/quarantine/crash.go
+++ b/coordination/quarantine/crash.go
@@ -70,10 +70,12 @@
 	}
 }
 
-// culprit returns the run that must be quarantined for a crash, or nil: the one
-// suspect on trial there if it was alone, otherwise the only suspect that was
-// in enough crashes. The second rule finds requests that crash upstreams only
-// after their trial has ended, or that never found an upstream to run alone on.
+// culprit returns the run that must be quarantined for a crash, or nil if no run is
+// clearly the cause. If exactly one suspect was on trial on the upstream, and it ran
+// alone, that is the cause. Otherwise it is the only suspect that was in
+// minCommonCrashes crashes or more, this one included. The second rule finds requests
+// that crash upstreams only after their trial has ended, or that never found an
+// upstream to run alone on.
 func (t *Tracker) culprit(now time.Duration, runs []*run) *run {
 	var onTrial, common []*run
 	for _, r := range runs {
--- a/coordination/quarantine/mass.go
+++ b/coordination/quarantine/mass.go
@@ -4,12 +4,13 @@
 // one request may explain several and any other cause explains one.
 //
 // A request that crashes upstreams one after the other is one cause of many
-// crashes. When a rack fails, each request ran on only one of its upstreams, so
-// each upstream needs a cause of its own. But requests of the upstreams that
-// failed first may have been restarted on the next ones just before those failed
-// too, so some requests are in two crashes by coincidence. So a shared request
-// counts as a cause only where coincidence is unlikely: where it ran alone in the
-// later crash, or where it was in three or more at a similar age (see sameAge).
+// crashes. When a rack fails, most requests ran on only one of its upstreams, so
+// each upstream needs a cause of its own. But some requests are in two of the
+// crashes by coincidence: they ran on an upstream that failed first, and were
+// restarted on another one just before that failed too. A request that is in
+// several crashes therefore counts as their cause only where coincidence is
+// unlikely: where it ran alone in the later crash, or where it was in three
+// crashes or more at a similar age (see sameAge).
 func independentCauses(crashes []crash) int {
 	// open holds the indexes of the crashes that no cause explains yet.
 	open := make(map[int]bool, len(crashes))
