--- a/coordination/roster/roster.go
+++ b/coordination/roster/roster.go
@@ -338,7 +338,8 @@
 }
 
 // RefreshAll records that a disk VM lists the same upstreams as this roster. For a
-// router this replaces the announcements, which go to the disk VMs.
+// router this takes the place of the upstreams' own announcements, which go to the
+// disk VMs.
 func (r *Roster) RefreshAll(now time.Duration) {
 	for _, known := range r.records {
 		if known.State != Gone {
