--- a/coordination/stream/monitor.go
+++ b/coordination/stream/monitor.go
@@ -40,8 +40,9 @@
 }
 
 // DefaultMonitorConfig allows one reconnection per engine and five attempts in
-// all: two stalls on each of two engines and one more. A request that needs more
-// has a problem that another attempt doesn't solve, or is itself the cause.
+// all: two attempts that stall on each of two engines, and one more. A request
+// that needs more has a problem that another attempt doesn't solve, or is itself
+// the cause.
 func DefaultMonitorConfig() MonitorConfig {
 	return MonitorConfig{MaxAttempts: 5, MaxReconnects: 1, MaxHeld: 64}
 }
