--- a/daemon/router/announcements.go
+++ b/daemon/router/announcements.go
@@ -8,7 +8,7 @@
 )
 
 // announcementTimeout is how long the router waits for a disk VM to acknowledge an upstream's
-// announcement. It is less than the second after which an upstream without an answer
+// announcement. It is shorter than the one second after which an upstream that got no answer
 // announces itself elsewhere.
 const announcementTimeout = 800 * time.Millisecond
 
--- a/daemon/router/fleet.go
+++ b/daemon/router/fleet.go
@@ -78,7 +78,8 @@
 	r.balancer.RecordResult(r.now(), upstream, result)
 }
 
-// answerKind returns the kind of an attempt's answer, by which answer times are compared.
+// answerKind returns the kind of an attempt's answer. Answer times are compared only with
+// those of the same kind.
 func answerKind(job forward.Job, choice balance.Choice) answertime.Kind {
 	_, prompt := job.SharedPrefixKey()
 	return answertime.Kind{Route: job.Route.Name, Cold: prompt && choice.Reason != balance.ReasonCacheHolder && choice.CopyFrom == ""}
