--- a/state/wal/segment.go
+++ b/state/wal/segment.go
@@ -93,8 +93,8 @@
 }
 
 // isWriteFinished reports whether the bytes after a frame show that its write was
-// finished. Segments without end bytes can't show it, so each of their frames
-// counts as finished.
+// finished: an end byte follows each frame that was written whole. Segments of
+// version 1 have no end bytes, so each of their frames counts as finished.
 func (scan scanResult) isWriteFinished(following []byte) bool {
 	if scan.header.endByteSize() == 0 {
 		return true
