--- a/transport/certs/certs.go
+++ b/transport/certs/certs.go
@@ -42,8 +42,8 @@
 	Key         []byte
 }
 
-// NewAuthority creates a fleet's certificate authority, which expires validity
-// after now.
+// NewAuthority creates a fleet's certificate authority. Its certificate expires at
+// now plus validity.
 func NewAuthority(now time.Time, validity time.Duration) (Pair, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
