--- a/transport/forward/watchdog.go
+++ b/transport/forward/watchdog.go
@@ -48,8 +48,9 @@
 	maxSilence time.Duration
 	// onOverdue is called once if the answer doesn't begin in time.
 	onOverdue func()
-	// takeRetry takes the retry for the next attempt from the budget; false means
-	// that none may follow now. It is nil if none may ever follow.
+	// takeRetry takes a retry for the next attempt from the retry budget. It returns
+	// false if the budget allows none now. It is nil if no further attempt may follow
+	// at all.
 	takeRetry func() bool
 	cancel    context.CancelFunc
 
