--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -115,6 +115,8 @@
 	if err != nil {
 		return err
 	}
+	// The mesh detects a silent connection within two StallTimeouts. Half of timing.stall_ms keeps
+	// that within timing.stall_ms.
 	d.mesh = peer.New(peer.Options{
 		Self:         d.settings.RouterID,
 		DataCentre:   d.settings.DataCentre,
--- a/daemon/engineorders.go
+++ b/daemon/engineorders.go
@@ -225,7 +225,8 @@
 	return ids
 }
 
-// engineOwner returns the owner of an engine, false if it has none or is moving to another.
+// engineOwner returns the owner of an engine. It returns false if the engine has no owner or is
+// moving to another one.
 func (h *stateHost) engineOwner(upstream protocol.UpstreamID) (engineorders.Owner, bool) {
 	descriptor, known := h.machine.Registry().Get(upstream)
 	assignment, assigned := h.machine.Ownership().Assignment(upstream)
--- a/daemon/engineorders_test.go
+++ b/daemon/engineorders_test.go
@@ -24,8 +24,8 @@
 	return state
 }
 
-// engineHolds reports whether an engine serves a version of the model "m1".
-func engineHolds(state upstreamapi.EngineState, version string) bool {
+// engineServes reports whether an engine serves a version of the model "m1".
+func engineServes(state upstreamapi.EngineState, version string) bool {
 	for _, held := range state.Models {
 		if held.Model == "m1" && held.Version == version && held.Ready {
 			return true
@@ -47,9 +47,9 @@
 	}})
 	f.await("both engines serve v2", func() bool {
 		one, two := readState(t, first), readState(t, second)
-		serves := engineHolds(one, "") || engineHolds(one, "v2") || engineHolds(two, "") || engineHolds(two, "v2")
+		serves := engineServes(one, "") || engineServes(one, "v2") || engineServes(two, "") || engineServes(two, "v2")
 		assert.Assert(t, serves, "no engine serves the model")
-		return engineHolds(one, "v2") && engineHolds(two, "v2")
+		return engineServes(one, "v2") && engineServes(two, "v2")
 	})
 	f.await("all orders are confirmed", func() bool {
 		for _, d := range f.daemons {
--- a/daemon/frames.go
+++ b/daemon/frames.go
@@ -164,7 +164,8 @@
 	d.mesh.Send(to, wire.KindPush, encodeArrays(push), false)
 }
 
-// inForceTimeout bounds a proposal of another process, with its wait to be in force.
+// inForceTimeout bounds the handling of another process's proposal, with the wait until the change
+// is in force.
 const inForceTimeout = 8 * time.Second
 
 func (d *Daemon) handlePropose(from protocol.RouterID, frame wire.Frame) error {
--- a/daemon/gossip.go
+++ b/daemon/gossip.go
@@ -113,8 +113,9 @@
 }
 
 // handleEvent tells the node core that a peer is lost long before the peer's lease expires, so
-// that callers whose owner died are served by another router. A wrong death report costs resumed
-// answers, as a broken connection does. It doesn't change who owns what.
+// that callers whose owner died are served by another router. If the peer isn't dead after all,
+// answers in flight have to be resumed, as after a broken connection. Who owns which upstream
+// doesn't change.
 func (g *gossip) handleEvent(event membership.Event) {
 	g.recordEvent(node.Event{Router: event.Member.ID, Kind: string(event.Kind), Detail: string(event.Why)})
 	switch event.Kind {
@@ -129,8 +130,8 @@
 	}
 }
 
-// handleItem passes a broadcast item to the node core. It ignores an item that doesn't decode and
-// one of a kind that only a later version knows.
+// handleItem passes a broadcast item to the node core. It ignores an item that doesn't decode, and
+// one of a kind that only later versions of this program know.
 func (g *gossip) handleItem(item membership.Item) {
 	if item.Kind != itemCrash && item.Kind != itemQuarantine {
 		return
--- a/daemon/member.go
+++ b/daemon/member.go
@@ -31,8 +31,8 @@
 	// retryPause is the wait between attempts, so that a router without a leader doesn't spin.
 	retryPause = 100 * time.Millisecond
 	// registerTimeout bounds one attempt to open a session, to change the registry or to release
-	// upstreams. The next tick repeats the first, and the upstream's next announcement a
-	// registration.
+	// upstreams. After a failure the next tick opens the session, and the upstream's next
+	// announcement repeats the registration.
 	registerTimeout = 2 * time.Second
 	// journalTimeout bounds a journal command. It is how long an order waits for a new leader.
 	journalTimeout = 10 * time.Second
@@ -156,7 +156,7 @@
 	}
 }
 
-// selectNextVoter takes the next voter of the list for the leader. The caller holds the lock.
+// selectNextVoter assumes that the next voter of the list is the leader. The caller holds the lock.
 func (m *member) selectNextVoter() {
 	for i, voter := range m.voters {
 		if voter == m.leader {
@@ -238,7 +238,8 @@
 }
 
 // updateCoreLocked passes the view and the lease to the node core, the view first: the core must
-// not serve with an older view than the revision that the lease covers.
+// not serve with a view that is older than the revision that the lease covers. The caller holds the
+// lock.
 func (m *member) updateCoreLocked() {
 	view := m.holder.View()
 	if view.Revision() > m.lastRevision {
@@ -248,6 +249,8 @@
 		m.releaseMoving(view)
 	}
 	granted := node.LeaseChanged{Session: m.holder.Session()}
+	// A session's ID is the log index of the command that opened it, so an older view doesn't
+	// contain the session yet.
 	if m.holder.Session() != ownership.NoSession && view.Revision() >= uint64(m.holder.Session()) {
 		granted.Until = m.holder.ExpiresAt()
 	}
--- a/daemon/proposals.go
+++ b/daemon/proposals.go
@@ -58,7 +58,7 @@
 func (m *member) proposeTo(ctx context.Context, leader protocol.RouterID, command []byte, inForce bool) (fleet.ProposeReply, bool) {
 	timeout := requestTimeout
 	if inForce {
-		// A change is in force only when the lease of a lost router has expired.
+		// If a router is lost, a change is in force only after that router's lease has expired.
 		timeout += lease.DefaultTiming().ExpireAfter + requestTimeout
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
--- a/daemon/runner.go
+++ b/daemon/runner.go
@@ -1,6 +1,7 @@
 package daemon
 
 import (
+	"fmt"
 	"sync"
 	"time"
 
@@ -117,7 +118,7 @@
 	case node.Event:
 		r.recordEvent(out, r.traceOf(out))
 	default:
-		panic("daemon: the node core returned an output of an unknown type")
+		panic(fmt.Sprintf("daemon: the node core returned an output of the unknown type %T", out))
 	}
 }
 
--- a/daemon/statehost.go
+++ b/daemon/statehost.go
@@ -24,8 +24,8 @@
 	// planInterval is how often a leader compares the owners with the upstreams. An upstream that
 	// joins or has lost its owner waits at most that long for a plan.
 	planInterval = 200 * time.Millisecond
-	// proposeTimeout bounds one task of the leader with its proposals, and the proposals of a planned
-	// stop.
+	// proposeTimeout bounds one background task of the leader with all its proposals, and the
+	// proposals of a router that stops as planned.
 	proposeTimeout = 3 * time.Second
 )
 
