--- a/coordination/ownership/planner.go
+++ b/coordination/ownership/planner.go
@@ -62,10 +62,10 @@
 // It is meant for 330 routers and 790 upstreams with some 150 restarts a day.
 // An upstream without an owner serves nobody, so MakePlan assigns unowned
 // upstreams first. An owner in another data centre adds a hop to every request,
-// so it prefers routers in the upstream's own data centre. A move leaves the
-// upstream without an owner for a moment, and the old owner's queue does not
-// move along, so an upstream stays where it is unless its owner stops, is in
-// another data centre although the upstream's own has routers, or owns more
+// so MakePlan prefers routers in the upstream's own data centre. A move leaves
+// the upstream without an owner for a moment, and the old owner's queue does
+// not move along, so an upstream stays where it is unless its owner stops, is
+// in another data centre although the upstream's own has routers, or owns more
 // than its share. Rendezvous hashing orders the candidates, so successive
 // leaders choose the same owners. live must hold all upstreams to keep; an
 // assignment of any other upstream is removed once nobody owns it.
--- a/coordination/ownership/planner_test.go
+++ b/coordination/ownership/planner_test.go
@@ -71,7 +71,7 @@
 	return -1
 }
 
-// Routers and upstreams of random capacities join and leave in random data
+// Routers, and upstreams of random capacities, join and leave in random data
 // centres. A planner that never stops moving upstreams, leaves one without an
 // owner, or chooses a remote owner although the data centre has a router, fails
 // here. So does one that keeps assignments of upstreams that left.
@@ -129,27 +129,27 @@
 	c := newCluster(1, 2, 1)
 	c.converge()
 	guard := NewGuard(fixedLease{3 * time.Second, 1}, c.state.Assignment)
-	fence, verdict := guard.MayAdmit(2*time.Second, "u0")
-	assert.Equal(t, verdict, Allowed)
+	fence, decision := guard.MayAdmit(2*time.Second, "u0")
+	assert.Equal(t, decision, Allowed)
 	assert.Equal(t, fence, protocol.Fence(2))
-	_, verdict = guard.MayAdmit(3*time.Second, "u0")
-	assert.Equal(t, verdict, NoLease)
-	_, verdict = guard.MayAdmit(0, "u7")
-	assert.Equal(t, verdict, NotOwner)
+	_, decision = guard.MayAdmit(3*time.Second, "u0")
+	assert.Equal(t, decision, NoLease)
+	_, decision = guard.MayAdmit(0, "u7")
+	assert.Equal(t, decision, NotOwner)
 	held := guard.Release("u0")
-	_, verdict = guard.MayAdmit(0, "u0")
-	assert.Equal(t, verdict, Released)
+	_, decision = guard.MayAdmit(0, "u0")
+	assert.Equal(t, decision, Released)
 	c.state.Release(10, Release{Session: 1, Held: []Held{held}})
 	c.state.Assign(11, Assign{[]Target{{"u0", 1}}})
-	fence, verdict = guard.MayAdmit(0, "u0")
-	assert.Equal(t, verdict, Allowed)
+	fence, decision = guard.MayAdmit(0, "u0")
+	assert.Equal(t, decision, Allowed)
 	assert.Equal(t, fence, protocol.Fence(11))
 	c.state.Release(12, Release{Session: 1, Held: []Held{held}})
-	_, verdict = guard.MayAdmit(0, "u0")
-	assert.Equal(t, verdict, Allowed, "a late duplicate of the release counted")
+	_, decision = guard.MayAdmit(0, "u0")
+	assert.Equal(t, decision, Allowed, "a late duplicate of the release counted")
 	c.state.Move(13, Move{[]protocol.UpstreamID{"u0"}})
-	_, verdict = guard.MayAdmit(0, "u0")
-	assert.Equal(t, verdict, Released)
+	_, decision = guard.MayAdmit(0, "u0")
+	assert.Equal(t, decision, Released)
 }
 
 // A router restarts and requests a session while its old one is still open, a
--- a/coordination/ownership/state.go
+++ b/coordination/ownership/state.go
@@ -25,8 +25,8 @@
 	maxNameBytes = 256
 )
 
-// Session is the period in which a router process holds its lease without a
-// loss.
+// Session is the period in which a router process holds its lease without
+// interruption.
 type Session struct {
 	ID     SessionID         `msgpack:"i"`
 	Router protocol.RouterID `msgpack:"r"`
@@ -163,7 +163,7 @@
 	return session, ok
 }
 
-// Sessions returns the open sessions by ID.
+// Sessions returns the open sessions, sorted by ID.
 func (s *State) Sessions() []Session {
 	return slices.SortedFunc(maps.Values(s.sessions), func(a, b Session) int { return cmp.Compare(a.ID, b.ID) })
 }
@@ -174,7 +174,7 @@
 	return assignment, ok
 }
 
-// Assignments returns all assignments by upstream.
+// Assignments returns all assignments, sorted by upstream.
 func (s *State) Assignments() []Assignment {
 	return slices.SortedFunc(maps.Values(s.assignments), func(a, b Assignment) int {
 		return strings.Compare(string(a.Upstream), string(b.Upstream))
