--- a/coordination/kvmove/kvmove_test.go
+++ b/coordination/kvmove/kvmove_test.go
@@ -30,6 +30,9 @@
 
 func anyEngine(protocol.UpstreamID) bool { return true }
 
+// An engine is drained and has less time than all moves need. The plan must hold
+// the moves that save the most time per time spent, and none that saves nothing
+// or whose chat was idle for too long.
 func TestPlanTakesTheMovesThatSaveMost(t *testing.T) {
 	chats := []Chat{
 		chatOf(0, 5000, 0), chatOf(1, 5000, 5*time.Minute), chatOf(2, 5000, 0), chatOf(3, 5000, 0),
@@ -108,6 +111,8 @@
 	assert.Equal(t, ending.Moved, 3)
 }
 
+// More chats run on an engine than the record holds. It must drop the older ones
+// and stay within its limit.
 func TestRecentChatsKeepsTheLatest(t *testing.T) {
 	h := NewRecentChats(10)
 	for i := range 100 {
--- a/coordination/kvmove/plan.go
+++ b/coordination/kvmove/plan.go
@@ -45,8 +45,8 @@
 // They assume chats of some thousands of tokens, six in ten of which return
 // within five minutes. 500,000 tokens per second is 100 Gbit/s at 25 KB per
 // token. A model with more cache per token, or a slower link, needs its own
-// value; below about ten times the capacity, no move is worthwhile. Prefill
-// runs about ten times faster than generation. The half-life follows the
+// value. Prefill runs about ten times faster than generation, so at a Transfer
+// below about ten times an engine's capacity no move to it is worthwhile. The half-life follows the
 // pauses between turns. With MaxIdle at two minutes the cache reuse of the
 // fleet is unchanged where caches are full, and grows where they have spare
 // capacity; see docs/benchmarks/engine-orders.md.
--- a/coordination/kvmove/recentchats.go
+++ b/coordination/kvmove/recentchats.go
@@ -20,25 +20,25 @@
 }
 
 // Record records a turn of a chat. The root in the key identifies the chat.
-func (h *RecentChats) Record(turn Chat) {
-	h.chats[turn.Key.Root] = turn
-	if len(h.chats) > h.limit {
-		h.evict()
+func (r *RecentChats) Record(turn Chat) {
+	r.chats[turn.Key.Root] = turn
+	if len(r.chats) > r.limit {
+		r.evict()
 	}
 }
 
 // evict deletes the older half of the chats. Deleting many at once spreads the
 // cost of sorting over as many turns.
-func (h *RecentChats) evict() {
-	for _, old := range h.Chats()[h.limit/2:] {
-		delete(h.chats, old.Key.Root)
+func (r *RecentChats) evict() {
+	for _, old := range r.Chats()[r.limit/2:] {
+		delete(r.chats, old.Key.Root)
 	}
 }
 
 // Chats returns the chats, the most recently used first.
-func (h *RecentChats) Chats() []Chat {
-	chats := make([]Chat, 0, len(h.chats))
-	for _, known := range h.chats {
+func (r *RecentChats) Chats() []Chat {
+	chats := make([]Chat, 0, len(r.chats))
+	for _, known := range r.chats {
 		chats = append(chats, known)
 	}
 	slices.SortFunc(chats, func(a, b Chat) int {
