--- a/coordination/membership/memberbench/scenarios.go
+++ b/coordination/membership/memberbench/scenarios.go
@@ -149,12 +149,12 @@
 	// member declared the killed one dead; all holds the times of all members.
 	first, last map[protocol.RouterID]time.Duration
 	all         []time.Duration
-	// falseAccusations counts failed probes of healthy running members that led
+	// falseSuspicions counts failed probes of healthy running members that led
 	// to a suspicion. falseDeaths and impairedDead count the deaths of healthy
 	// and of impaired running members, once per member that reports the death.
-	falseAccusations, falseDeaths, impairedDead int
-	falselyDeclared                             map[protocol.RouterID]bool
-	impaired                                    map[protocol.RouterID]bool
+	falseSuspicions, falseDeaths, impairedDead int
+	falselyDeclared                            map[protocol.RouterID]bool
+	impaired                                   map[protocol.RouterID]bool
 }
 
 func observe(sim *simulation) *observer {
@@ -178,7 +178,7 @@
 		v.last[id] = took
 		v.all = append(v.all, took)
 	case s.Kind == membership.Suspected && !killed && s.Why == membership.WhyProbeFailed && !v.impaired[id]:
-		v.falseAccusations++
+		v.falseSuspicions++
 	case s.Kind == membership.Died && v.impaired[id]:
 		v.impairedDead++
 	case s.Kind == membership.Died:
@@ -257,7 +257,7 @@
 	since := sim.traffic()
 	sim.runUntil(warmUp + time.Minute)
 	return append(sim.rates(since, false),
-		Metric{"accusations/node/min", float64(v.falseAccusations) / float64(n)},
+		Metric{"accusations/node/min", float64(v.falseSuspicions) / float64(n)},
 		Metric{"false-deaths", float64(len(v.falselyDeclared))})
 }
 
@@ -284,7 +284,7 @@
 	}
 	agreeing, running := sim.agree()
 	return append(sim.rates(since, false),
-		Metric{"accusations-of-healthy", float64(v.falseAccusations)},
+		Metric{"accusations-of-healthy", float64(v.falseSuspicions)},
 		Metric{"healthy-declared-dead", float64(len(v.falselyDeclared))},
 		Metric{"impaired-deaths-believed/node", float64(v.impairedDead) / float64(rounds*max(1, n/10)) / float64(n)},
 		Metric{"disagreeing-at-end", float64(running - agreeing)})
