--- a/coordination/membership/config.go
+++ b/coordination/membership/config.go
@@ -42,7 +42,8 @@
 	// lost together, and partners are probed often enough to keep connections
 	// open.
 	Rings int
-	// ProbePeriod is the time between two probes of a healthy member.
+	// ProbePeriod is the time between two regular probes that a healthy member
+	// sends.
 	ProbePeriod time.Duration
 	// ProbeTimeout is the time after which an unanswered probe is repeated,
 	// also through helpers. After the first ping and two repeats the probe has
--- a/coordination/membership/core.go
+++ b/coordination/membership/core.go
@@ -35,6 +35,8 @@
 	nextTarget      int
 	neighboursStale bool
 
+	// probes are in progress. failed holds failed probes whose acks may still
+	// come, and urgent the members to probe out of turn.
 	sequence  uint64
 	probes    []*probe
 	failed    []*probe
@@ -322,7 +324,8 @@
 
 // sendWith encodes a packet and takes its bytes from the budget. The packet holds
 // the message's own rumours, then a suspicion or death of the receiver, who must
-// refute it, then queued rumours. It returns false if the budget is spent.
+// refute it, then queued rumours, except on a List packet. It returns false if the
+// budget is spent.
 func (c *Core) sendWith(now time.Duration, to *record, m message, of class) bool {
 	m.From = c.config.Self
 	m.Incarnation = c.self.Incarnation
--- a/coordination/membership/core_test.go
+++ b/coordination/membership/core_test.go
@@ -167,14 +167,14 @@
 // declare the new one dead.
 func TestRestartIsReported(t *testing.T) {
 	c := newTestCore("a", "b", "c")
-	reborn := testMember("b")
-	reborn.Incarnation.Started++
-	out := c.Receive(0, from("b", message{Kind: Join, Incarnation: reborn.Incarnation, Rumours: []rumour{{Kind: rumourAlive, Member: reborn}}}))
+	restarted := testMember("b")
+	restarted.Incarnation.Started++
+	out := c.Receive(0, from("b", message{Kind: Join, Incarnation: restarted.Incarnation, Rumours: []rumour{{Kind: rumourAlive, Member: restarted}}}))
 	assert.Equal(t, kinds(out.Events, Restarted), 1)
 	assert.Equal(t, len(out.Packets), 1)
 	c.handleDeadOrLeft(0, testMember("b"), Dead, WhyReported, "c")
 	assert.Equal(t, c.Living(), 3)
-	unknown := reborn
+	unknown := restarted
 	unknown.Incarnation.Started++
 	c.handleDeadOrLeft(0, unknown, Dead, WhyReported, "c")
 	assert.Equal(t, c.Living(), 3, "nor the death of a process that is not known yet")
--- a/coordination/membership/list.go
+++ b/coordination/membership/list.go
@@ -10,14 +10,15 @@
 const (
 	// fetchTimeout is the time after which a page is requested again, and
 	// maxFetchAttempts the number of requests. A sender whose budget is spent
-	// sends no page, so that a later request has to get it.
+	// sends no page, and a later request has to get it.
 	fetchTimeout     = 2 * time.Second
 	maxFetchAttempts = 5
 	// maxPageBytes is the largest page of a list. A larger page would need an
 	// almost unspent budget, and a busy member would hardly ever send it.
 	maxPageBytes = 700
 	// minAbsenceAge is how long ago a member must have changed before its
-	// absence from another member's list means something.
+	// absence from another member's list counts: a newer change may not have
+	// reached that member yet.
 	minAbsenceAge = 5 * time.Second
 )
 
--- a/coordination/membership/probe.go
+++ b/coordination/membership/probe.go
@@ -215,7 +215,7 @@
 }
 
 // handleLateAck handles the ack of a probe that has failed. This member is the
-// slow one, so it clears the suspicion that it drew from the failure.
+// slow one, so it clears the suspicion that followed from the failure.
 func (c *Core) handleLateAck(now time.Duration, m message) bool {
 	at := slices.IndexFunc(c.failed, func(p *probe) bool { return p.sequence == m.Sequence && p.target == m.Target })
 	if at < 0 {
--- a/coordination/membership/updates.go
+++ b/coordination/membership/updates.go
@@ -19,9 +19,9 @@
 	}
 	from := c.members[m.From]
 	if from != nil && from.State != Left && from.Incarnation.Started == m.Incarnation.Started {
-		// The incarnation in its packets carries a member's refutation to its
-		// partners without a rumour. If the refutation comes too late, it has to
-		// reach all members that were told of the death.
+		// Every packet carries its sender's incarnation, so a refutation reaches
+		// the sender's partners without a rumour. If it comes after the sender was
+		// declared dead, it has to reach all members that were told of the death.
 		known := from.Member
 		known.Incarnation = m.Incarnation
 		c.handleAlive(now, known, !from.State.living())
