--- a/coordination/node/inputs.go
+++ b/coordination/node/inputs.go
@@ -92,15 +92,16 @@
 	Summary loadbound.Summary
 }
 
-// PeerLimitAsk asks this router for credit of customers whose limits it
-// manages (their home).
-type PeerLimitAsk struct {
-	From protocol.RouterID
-	Ask  limits.CreditRequest
+// PeerCreditRequest asks this router for credit of customers whose limits it
+// manages. It is the home of these customers.
+type PeerCreditRequest struct {
+	From    protocol.RouterID
+	Request limits.CreditRequest
 }
 
-// PeerLimitAnswer carries credit from the home of customers.
-type PeerLimitAnswer struct{ Answer limits.CreditGrant }
+// PeerCreditGrant carries credit from the home of customers, the router that
+// manages their limits.
+type PeerCreditGrant struct{ Grant limits.CreditGrant }
 
 // PeerQuarantineNotice carries a notice of a crash or a quarantine.
 type PeerQuarantineNotice struct{ Notice quarantine.Notice }
@@ -187,21 +188,21 @@
 	Result orders.Result
 }
 
-// PeerEngineAsk asks this router, as the owner of an engine, to pass an order
+// PeerEngineRequest asks this router, as the owner of an engine, to pass an order
 // to the engine or to read the engine's state.
-type PeerEngineAsk struct {
-	From protocol.RouterID
-	Ask  engineorders.Ask
+type PeerEngineRequest struct {
+	From    protocol.RouterID
+	Request engineorders.Request
 }
 
 // EngineAnswered is the result of an OrderEngine. Status is the engine's HTTP
 // status for the order, or 0 if no order was sent or no answer arrived. State is
 // nil if it was not read.
 type EngineAnswered struct {
-	From   protocol.RouterID
-	Ask    engineorders.Ask
-	Status int
-	State  *upstreamapi.EngineState
+	From    protocol.RouterID
+	Request engineorders.Request
+	Status  int
+	State   *upstreamapi.EngineState
 }
 
 // Tick says that time has passed. The driver sends one every TickInterval.
@@ -235,12 +236,12 @@
 func (ViewChanged) input()          {}
 func (LeaseChanged) input()         {}
 func (JournalResult) input()        {}
-func (PeerEngineAsk) input()        {}
+func (PeerEngineRequest) input()    {}
 func (EngineAnswered) input()       {}
 func (Tick) input()                 {}
 func (Drain) input()                {}
-func (PeerLimitAsk) input()         {}
-func (PeerLimitAnswer) input()      {}
+func (PeerCreditRequest) input()    {}
+func (PeerCreditGrant) input()      {}
 func (PeerAttemptCheck) input()     {}
 func (PeerAttemptAlive) input()     {}
 
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -204,7 +204,7 @@
 	d.dataFolder = folder
 	d.host = newStateHost(d.now, d.log, d.sendPush)
 	d.host.self = d.settings.RouterID
-	d.host.sendEngineAsk = d.sendEngineAsk
+	d.host.sendEngineRequest = d.sendEngineRequest
 	d.replica, err = replica.New(replica.Config{
 		Self:          d.settings.RouterID,
 		Peers:         votersAndSpares(d.settings),
--- a/daemon/engineorders.go
+++ b/daemon/engineorders.go
@@ -18,9 +18,9 @@
 const (
 	// engineOrderInterval is how often the issuer's Step runs.
 	engineOrderInterval = 200 * time.Millisecond
-	// surveyTimeout is how long a new issuer waits until the state of all engines is read. Then it
+	// stateReadTimeout is how long a new issuer waits until the state of all engines is read. Then it
 	// plans without those whose state can't be read.
-	surveyTimeout = 10 * time.Second
+	stateReadTimeout = 10 * time.Second
 	// modelsPerEngine is how many models the plan assumes that an engine can hold. Engines don't
 	// announce the number; an engine that can't hold a second model refuses the order and gets no
 	// other for a while.
@@ -30,8 +30,8 @@
 // orderIssuer issues orders to engines (load, unload a model) on the consensus leader.
 type orderIssuer struct {
 	issuer    *engineorders.Issuer
-	survey    *engineorders.Survey
-	term      engineorders.Office
+	poller    *engineorders.StatePoller
+	term      engineorders.Term
 	startedAt time.Duration
 	// scalers compute the wanted replicas of each model from the demand that meter measures. A
 	// scaler starts with the replicas that its model had when it was first planned.
@@ -51,7 +51,7 @@
 	}
 	if h.engineOrders == nil {
 		h.engineOrders = &orderIssuer{scalers: map[protocol.Model]*engineorders.Scaler{}, meter: engineorders.NewMeter(), committing: true}
-		h.commitEngineCommands(h.engineOrders, []engineorders.Command{{Take: &engineorders.Take{Router: h.self}}})
+		h.commitEngineCommands(h.engineOrders, []engineorders.Command{{StartTerm: &engineorders.StartTerm{Router: h.self}}})
 	}
 	o := h.engineOrders
 	if o.issuer == nil || now-o.lastStep < engineOrderInterval {
@@ -59,9 +59,9 @@
 	}
 	o.lastStep = now
 	sends, commands := o.issuer.Step(now, h.machine.Engines(), h.engineOwner)
-	sends = append(sends, o.survey.Step(now, h.enginesWithoutOrder(), h.engineOwner)...)
+	sends = append(sends, o.poller.Step(now, h.enginesWithoutOrder(), h.engineOwner)...)
 	for _, send := range sends {
-		h.sendEngineAsk(send.To, send.Ask)
+		h.sendEngineRequest(send.To, send.Request)
 	}
 	if o.committing {
 		return
@@ -106,24 +106,24 @@
 	defer h.mu.Unlock()
 	now := h.now()
 	switch {
-	case command.Take != nil:
-		o.term = result.Engine.Office
+	case command.StartTerm != nil:
+		o.term = result.Engine.Term
 		o.startedAt = now
 		o.issuer = engineorders.NewIssuer(engineorders.DefaultTiming(), o.term, now)
-		o.survey = engineorders.NewSurvey(o.term)
+		o.poller = engineorders.NewStatePoller(o.term)
 	case command.Confirm != nil:
-		o.survey.Settled(command.Confirm.Upstream)
+		o.poller.Invalidate(command.Confirm.Upstream)
 	case command.Abandon != nil:
-		o.survey.Settled(command.Abandon.Upstream)
+		o.poller.Invalidate(command.Abandon.Upstream)
 		h.log.Warn().Str("upstream", string(command.Abandon.Upstream)).
-			Str("reason", string(command.Abandon.Ending)).Msg("state: order to engine abandoned")
+			Str("reason", string(command.Abandon.Resolution)).Msg("state: order to engine abandoned")
 	}
 }
 
 // planEngineOrders returns the commands that issue the orders due now.
 func (h *stateHost) planEngineOrders(now time.Duration, o *orderIssuer, rows []table.Row) []engineorders.Command {
 	engines, allRead := h.enginesForPlan(now, o)
-	if !allRead && now-o.startedAt < surveyTimeout {
+	if !allRead && now-o.startedAt < stateReadTimeout {
 		return nil
 	}
 	var models []engineorders.Model
@@ -131,14 +131,14 @@
 		models = append(models, h.desiredModel(now, o, engines, table.ModelOf(row)))
 	}
 	limits := engineorders.Limits{
-		Loads:     engineorders.MaxLoads - h.machine.Engines().Loads(),
+		Loads:     engineorders.MaxOpenLoads - h.machine.Engines().OpenLoads(),
 		RollShare: engineorders.RollShare,
 	}
 	var commands []engineorders.Command
 	for _, planned := range engineorders.MakePlan(engines, models, limits) {
 		h.log.Info().Str("upstream", string(planned.Upstream)).Str("reason", planned.Why).Msg("state: issuing order to engine")
 		commands = append(commands, engineorders.Command{Issue: &engineorders.Issue{
-			Office: o.term, Upstream: planned.Upstream, Intent: planned.Intent,
+			Term: o.term, Upstream: planned.Upstream, Intent: planned.Intent,
 		}})
 	}
 	return commands
@@ -153,12 +153,12 @@
 		scaler = engineorders.NewScaler(engineorders.DefaultScalerConfig(), now, len(serving))
 		o.scalers[row.Name] = scaler
 	}
-	floor := engineorders.Floor{Min: row.MinReplicas, Max: row.MaxReplicas}
+	limits := engineorders.ReplicaLimits{Min: row.MinReplicas, Max: row.MaxReplicas}
 	demand, known := o.meter.Demand(now, row.Name, serving)
 	if !known {
-		return engineorders.Model{Name: row.Name, Version: row.Version, Replicas: scaler.Held(floor)}
+		return engineorders.Model{Name: row.Name, Version: row.Version, Replicas: scaler.ReplicasWithoutDemand(limits)}
 	}
-	return engineorders.Model{Name: row.Name, Version: row.Version, Replicas: scaler.Wanted(now, demand, floor)}
+	return engineorders.Model{Name: row.Name, Version: row.Version, Replicas: scaler.Replicas(now, demand, limits)}
 }
 
 // servingCapacities returns the capacity of each engine that serves a model.
@@ -194,15 +194,15 @@
 func (h *stateHost) engineForPlan(now time.Duration, o *orderIssuer, descriptor registry.Descriptor) (engineorders.Engine, bool) {
 	state := h.machine.Engines()
 	order, open := state.OpenOf(descriptor.ID)
-	engine := engineorders.Engine{ID: descriptor.ID, Room: modelsPerEngine, Open: order.Intent}
-	held, read := o.survey.Read(descriptor.ID)
+	engine := engineorders.Engine{ID: descriptor.ID, MaxModels: modelsPerEngine, Open: order.Intent}
+	held, read := o.poller.LastState(descriptor.ID)
 	engine.Models = held.Models
 	if !read {
 		for _, model := range descriptor.Models {
 			engine.Models = append(engine.Models, upstreamapi.LoadedModel{Model: model, Ready: true})
 		}
 	}
-	engine.Busy = open || !read || h.isDraining(descriptor.ID) || !o.issuer.Rested(now, state, descriptor.ID)
+	engine.Busy = open || !read || h.isDraining(descriptor.ID) || !o.issuer.BackoffExpired(now, state, descriptor.ID)
 	return engine, read
 }
 
@@ -212,7 +212,7 @@
 	return found && table.UpstreamOf(row).Drain
 }
 
-// enginesWithoutOrder lists the engines without an open order. The survey reads only these; the
+// enginesWithoutOrder lists the engines without an open order. The poller reads only these; the
 // issuer reads the others with their orders.
 func (h *stateHost) enginesWithoutOrder() []protocol.UpstreamID {
 	var ids []protocol.UpstreamID
@@ -237,32 +237,32 @@
 	if !open {
 		return engineorders.Owner{}, false
 	}
-	return engineorders.Owner{Router: session.Router, Tenure: assignment.Fence, ChecksFence: descriptor.ChecksFence}, true
+	return engineorders.Owner{Router: session.Router, OwnershipFence: assignment.Fence, ChecksFence: descriptor.ChecksFence}, true
 }
 
-// handleEngineReply passes an owner's reply to the survey, the meter and the issuer.
+// handleEngineReply passes an owner's reply to the poller, the meter and the issuer.
 func (h *stateHost) handleEngineReply(reply engineorders.Reply) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.engineOrders == nil || h.engineOrders.issuer == nil {
 		return
 	}
-	h.engineOrders.survey.Reply(reply)
-	h.engineOrders.meter.Reply(h.now(), reply)
+	h.engineOrders.poller.HandleReply(reply)
+	h.engineOrders.meter.HandleReply(h.now(), reply)
 	if order, open := h.machine.Engines().OpenOf(reply.Upstream); open {
-		h.engineOrders.issuer.Reply(h.now(), order, reply)
+		h.engineOrders.issuer.HandleReply(h.now(), order, reply)
 	}
 }
 
-// sendEngineAsk sends the issuer's request to an owner, which may be this router. The caller holds
+// sendEngineRequest sends the issuer's request to an owner, which may be this router. The caller holds
 // the state host's lock, which the reply needs too; a local request therefore runs on a goroutine
 // of its own.
-func (d *Daemon) sendEngineAsk(to protocol.RouterID, ask engineorders.Ask) {
+func (d *Daemon) sendEngineRequest(to protocol.RouterID, request engineorders.Request) {
 	if to == d.settings.RouterID {
-		go d.runner.Input(node.PeerEngineAsk{From: to, Ask: ask})
+		go d.runner.Input(node.PeerEngineRequest{From: to, Request: request})
 		return
 	}
-	d.mesh.Send(to, wire.KindEngineAsk, wire.Encode(ask), false)
+	d.mesh.Send(to, wire.KindEngineRequest, wire.Encode(request), false)
 }
 
 // sendEngineReply sends an owner's reply to the issuer, which may be in this process. The caller
@@ -280,12 +280,12 @@
 // handleEngineOrder handles a request that this router receives as an owner, or an owner's reply
 // that it receives as the issuer.
 func (d *Daemon) handleEngineOrder(from protocol.RouterID, frame wire.Frame) error {
-	if frame.Kind == wire.KindEngineAsk {
-		var ask engineorders.Ask
-		if err := wire.Decode(frame.Payload, &ask); err != nil {
+	if frame.Kind == wire.KindEngineRequest {
+		var request engineorders.Request
+		if err := wire.Decode(frame.Payload, &request); err != nil {
 			return err
 		}
-		d.runner.Input(node.PeerEngineAsk{From: from, Ask: ask})
+		d.runner.Input(node.PeerEngineRequest{From: from, Request: request})
 		return nil
 	}
 	var reply engineorders.Reply
--- a/daemon/queries.go
+++ b/daemon/queries.go
@@ -109,7 +109,7 @@
 		case q.History != nil:
 			reply.History = machine.Table().History(q.History.Sheet, q.History.Key, q.History.Limit)
 		case q.Undo != nil:
-			edits, err := machine.Table().UndoOf(*q.Undo)
+			edits, err := machine.Table().UndoEdits(*q.Undo)
 			reply.Edits = edits
 			if err != nil {
 				reply.Problem = err.Error()
--- a/protocol/wire/wire.go
+++ b/protocol/wire/wire.go
@@ -87,20 +87,20 @@
 	// KindChatMoved tells the owner of a chat's first-choice upstream where the
 	// chat ran instead.
 	KindChatMoved Kind = 22
-	// KindLimitAsk and KindLimitAnswer request and grant credit from customers'
-	// limits.
-	KindLimitAsk    Kind = 23
-	KindLimitAnswer Kind = 24
+	// KindCreditRequest and KindCreditGrant request and grant credit from
+	// customers' limits.
+	KindCreditRequest Kind = 23
+	KindCreditGrant   Kind = 24
 	// KindAttemptCheck asks an owner whether it still has an attempt, and
 	// KindAttemptAlive confirms it.
 	KindAttemptCheck Kind = 25
 	KindAttemptAlive Kind = 26
 	// KindProbe has no payload. Its acknowledgement shows that a connection works.
 	KindProbe Kind = 27
-	// KindEngineAsk carries an engine order from its issuer to the engine's owner,
+	// KindEngineRequest carries an engine order from its issuer to the engine's owner,
 	// and KindEngineReply the answer to it.
-	KindEngineAsk   Kind = 40
-	KindEngineReply Kind = 41
+	KindEngineRequest Kind = 40
+	KindEngineReply   Kind = 41
 	// KindWatch to KindChangesAck are the messages of coordination/control between
 	// disk VMs and the routers that send to upstreams themselves.
 	KindWatch      Kind = 50
@@ -142,10 +142,10 @@
 	KindCancel: "cancel", KindAnnounce: "announce", KindLeave: "leave", KindGossip: "gossip",
 	KindQuery: "query", KindQueryReply: "query-reply", KindLoadTotals: "totals",
 	KindQuarantine: "quarantine", KindOrderReport: "order-report", KindChatMoved: "moved",
-	KindLimitAsk: "limit-ask", KindLimitAnswer: "limit-answer",
+	KindCreditRequest: "limit-ask", KindCreditGrant: "limit-answer",
 	KindAttemptCheck: "check", KindAttemptAlive: "alive",
-	KindProbe:     "probe",
-	KindEngineAsk: "engine-ask", KindEngineReply: "engine-reply",
+	KindProbe:         "probe",
+	KindEngineRequest: "engine-ask", KindEngineReply: "engine-reply",
 	KindWatch: "watch", KindStatus: "news", KindChanges: "roster", KindChangesAck: "roster-ack", KindList: "list", KindDocument: "document",
 	KindHeartbeats: "heard", KindAnnouncements: "announced", KindAnnouncementsAck: "announced-ack", KindPut: "put", KindPutReply: "put-reply", KindRead: "read", KindReadReply: "read-reply",
 	KindLoadReport: "loads", KindHome: "home", KindHomeReply: "home-reply", KindCrash: "blame", KindCacheHolders: "keepers",
