--- a/daemon/engineorders.go
+++ b/daemon/engineorders.go
@@ -29,6 +29,7 @@
 
 // orderIssuer issues orders to engines (load, unload a model) on the consensus leader.
 type orderIssuer struct {
+	// issuer and poller are nil until the StartTerm command is committed.
 	issuer    *engineorders.Issuer
 	poller    *engineorders.StatePoller
 	term      engineorders.Term
@@ -90,7 +91,7 @@
 		defer h.mu.Unlock()
 		o.committing = false
 		if o.issuer == nil && h.engineOrders == o {
-			// The Take command failed; the next tick proposes it again.
+			// The StartTerm command failed; the next tick proposes it again.
 			h.engineOrders = nil
 		}
 	})
@@ -254,9 +255,9 @@
 	}
 }
 
-// sendEngineRequest sends the issuer's request to an owner, which may be this router. The caller holds
-// the state host's lock, which the reply needs too; a local request therefore runs on a goroutine
-// of its own.
+// sendEngineRequest sends the issuer's request to an owner, which may be this router. The caller
+// holds the state host's lock, which the reply needs too; a local request therefore runs on a
+// goroutine of its own.
 func (d *Daemon) sendEngineRequest(to protocol.RouterID, request engineorders.Request) {
 	if to == d.settings.RouterID {
 		go d.runner.Input(node.PeerEngineRequest{From: to, Request: request})
--- a/daemon/statehost.go
+++ b/daemon/statehost.go
@@ -66,11 +66,11 @@
 	// of the latest.
 	waiters    map[lease.Waiter]chan struct{}
 	lastWaiter lease.Waiter
-	// engineOrders issues orders to engines while this process leads, nil otherwise. sendEngineRequest
-	// sends its requests to the owners without blocking.
+	// engineOrders issues orders to engines while this process leads, nil otherwise.
+	// sendEngineRequest sends its requests to the owners without blocking.
 	engineOrders      *orderIssuer
 	self              protocol.RouterID
-	sendEngineRequest func(to protocol.RouterID, ask engineorders.Request)
+	sendEngineRequest func(to protocol.RouterID, request engineorders.Request)
 }
 
 func newStateHost(now func() time.Duration, log zerolog.Logger, push func(protocol.RouterID, lease.Push)) *stateHost {
