--- a/daemon/engineorders.go
+++ b/daemon/engineorders.go
@@ -29,6 +29,7 @@
 
 // orderIssuer issues orders to engines (load, unload a model) on the consensus leader.
 type orderIssuer struct {
+	// issuer and poller are nil until the StartTerm command is committed.
 	issuer    *engineorders.Issuer
 	poller    *engineorders.StatePoller
 	term      engineorders.Term
@@ -225,7 +226,8 @@
 	return ids
 }
 
-// engineOwner returns the owner of an engine, false if it has none or is moving to another.
+// engineOwner returns the owner of an engine. It returns false if the engine has no owner or is
+// moving to another one.
 func (h *stateHost) engineOwner(upstream protocol.UpstreamID) (engineorders.Owner, bool) {
 	descriptor, known := h.machine.Registry().Get(upstream)
 	assignment, assigned := h.machine.Ownership().Assignment(upstream)
