--- a/daemon/statehost.go
+++ b/daemon/statehost.go
@@ -24,8 +24,8 @@
 	// planInterval is how often a leader compares the owners with the upstreams. An upstream that
 	// joins or has lost its owner waits at most that long for a plan.
 	planInterval = 200 * time.Millisecond
-	// proposeTimeout bounds one task of the leader with its proposals, and the proposals of a planned
-	// stop.
+	// proposeTimeout bounds one background task of the leader with all its proposals, and the
+	// proposals of a router that stops as planned.
 	proposeTimeout = 3 * time.Second
 )
 
@@ -66,11 +66,11 @@
 	// of the latest.
 	waiters    map[lease.Waiter]chan struct{}
 	lastWaiter lease.Waiter
-	// engineOrders issues orders to engines while this process leads, nil otherwise. sendEngineRequest
-	// sends its requests to the owners without blocking.
+	// engineOrders issues orders to engines while this process leads, nil otherwise.
+	// sendEngineRequest sends its requests to the owners without blocking.
 	engineOrders      *orderIssuer
 	self              protocol.RouterID
-	sendEngineRequest func(to protocol.RouterID, ask engineorders.Request)
+	sendEngineRequest func(to protocol.RouterID, request engineorders.Request)
 }
 
 func newStateHost(now func() time.Duration, log zerolog.Logger, push func(protocol.RouterID, lease.Push)) *stateHost {
