--- a/coordination/placement/doc.go
+++ b/coordination/placement/doc.go
@@ -11,11 +11,13 @@
 // the chat's first choice. A system prompt that many chats share is only part
 // of the root, so it does not send them all to one engine.
 //
-// The entry router goes through that order (Walk) and queries the owner of
-// each upstream, one after the other. The owner (Owner.HandleQuery) answers
-// from what only it knows: the exact load, the index of the prefixes cached
-// there (Index), and forwarding pointers for chats whose first choice is here
-// but that ran elsewhere (ForwardingPointers).
+// A walk (Walk) is the sequence of queries that the entry router makes to find
+// an upstream for one request: it queries the owners of upstreams one after the
+// other, mostly in that order, and each answer decides on the next query. The
+// owner (Owner.HandleQuery) answers from what only it knows: the exact load,
+// the index of the prefixes cached there (Index), and its forwarding pointers
+// (ForwardingPointers). A forwarding pointer is kept by the owner of a chat's
+// first choice when the chat ran on another upstream, and names that upstream.
 //
 //   - If the owner of the first choice has a forwarding pointer for the chat,
 //     it answers Forward, and the walk probes the upstream that the pointer
--- a/coordination/placement/pointers.go
+++ b/coordination/placement/pointers.go
@@ -6,7 +6,8 @@
 	"endiveplank/protocol/chat"
 )
 
-// PointerLifetime is how long a forwarding pointer is used. Most chats return
+// PointerLifetime is how long a forwarding pointer (an entry of
+// ForwardingPointers) is used. Most chats return
 // within minutes and some after hours. After half a day the prefix has been
 // evicted in nearly all cases, and the first choice can serve the chat as
 // well.
--- a/coordination/placement/walk.go
+++ b/coordination/placement/walk.go
@@ -114,7 +114,8 @@
 }
 
 // Walk finds the upstream for one request by querying owners one after the
-// other. It is a plain value that allocates nothing for a request.
+// other: Next returns the next query, and HandleAnswer takes the answer to it.
+// It is a plain value that allocates nothing for a request.
 type Walk struct {
 	set     *Set
 	policy  Policy
