--- a/coordination/node/entry.go
+++ b/coordination/node/entry.go
@@ -47,15 +47,16 @@
 	request  CallerRequest
 	customer *Customer
 	template fleet.Place
-	// chain holds the prefix hashes of a chat. It is empty for a plain service.
+	// chain holds the hash of each prefix of a chat's prompt, and the prefix's
+	// length. It is empty for a plain service.
 	chain   []chat.Link
 	service protocol.Service
 	phase   phase
 	// attempt is the number of the current attempt, from 1.
 	attempt  uint32
 	upstream *Upstream
-	// walk is the search for an upstream for a chat and is valid while walking is
-	// set. reportedLoads holds the loads that owners reported during the walk. A
+	// walk is the sequence of queries to owners that finds an upstream for a chat.
+	// It is valid while walking is set. reportedLoads holds the loads that owners reported during the walk. A
 	// request to a plain service has no walk: candidates lists the upstreams to
 	// ask, and next is the index of the next one.
 	walk          placement.Walk
--- a/coordination/node/node.go
+++ b/coordination/node/node.go
@@ -14,6 +14,15 @@
 // queues requests and relays answers to the entry router. Both roles of one
 // router exchange the same messages as two routers do.
 //
+// Comments of this package use these terms:
+//
+//   - The chain of a chat is the list of the hashes of its prompt's prefixes,
+//     one for each message, with the prefixes' lengths in tokens (chat.Link).
+//   - A walk is the sequence of queries to owners by which the entry router
+//     finds an upstream for a chat (placement.Walk). Each query is a Place.
+//   - An owner spills a request when it doesn't start it and doesn't keep it in
+//     its queue, so that the entry router asks the owner of another upstream.
+//
 // The package guards against these failures:
 //
 //   - The router can't be sure of its configuration or its ownerships because
--- a/coordination/node/place.go
+++ b/coordination/node/place.go
@@ -294,7 +294,8 @@
 	}
 }
 
-// handlePlaceSpilled asks the next owner after one spilled the request.
+// handlePlaceSpilled asks the next owner after one spilled the request: it did not
+// start the request, and did not queue it or returned it from its queue.
 func (n *Node) handlePlaceSpilled(now time.Duration, e *entryRequest, reply fleet.PlaceReply) {
 	e.recordLoad(reply.Load)
 	n.emit(Event{Request: e.request.ID, Attempt: e.attempt, Customer: e.customer.ID, Upstream: e.upstream.ID, Kind: "spilled", Reason: reason.Code(reply.Reason)})
@@ -319,8 +320,8 @@
 // the request as the upstream's owner.
 func (n *Node) handleNotOwner(now time.Duration, e *entryRequest) {
 	if e.phase == phaseQueued || !e.walking {
-		// The search by walk has ended, or the request has no walk: wait, then start
-		// a new search.
+		// The walk has ended, or the request has none: wait, then start a new
+		// search.
 		n.waitForOwner(now, e)
 		return
 	}
