--- a/coordination/limits/doc.go
+++ b/coordination/limits/doc.go
@@ -2,9 +2,9 @@
 // second, requests per second and requests in flight.
 //
 // A customer's requests arrive through any router, so each router sees only a
-// small part of them. One router, the customer's home, keeps the account
-// for the fleet: HomeOf chooses it by rendezvous hashing, so accounts spread over
-// all routers. The home has one token bucket for each rate and counts the
+// small part of them. The home of a customer is the one router that manages the
+// customer's limits: it keeps the account for the fleet. HomeOf chooses it by rendezvous hashing, so accounts spread over
+// all routers, and each router is the home of some customers. The home has one token bucket for each rate and counts the
 // leased slots of requests in flight. Entry routers, which receive the requests
 // of callers, spend the credit that the home has granted them:
 //
--- a/coordination/limits/home.go
+++ b/coordination/limits/home.go
@@ -7,8 +7,8 @@
 	"endiveplank/protocol"
 )
 
-// Home keeps the accounts of the customers whose home this router is. It
-// handles up to some tens of credit requests per second.
+// Home keeps the accounts of the customers whose limits this router manages for
+// the fleet. It handles up to some tens of credit requests per second.
 //
 // It prevents a customer from getting its whole limit from each router: it
 // takes credit out of the customer's one bucket before it grants the credit.
