--- a/coordination/quarantine/crash.go
+++ b/coordination/quarantine/crash.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// culprit returns the run that must be quarantined for a crash, or nil if no run is
-// clearly the cause. If exactly one suspect was on trial on the upstream, and it ran
+// culprit returns the run of the request that caused a crash, which must be
+// quarantined, or nil if no run is clearly the cause. If exactly one suspect was on trial on the upstream, and it ran
 // alone, that is the cause. Otherwise it is the only suspect that was in
 // minCommonCrashes crashes or more, this one included. The second rule finds requests
 // that crash upstreams only after their trial has ended, or that never found an
--- a/coordination/quarantine/doc.go
+++ b/coordination/quarantine/doc.go
@@ -11,10 +11,13 @@
 // A request is known by its Digest, a hash of customer and body, so a resend
 // through any router is recognised.
 //
-//  1. Crash. All requests in flight on a crashed upstream become suspects. The
+//  1. Crash. All requests in flight on a crashed upstream become suspects: each
+//     of them may have caused the crash. The culprit is the request that did. The
 //     owner sends all routers a Notice with five bytes for each suspect: four of
 //     its digest and one for the time that it had run.
-//  2. Trial. A suspect runs again only alone: no other suspect on that
+//  2. Trial. A trial is the first part of a suspect's next run, which shows
+//     whether it crashes the upstream again; until then it is on trial. A suspect
+//     runs again only alone: no other suspect on that
 //     upstream, no other request there that started within the last second
 //     (Config.ProvenAfter), and no new one until the suspect has run longer than
 //     before the crash. TrialUpstream spreads suspects over upstreams and sends
@@ -32,9 +35,9 @@
 //
 // A quarantine expires, after 5 minutes the first time, and the request then runs
 // alone again; only a crash in that trial renews the quarantine, for twice as
-// long. So no harmless request is refused for good. When a rack or switch fails
-// and takes several upstreams down at once (a mass failure), no request is
-// quarantined: at least three crashes whose requests have nothing in common don't
+// long. So no harmless request is refused for good. In a mass failure, several
+// upstreams fail at once for a reason other than a request, for example because a
+// rack or switch fails. Then no request is quarantined: at least three crashes whose requests have nothing in common don't
 // count, since one bad request would be in all of them. Operators list
 // and lift quarantines.
 //
