--- a/coordination/control/requests.go
+++ b/coordination/control/requests.go
@@ -23,7 +23,7 @@
 	requestCacheHolders
 )
 
-// request is a follower's request for something large.
+// request is a follower's request for a table, a list of upstreams or cache holders.
 type request struct {
 	from protocol.RouterID
 	kind requestKind
@@ -65,7 +65,8 @@
 	return messages
 }
 
-// noteServed makes a router that was sent something large a referral for other routers.
+// noteServed makes a router that was sent a table, a list of upstreams or cache holders
+// a referral: other routers may be told to ask it instead of this disk VM.
 func (p *Publisher) noteServed(now time.Duration, id protocol.RouterID) {
 	if w := p.followers[id].watch; w.Router {
 		p.referrals.add(now, Router{ID: id, DataCentre: w.DataCentre})
