--- a/coordination/roster/roster.go
+++ b/coordination/roster/roster.go
@@ -337,9 +337,10 @@
 	return true
 }
 
-// RefreshAll records that a disk VM lists the same upstreams as this roster. For a
-// router this takes the place of the upstreams' own announcements, which go to the
-// disk VMs.
+// RefreshAll records that a disk VM lists the same upstreams as this roster, so that
+// a router keeps them. An upstream announces itself to a disk VM or to one router, so
+// most routers never hear from it and would otherwise drop it as silent. An upstream
+// that no disk VM lists any more is still dropped.
 func (r *Roster) RefreshAll(now time.Duration) {
 	for _, known := range r.records {
 		if known.State != Gone {
