--- a/scripts/first-look.sh
+++ b/scripts/first-look.sh
@@ -2,7 +2,7 @@
 # Walks the whole path once on a running fleet (see fleet.sh): a streamed chat
 # through each router, an order sent twice under one key, a row edit seen on
 # another router; then the router that relays a long answer is killed in the
-# middle of it, and the caller's whole answer, its story and the fleet's status
+# middle of it, and the caller's whole answer, its timeline and the fleet's status
 # are shown.
 set -euo pipefail
 say() { printf '\n== %s\n' "$*"; }
