--- a/coordination/balance/balancer.go
+++ b/coordination/balance/balancer.go
@@ -238,8 +238,8 @@
 	u.health.record(now, result, 1)
 }
 
-// RecordResult records the result of a request that Ended has already recorded as
-// Abandoned.
+// RecordResult records the result of a request without ending it: Ended records the end,
+// as Abandoned if the result was not known then.
 func (b *Balancer) RecordResult(now time.Duration, id protocol.UpstreamID, result Result) {
 	if u := b.upstreams[id]; u != nil {
 		u.recordResult(now, result)
--- a/daemon/diskvm/member.go
+++ b/daemon/diskvm/member.go
@@ -20,9 +20,9 @@
 const (
 	heartbeat       = 150 * time.Millisecond
 	electionTimeout = 750 * time.Millisecond
-	// silentVoterTimeout is how long a voter may be silent before it is removed, if the
-	// removal lowers the quorum and not the number of losses that the rest can bear (see
-	// package repair). A VM that was replaced must be removed before the next loss, which
+	// silentVoterTimeout is how long a voter may be silent before it is removed. It is
+	// removed only if the remaining voters then need a smaller quorum and can still bear
+	// as many losses (see package repair). A VM that was replaced must be removed before the next loss, which
 	// may follow some seconds later.
 	silentVoterTimeout = 2500 * time.Millisecond
 	// silentLearnerTimeout is how long a learner may be silent before it is removed.
@@ -152,8 +152,8 @@
 	}
 }
 
-// transferLeadership hands leadership to another member before a planned stop, so that operators wait milliseconds
-// for the next leader and not an election timeout.
+// transferLeadership hands leadership to another member before a planned stop, so that
+// operators wait milliseconds for the next leader and not an election timeout.
 func (vm *VM) transferLeadership() {
 	member := vm.member.Load()
 	if member == nil || member.Status().Role != consensus.Leader {
--- a/daemon/diskvm/vm.go
+++ b/daemon/diskvm/vm.go
@@ -138,8 +138,8 @@
 	}
 }
 
-// tick sends watches, sends the other disk VMs the changes of upstreams, and removes silent
-// upstreams.
+// tick sends watches, sends routers and the other disk VMs the changes of upstreams, and
+// removes silent upstreams.
 func (vm *VM) tick() {
 	vm.mu.Lock()
 	defer vm.mu.Unlock()
--- a/state/wal/record.go
+++ b/state/wal/record.go
@@ -135,8 +135,8 @@
 
 // addEntry adds an entry after the last one, or replaces an earlier entry and
 // all entries after it. Segments that a snapshot covers have been removed, so the
-// first entry read may have any index, and a later entry may still replace
-// entries that lie before the first one.
+// first entry read may have any index. Without a reset record the base is therefore
+// only a guess, and an entry at or below it starts the log anew.
 func (r *replay) addEntry(e consensus.Entry) string {
 	first := !r.started || !r.hasReset && e.Index <= r.base
 	if first && e.Index > 0 {
--- a/transport/forward/refuse.go
+++ b/transport/forward/refuse.go
@@ -22,8 +22,9 @@
 	// retryAfterNoUpstream: upstreams announce themselves about once a second, and
 	// the router tries an unreachable one again sooner than that.
 	retryAfterNoUpstream = time.Second
-	// retryAfterQuarantine is how long a request that crashes upstreams stays
-	// quarantined.
+	// retryAfterQuarantine is far longer than the other values, because a retry of a
+	// request that crashes upstreams is refused for as long as package crashes
+	// quarantines it.
 	retryAfterQuarantine = 30 * time.Second
 )
 
